--- a/Tests/Platform/TestPlatformDocuments.cpp
+++ b/Tests/Platform/TestPlatformDocuments.cpp
@@ -264,7 +264,7 @@
 
 TEST(StoreProtocol, ChangesAreAskedFor_InTheStoresOwnNumbers)
 {
-  const auto request = EncodeFollow(FleetTable::Servers, VersionIn(3, 412), seconds(1));
+  const auto request = EncodeLongPoll(FleetTable::Servers, VersionIn(3, 412), seconds(1));
   EXPECT_NE(request.target_.find("after=412&"), std::string::npos);
 }
 
--- a/Tests/Platform/TestTableFollower.cpp
+++ b/Tests/Platform/TestTablePoller.cpp
@@ -1,4 +1,4 @@
-#include "platform/TableFollower.h"
+#include "platform/TablePoller.h"
 
 #include <gtest/gtest.h>
 
@@ -7,7 +7,7 @@
 namespace {
 
 // Answers questions by hand.
-class AskedStore : public StoreQuestions
+class ManualStore : public TablePollerHost
 {
 public:
   ExchangeId Send(StoreCallKind, HttpRequest aRequest, Duration, HttpCallback aCallback) override
@@ -22,8 +22,8 @@
   void OnView(const TableView& aView) override { views_.push_back(aView); }
   void OnFailure(FleetTable) override { ++failures_; }
   void OnSuccess(FleetTable) override {}
-  bool IsReturnAwaited(FleetTable) const override { return isReturnAwaited_; }
-  void OnReadAgain(FleetTable, RowVersion aAfter) override { readAgainAfter_ = aAfter; }
+  bool IsRecoveryPolledElsewhere(FleetTable) const override { return isRecoveryPolledElsewhere_; }
+  void OnTableReread(FleetTable, RowVersion aAfter) override { rereadAfter_ = aAfter; }
   void OnMalformed(const FieldError&) override { ++malformed_; }
 
   // An empty epoch is not named.
@@ -47,8 +47,8 @@
   std::vector<TableView> views_;
   int failures_ = 0;
   int malformed_ = 0;
-  RowVersion readAgainAfter_ = 0;
-  bool isReturnAwaited_ = false;
+  RowVersion rereadAfter_ = 0;
+  bool isRecoveryPolledElsewhere_ = false;
 };
 
 class FollowerOfServers : public testing::Test
@@ -56,12 +56,12 @@
 protected:
   FollowerOfServers()
   {
-    follower_.Follow(Following::Alone, 0);
+    poller_.SetPollMode(Following::Alone, 0);
     store_.Answer(200, R"({"rows":[{"key":"s1","value":"YQ==","ver":80}],"ver":90})");
-    RunUntilAsked();
+    RunUntilRequest();
   }
 
-  void RunUntilAsked()
+  void RunUntilRequest()
   {
     while (!store_.callback_) {
       context_.restart();
@@ -70,7 +70,7 @@
   }
 
   // The version after which the last question asked.
-  std::string LastAfter() const
+  std::string LastRequestedVersion() const
   {
     const auto& target = store_.targets_.back();
     const auto at = target.find("after=");
@@ -78,57 +78,57 @@
   }
 
   boost::asio::io_context context_;
-  AskedStore store_;
-  TableFollower follower_{ context_, store_, FleetTable::Servers };
+  ManualStore store_;
+  TablePoller poller_{ context_, store_, FleetTable::Servers };
 };
 
 TEST_F(FollowerOfServers, TableIsRead_ChangesAfterItAreAskedFor)
 {
   ASSERT_EQ(store_.views_.size(), 1U);
   EXPECT_TRUE(store_.views_[0].isWhole_);
-  EXPECT_EQ(LastAfter(), "90");
+  EXPECT_EQ(LastRequestedVersion(), "90");
 }
 
 TEST_F(FollowerOfServers, AnswersWithoutRowsFollowEachOther_TheyDoNotMovePastHiddenChanges)
 {
   store_.Answer(200, R"({"rows":[],"ver":100})");
-  RunUntilAsked();
+  RunUntilRequest();
   store_.Answer(200, R"({"rows":[],"ver":101})");
-  RunUntilAsked();
-  EXPECT_EQ(LastAfter(), "90");
+  RunUntilRequest();
+  EXPECT_EQ(LastRequestedVersion(), "90");
 }
 
 TEST_F(FollowerOfServers, NothingChangesForSomeTime_OldVersionIsTakenForGranted)
 {
   store_.Answer(200, R"({"rows":[],"ver":100})");
-  RunUntilAsked();
+  RunUntilRequest();
   store_.now_ += milliseconds(2600);
   store_.Answer(200, R"({"rows":[],"ver":110})");
-  RunUntilAsked();
+  RunUntilRequest();
   store_.Answer(200, R"({"rows":[],"ver":111})");
-  RunUntilAsked();
-  EXPECT_EQ(LastAfter(), "90");
+  RunUntilRequest();
+  EXPECT_EQ(LastRequestedVersion(), "90");
   store_.now_ += milliseconds(2600);
   store_.Answer(200, R"({"rows":[],"ver":120})");
-  RunUntilAsked();
-  EXPECT_EQ(LastAfter(), "110");
+  RunUntilRequest();
+  EXPECT_EQ(LastRequestedVersion(), "110");
 }
 
 TEST_F(FollowerOfServers, PlacerRelays_NothingMoreIsAsked)
 {
-  follower_.Follow(Following::Relayed, 95);
+  poller_.SetPollMode(Following::Relayed, 95);
   EXPECT_FALSE(store_.callback_);
-  follower_.Follow(Following::Alone, 95);
-  EXPECT_EQ(LastAfter(), "95");
+  poller_.SetPollMode(Following::Alone, 95);
+  EXPECT_EQ(LastRequestedVersion(), "95");
 }
 
 TEST(FollowerOfTheConfiguration, PlacerRelays_GoesOnAsking)
 {
   boost::asio::io_context context;
-  AskedStore store;
-  TableFollower follower(context, store, FleetTable::Configuration);
-  follower.Follow(Following::Alone, 0);
-  follower.Follow(Following::Relayed, 0);
+  ManualStore store;
+  TablePoller poller(context, store, FleetTable::Configuration);
+  poller.SetPollMode(Following::Alone, 0);
+  poller.SetPollMode(Following::Relayed, 0);
   EXPECT_TRUE(store.callback_);
   store.Answer(200, R"({"rows":[{"key":"config","value":"YQ==","ver":80}],"ver":90})");
   while (!store.callback_) {
@@ -137,28 +137,28 @@
   }
   // A long question, since the placer's answers name what it misses.
   EXPECT_NE(store.targets_.back().find("waitMs=8000"), std::string::npos);
-  follower.Follow(Following::Alone, 80);
+  poller.SetPollMode(Following::Alone, 80);
   EXPECT_NE(store.targets_.back().find("after=80&waitMs=4000"), std::string::npos);
 }
 
 TEST_F(FollowerOfServers, StoreFailsAndAnotherAwaitsItsReturn_NothingIsAskedUntilThen)
 {
-  store_.isReturnAwaited_ = true;
-  const auto asked = store_.targets_.size();
+  store_.isRecoveryPolledElsewhere_ = true;
+  const auto requests = store_.targets_.size();
   store_.Answer(503, "");
   context_.restart();
   context_.run();
-  EXPECT_EQ(store_.targets_.size(), asked);
-  follower_.OnStoreReturned();
-  EXPECT_EQ(store_.targets_.size(), asked + 1);
-  EXPECT_EQ(LastAfter(), "90");
+  EXPECT_EQ(store_.targets_.size(), requests);
+  poller_.OnStoreRecovered();
+  EXPECT_EQ(store_.targets_.size(), requests + 1);
+  EXPECT_EQ(LastRequestedVersion(), "90");
 }
 
 TEST_F(FollowerOfServers, HistoryIsGone_TableIsReadAgain)
 {
   store_.Answer(410, "");
   EXPECT_NE(store_.targets_.back().find("/api/rows-get"), std::string::npos);
-  EXPECT_EQ(store_.readAgainAfter_, 90U);
+  EXPECT_EQ(store_.rereadAfter_, 90U);
 }
 
 TEST_F(FollowerOfServers, AnswerToAQuestionIsOfTheNextEpoch_TableIsReadAgainAndCountsAsNewer)
@@ -166,33 +166,33 @@
   store_.Answer(200, R"({"rows":[{"key":"s1","value":"Yg==","ver":91}],"ver":95})", "2");
   ASSERT_NE(store_.targets_.back().find("/api/rows-get"), std::string::npos);
   store_.Answer(200, R"({"rows":[{"key":"s1","value":"Yg==","ver":41}],"ver":60})", "2");
-  RunUntilAsked();
+  RunUntilRequest();
   ASSERT_EQ(store_.views_.size(), 2U);
   EXPECT_TRUE(store_.views_[1].isWhole_);
   EXPECT_GT(store_.views_[1].version_, store_.views_[0].version_);
   EXPECT_GT(store_.views_[1].rows_[0].row_.version_, store_.views_[0].rows_[0].row_.version_);
   // The store is asked in its own numbers.
-  EXPECT_EQ(LastAfter(), "60");
+  EXPECT_EQ(LastRequestedVersion(), "60");
 }
 
 TEST_F(FollowerOfServers, AnswerOfAFormerEpochComesLate_IsLeftOutAndAskedForAgain)
 {
   store_.Answer(410, "", "2");
   store_.Answer(200, R"({"rows":[],"ver":60})", "2");
-  RunUntilAsked();
+  RunUntilRequest();
   const auto views = store_.views_.size();
   store_.Answer(200, R"({"rows":[{"key":"s1","value":"Yg==","ver":95}],"ver":95})", "1");
   EXPECT_EQ(store_.views_.size(), views);
   EXPECT_EQ(store_.failures_, 1);
-  RunUntilAsked();
-  EXPECT_EQ(LastAfter(), "60");
+  RunUntilRequest();
+  EXPECT_EQ(LastRequestedVersion(), "60");
 }
 
 TEST_F(FollowerOfServers, HistoryIsGoneSinceTheStoreReturned_WhatIsReadCountsAsNewer)
 {
   store_.Answer(410, "", "2");
   store_.Answer(200, R"({"rows":[],"ver":60})", "2");
-  RunUntilAsked();
+  RunUntilRequest();
   ASSERT_EQ(store_.views_.size(), 2U);
   EXPECT_GT(store_.views_[1].version_, store_.views_[0].version_);
 }
@@ -211,8 +211,8 @@
   store_.Answer(200, "garbage");
   EXPECT_EQ(store_.malformed_, 1);
   EXPECT_EQ(store_.failures_, 1);
-  RunUntilAsked();
-  EXPECT_EQ(LastAfter(), "90");
+  RunUntilRequest();
+  EXPECT_EQ(LastRequestedVersion(), "90");
 }
 
 } // namespace
