--- a/Tests/Platform/Soak/AnswerPromises.cpp
+++ b/Tests/Platform/Soak/AnswerPromises.cpp
@@ -119,9 +119,9 @@
 }
 
 void
-AnswerPromises::OnTurnedAway(const std::string& aServer,
-                             const std::string& aRequest,
-                             Duration aRest)
+AnswerPromises::OnRejected(const std::string& aServer,
+                           const std::string& aRequest,
+                           Duration aBackoff)
 {
   if (harmed_.contains(aServer)) {
     return;
@@ -130,7 +130,7 @@
   const auto now = MonotonicNow();
   if (now >= word.restUntil_) {
     word.restFrom_ = now;
-    word.restUntil_ = now + aRest;
+    word.restUntil_ = now + aBackoff;
     word.arrivals_ = 0;
   }
 }
--- a/Tests/Platform/Soak/AnswerPromises.h
+++ b/Tests/Platform/Soak/AnswerPromises.h
@@ -28,7 +28,7 @@
   void OnRun(const std::string& aServer, const std::string& aRequest);
   // What is broken by a request that reaches a server; no value when nothing is.
   std::optional<std::string> OnArrival(const std::string& aServer, const std::string& aRequest);
-  void OnTurnedAway(const std::string& aServer, const std::string& aRequest, Duration aRest);
+  void OnRejected(const std::string& aServer, const std::string& aRequest, Duration aBackoff);
   // The instance was frozen: what servers have said to it binds no more.
   void ExcuseInstance(const std::string& aInstance);
   // The way to the server is harmed, or is so no more: what it said binds no more, and the
--- a/Tests/Platform/Soak/FaultPlan.cpp
+++ b/Tests/Platform/Soak/FaultPlan.cpp
@@ -309,14 +309,14 @@
 FaultPlan::LoseStoreAnswers()
 {
   Note(SoakFault::StoreLosesAnswers, "", Duration(0));
-  world_.Store().LoseAnswers(static_cast<int>(1 + DrawIndex(kMostLost)));
+  world_.Store().DropAnswers(static_cast<int>(1 + DrawIndex(kMostLost)));
 }
 
 void
 FaultPlan::ForgetStoreHistory()
 {
   Note(SoakFault::StoreForgets, "", Duration(0));
-  world_.Store().ForgetHistory();
+  world_.Store().DropHistory();
 }
 
 void
@@ -326,7 +326,7 @@
   Crash(aServer);
   world_.After(kRecordStays, [&aServer, id = aServer.backend_->Id()] {
     if (aServer.backend_->Id() == id && !aServer.backend_->IsUp()) {
-      aServer.backend_->Unlist();
+      aServer.backend_->RemoveRecord();
     }
   });
   world_.After(aDown, [this, &aServer] { BeginLife(aServer); });
@@ -346,7 +346,7 @@
     return;
   }
   const auto id = aServer.backend_->Id();
-  aServer.backend_->Unlist();
+  aServer.backend_->RemoveRecord();
   aServer.link_->SetFault(LinkFault::None);
   aServer.backend_->BeginLife(id.substr(0, id.find('-') + 1) + std::to_string(++aServer.lives_));
 }
@@ -370,7 +370,7 @@
     return;
   }
   Crash(aServer);
-  aServer.backend_->Unlist();
+  aServer.backend_->RemoveRecord();
   world_.After(kServesOn, [this, &aServer] { BeginLife(aServer); });
 }
 
@@ -382,7 +382,7 @@
     return;
   }
   world_.Store().SetDown(true);
-  aServer.backend_->TellLeaving();
+  aServer.backend_->AnnounceLeaving();
   world_.After(kTellingAway, [this, &aServer, id = aServer.backend_->Id()] {
     world_.Store().SetDown(false);
     if (aServer.backend_->Id() == id && aServer.backend_->IsUp()) {
@@ -397,10 +397,10 @@
   const auto rest = DrawFrom(tellsRandom_, kLeastRest, kMostRest);
   const auto time = DrawFrom(tellsRandom_, kLeastTime, kMostTime);
   Note(SoakFault::ServerAsksForRest, aServer.backend_->Id(), rest);
-  aServer.backend_->SetRest(rest);
+  aServer.backend_->SetBackoff(rest);
   world_.After(time, [&aServer, id = aServer.backend_->Id()] {
     if (aServer.backend_->Id() == id) {
-      aServer.backend_->SetRest(std::nullopt);
+      aServer.backend_->SetBackoff(std::nullopt);
     }
   });
 }
@@ -432,10 +432,10 @@
 FaultPlan::UnlistServer(SoakWorld::Server& aServer, Duration aTime)
 {
   Note(SoakFault::ServerUnlisted, aServer.backend_->Id(), aTime);
-  aServer.backend_->Unlist();
+  aServer.backend_->RemoveRecord();
   world_.After(aTime, [&aServer, id = aServer.backend_->Id()] {
     if (aServer.backend_->Id() == id && aServer.backend_->IsUp()) {
-      aServer.backend_->Relist();
+      aServer.backend_->RestoreRecord();
     }
   });
 }
@@ -453,7 +453,7 @@
   const auto age = DrawFrom(returnsRandom_, Duration(0), kMostTime);
   const auto away = DrawFrom(returnsRandom_, Duration(0), kMostAway);
   Note(SoakFault::StoreReturns, "from a copy as old as this:", age);
-  world_.Store().TakeCopy();
+  world_.Store().SaveCopy();
   world_.After(age, [this] {
     // Others write as well, so that the counter takes long to pass its old mark.
     for (int write = 0; write < kLostWrites; ++write) {
@@ -462,11 +462,11 @@
     world_.Store().SetDown(true);
   });
   world_.After(age + away, [this] {
-    world_.Store().ReturnFromCopy();
+    world_.Store().RestoreCopy();
     world_.Store().SetDown(false);
   });
   const auto writeAgain = DrawFrom(returnsRandom_, Duration(0), kMostWriteAgain);
-  world_.After(age + away + writeAgain, [this] { world_.WriteAgain(); });
+  world_.After(age + away + writeAgain, [this] { world_.RepeatWrites(); });
 }
 
 void
@@ -488,7 +488,7 @@
   auto& store = world_.Store();
   store.SetDown(false);
   store.SetDelay(Duration(0));
-  store.LoseAnswers(0);
+  store.DropAnswers(0);
 }
 
 void
@@ -514,14 +514,14 @@
     world_.Kept().Answers().SetHarmed(backend.Id(), false);
     aServer.link_->SetFault(LinkFault::None);
   }
-  backend.SetRest(std::nullopt);
+  backend.SetBackoff(std::nullopt);
   EndLimit(aServer);
   if (backend.IsUp() && backend.IsLeaving()) {
     // No server takes its leaving back.
     Crash(aServer);
   }
   if (backend.IsUp()) {
-    backend.Relist();
+    backend.RestoreRecord();
   } else {
     BeginLife(aServer);
   }
--- a/Tests/Platform/Soak/Promises.cpp
+++ b/Tests/Platform/Soak/Promises.cpp
@@ -88,7 +88,7 @@
       continue;
     }
     for (auto key = aFirst; key <= aLast; ++key) {
-      if (other->HoldsByRight(key) && aBackend.HoldsByRight(key)) {
+      if (other->HoldsValidLease(key) && aBackend.HoldsValidLease(key)) {
         Break("OWNER key " + std::to_string(key) + " is held by " + other->Id() + " and " +
               aBackend.Id());
         return;
--- a/Tests/Platform/Soak/Promises.h
+++ b/Tests/Platform/Soak/Promises.h
@@ -40,11 +40,11 @@
 
   void OnArrival(const StandInBackend& aBackend, const std::string& aRequest) override;
   void OnRun(const StandInBackend& aBackend, const std::string& aRequest) override;
-  void OnTurnedAway(const StandInBackend& aBackend,
-                    const std::string& aRequest,
-                    Duration aRest) override
+  void OnRejected(const StandInBackend& aBackend,
+                  const std::string& aRequest,
+                  Duration aBackoff) override
   {
-    answers_.OnTurnedAway(aBackend.Id(), aRequest, aRest);
+    answers_.OnRejected(aBackend.Id(), aRequest, aBackoff);
   }
   void OnGrant(StandInBackend& aBackend, KeyNumber aFirst, KeyNumber aLast) override;
 
--- a/Tests/Platform/Soak/SoakWorld.cpp
+++ b/Tests/Platform/Soak/SoakWorld.cpp
@@ -102,12 +102,12 @@
   settings.id_ = aName + "-1";
   settings.service_ = aService;
   settings.address_ = Loopback(aPort);
-  settings.listedAddress_ = Loopback(aPort + 1);
+  settings.recordAddress_ = Loopback(aPort + 1);
   settings.isKeyed_ = aService == kRates;
   settings.observer_ = &promises_;
   Server server;
   BOOST_OUTCOME_TRY(server.link_,
-                    LoopbackProxy::Create(context_, settings.listedAddress_, settings.address_));
+                    LoopbackProxy::Create(context_, settings.recordAddress_, settings.address_));
   BOOST_OUTCOME_TRY(server.backend_, StandInBackend::Create(context_, settings, *store_));
   servers_.push_back(std::move(server));
   return outcome::success();
@@ -181,13 +181,13 @@
 }
 
 void
-SoakWorld::WriteAgain()
+SoakWorld::RepeatWrites()
 {
   WriteConfiguration();
   std::set<std::string> lives;
   for (const auto& server : servers_) {
     lives.insert(server.backend_->Id());
-    server.backend_->WriteAgain();
+    server.backend_->RepeatRecordWrite();
   }
   for (const auto& id : store_->KeysOf("servers")) {
     if (!lives.contains(id)) {
@@ -212,7 +212,7 @@
     LookAtProcesses();
     const auto now = MonotonicNow();
     for (auto& server : servers_) {
-      server.backend_->SetOrdersHeldUp(now - healedAt_ < kHealed);
+      server.backend_->SetCommandsDelayed(now - healedAt_ < kHealed);
     }
     SendDue(now);
     if (aIsDone()) {
--- a/Tests/Platform/Soak/SoakWorld.h
+++ b/Tests/Platform/Soak/SoakWorld.h
@@ -86,7 +86,7 @@
   void SwitchBookingService();
   // Operators and servers write what the store may have lost by its return; the records of
   // former lives lapse.
-  void WriteAgain();
+  void RepeatWrites();
   const std::string& BookingService() const { return bookingService_; }
 
   std::vector<Instance>& Instances() { return instances_; }
--- a/Tests/Platform/TestEntryProcesses.cpp
+++ b/Tests/Platform/TestEntryProcesses.cpp
@@ -219,7 +219,9 @@
 
   // The most requests that one instance sent to that server, which turns all away since
   // aSince, between half a second after the first of them and the end of the rest.
-  std::size_t MostArrivalsInRest(const std::string& aBackend, Instant aSince, Duration aRest) const
+  std::size_t MostArrivalsInRest(const std::string& aBackend,
+                                 Instant aSince,
+                                 Duration aBackoff) const
   {
     constexpr Duration kUnderWay = milliseconds(500);
     std::map<int, Instant> turnedAwayAt;
@@ -231,7 +233,7 @@
       }
       const auto instance = askedOf_.at(arrival.request_).instance_;
       const auto first = turnedAwayAt.try_emplace(instance, arrival.time_).first->second;
-      const bool isInRest = arrival.time_ > first + kUnderWay && arrival.time_ < first + aRest;
+      const bool isInRest = arrival.time_ > first + kUnderWay && arrival.time_ < first + aBackoff;
       arrivals[instance] += isInRest ? 1 : 0;
       most = std::max(most, arrivals[instance]);
     }
@@ -365,8 +367,8 @@
 {
   constexpr Duration kBound = seconds(2);
   store_->SetDown(true);
-  backends_["b0"]->TellLeaving();
-  backends_["k0"]->TellLeaving();
+  backends_["b0"]->AnnounceLeaving();
+  backends_["k0"]->AnnounceLeaving();
   Load(seconds(4), { 1, 2, 3 });
   EXPECT_EQ(LateArrivalsAt("b0", kBound), 0U);
   EXPECT_EQ(LateArrivalsAt("k0", kBound), 0U);
@@ -391,13 +393,13 @@
   constexpr Duration kRest = seconds(3);
   constexpr std::size_t kMost = 2;
   const auto since = MonotonicNow();
-  backends_["b0"]->SetRest(kRest);
-  backends_["k0"]->SetRest(kRest);
+  backends_["b0"]->SetBackoff(kRest);
+  backends_["k0"]->SetBackoff(kRest);
   Load(seconds(4), { 1, 2, 3 });
   EXPECT_LE(MostArrivalsInRest("b0", since, kRest), kMost);
   EXPECT_LE(MostArrivalsInRest("k0", since, kRest), kMost);
-  backends_["b0"]->SetRest(std::nullopt);
-  backends_["k0"]->SetRest(std::nullopt);
+  backends_["b0"]->SetBackoff(std::nullopt);
+  backends_["k0"]->SetBackoff(std::nullopt);
   Load(kRest, { 1, 2, 3 });
   const auto runs = RunsOf({ "b0" });
   statuses_.clear();
@@ -495,10 +497,10 @@
 // meets a conflict with its own former version (E136).
 TEST_F(FleetOfThreeProcesses, StoreReturnsFromAnOlderCopy_WhatChangesNextIsInForceInTwoSeconds)
 {
-  store_->TakeCopy();
+  store_->SaveCopy();
   WriteMuch();
   Load(seconds(2), { 1, 2, 3 });
-  store_->ReturnFromCopy();
+  store_->RestoreCopy();
   Load(seconds(2), { 1, 2, 3 });
   store_->Put("op", "config", MakeManifest(5, "others"));
   backends_["k0"]->Leave();
@@ -516,13 +518,13 @@
 // The owners that the copy names stand under fences that servers have seen exceeded since.
 TEST_F(FleetOfThreeProcesses, StoreReturnsFromAnOlderCopyAndAllAreKilled_AllKeysAreServed)
 {
-  store_->TakeCopy();
+  store_->SaveCopy();
   // Each of the two that become the placer in turn raises all fences.
   for (std::size_t number = 0; number < 2; ++number) {
     processes_[number]->Signal(SIGKILL);
     Load(seconds(5), { 3 });
   }
-  store_->ReturnFromCopy();
+  store_->RestoreCopy();
   processes_[2]->Signal(SIGKILL);
   RunUntil([&] { return processes_[2]->HasEnded(); }, seconds(2));
   processes_.clear();
@@ -550,7 +552,7 @@
   apiKey_ = "key-1";
   ASSERT_TRUE(RunUntil([&] { return Served() == instances_; }, seconds(5)));
   for (auto& [id, backend] : backends_) {
-    backend->ForgetCallers();
+    backend->ResetCallers();
   }
   statuses_.clear();
   Load(seconds(1), { 1, 2, 3 });
--- a/Tests/Platform/TestPlatformStore.cpp
+++ b/Tests/Platform/TestPlatformStore.cpp
@@ -43,10 +43,10 @@
 
 TEST_F(ClientOfAStore, StoreReturnsFromAnOlderCopy_VersionsOfItsWritesComeAfterAllEarlierOnes)
 {
-  store_->TakeCopy();
+  store_->SaveCopy();
   const auto before = Write("a", 0, "1");
   ASSERT_EQ(before.status_, StoreStatus::Done);
-  store_->ReturnFromCopy();
+  store_->RestoreCopy();
   const auto after = Write("a", 0, "2");
   ASSERT_EQ(after.status_, StoreStatus::Done);
   EXPECT_GT(after.rows_.front().version_, before.rows_.front().version_);
@@ -56,9 +56,9 @@
 // The store gives the number of a lost version out again, to a write of somebody else.
 TEST_F(ClientOfAStore, ConditionNamesALostVersionWhoseNumberIsUsedAgain_WriteIsRefused)
 {
-  store_->TakeCopy();
+  store_->SaveCopy();
   const auto lost = Write("a", 0, "ours").rows_.front().version_;
-  store_->ReturnFromCopy();
+  store_->RestoreCopy();
   store_->Put("latchslip", "a", "theirs");
   ASSERT_EQ(Write("b", 0, "x").status_, StoreStatus::Done);
   EXPECT_EQ(Write("a", lost, "ours again").status_, StoreStatus::Conflict);
@@ -70,8 +70,8 @@
 TEST_F(ClientOfAStore, ConditionIsOfALaterEpochThanTheLastAnswer_WriteIsCarriedOut)
 {
   ASSERT_EQ(Write("b", 0, "x").status_, StoreStatus::Done);
-  store_->TakeCopy();
-  store_->ReturnFromCopy();
+  store_->SaveCopy();
+  store_->RestoreCopy();
   store_->Put("latchslip", "a", "1");
   EXPECT_EQ(Write("a", VersionIn(2, 2), "2").status_, StoreStatus::Done);
 }
