--- a/Tests/Platform/EntryProcess.cpp
+++ b/Tests/Platform/EntryProcess.cpp
@@ -16,12 +16,11 @@
 
 namespace {
 
-// The status of a process that could not be started, as waitpid would have it.
+// waitpid status of a process that could not be started: exit code 127.
 constexpr int kNotStarted = 127 << 8;
-// Who may read a log.
 constexpr mode_t kLogMode = 0644;
 
-// A name that no other process has, also not an earlier one of the same instance.
+// Returns a file name that no other process uses, nor an earlier process of the same instance.
 std::filesystem::path
 NextSettingsFile(const std::string& aName)
 {
@@ -31,7 +30,7 @@
           ".json");
 }
 
-// This process's own environment and one variable more, as a system call takes it.
+// Returns this process's environment plus one variable, in the form that posix_spawn takes.
 std::vector<char*>
 EnvironmentWith(std::string& aVariable)
 {
@@ -44,7 +43,7 @@
   return environment;
 }
 
-// Starts a program whose log goes to aLog; 0 when it cannot be started.
+// Starts aProgram with its standard output in aLog. Returns its process id, or 0 on failure.
 pid_t
 Spawn(std::string aProgram, std::string aVariable, const std::string& aLog)
 {
@@ -77,7 +76,7 @@
   std::ofstream(settingsFile_) << aSettings;
   id_ = Spawn(aProgram, "LATCHSLIP_CONFIG=" + settingsFile_.string(), aLog);
   if (id_ == 0) {
-    // No process: 0 would name this one's own group to kill and waitpid.
+    // The id 0 would address this process's own group in kill and waitpid.
     hasEnded_ = true;
     status_ = kNotStarted;
   }
--- a/Tests/Platform/EntryProcess.h
+++ b/Tests/Platform/EntryProcess.h
@@ -6,12 +6,13 @@
 
 namespace latchslip::platform {
 
-// One process of the daemon with a settings file of its own. Both end with this
-// object.
+// A gateway instance (latchslip-entry) running as a child process with its own settings file. The
+// destructor kills the process and removes the file.
 class EntryProcess
 {
 public:
-  // Starts the program at aProgram; its log goes to aLog.
+  // Writes aSettings to a temporary file and starts aProgram with it; standard output is appended
+  // to aLog. If the start fails, Wait() returns exit code 127.
   EntryProcess(const std::string& aProgram,
                const std::string& aName,
                const std::string& aSettings,
@@ -21,9 +22,9 @@
   EntryProcess& operator=(const EntryProcess&) = delete;
 
   void Signal(int aSignal) const;
-  // Whether it has ended by now.
+  // Whether the process has exited.
   bool HasEnded();
-  // Waits for its end and returns its status as waitpid has it.
+  // Waits for the process to exit and returns its status in the format of waitpid.
   int Wait();
 
 private:
--- a/Tests/Platform/FleetDocuments.cpp
+++ b/Tests/Platform/FleetDocuments.cpp
@@ -11,7 +11,7 @@
 std::string
 ControlAddress(int aPort)
 {
-  // Instances are five ports apart at the least; 127.0.0.1 is everybody's.
+  // Instances are at least five ports apart. 127.0.0.1 is left to the other listeners.
   constexpr int kPortsAnInstance = 5;
   constexpr int kFirstHost = 2;
   constexpr int kHosts = 250;
@@ -22,7 +22,7 @@
 std::string
 MakeSettings(const std::string& aName, int aPort, int aSeedPort, const std::string& aStoreAddress)
 {
-  // The same on all instances of a fleet.
+  // All instances of a fleet use the same permit port.
   const auto permitPort = std::to_string(aSeedPort + 3);
   return R"({"nodeId":")" + aName + R"(","zone":"hall-a","listen":{"front":")" + Loopback(aPort) +
          R"(","ready":")" + Loopback(aPort + 1) + R"(","control":")" + ControlAddress(aPort) +
--- a/Tests/Platform/FleetDocuments.h
+++ b/Tests/Platform/FleetDocuments.h
@@ -4,27 +4,28 @@
 
 namespace latchslip::platform {
 
-// The address of a port of this machine.
+// Returns the address of a port on 127.0.0.1.
 std::string
 Loopback(int aPort);
 
-// Where the instance that listens from aPort on is reached by the others. Each has a host
-// of its own, since all take links at the same port.
+// Returns the address at which other instances reach the instance whose first port is aPort. Each
+// instance has a loopback host of its own, because all instances listen for permits on the same
+// port.
 std::string
 ControlAddress(int aPort);
 
-// The settings file of an entry instance that listens from aPort on: for clients,
-// the balancer and other instances, one port each. aSeedPort is the first port of the
-// instance that the others ask at their start.
+// Returns the settings file of the instance whose first port is aPort. It listens on three ports:
+// for clients, for the load balancer's health checks, and for other instances. aSeedPort is the
+// first port of the instance that the others contact when they start.
 std::string
 MakeSettings(const std::string& aName, int aPort, int aSeedPort, const std::string& aStoreAddress);
 
-// A configuration with a keyed service "rates", and bookings, which must not run
-// twice, at aBookingService. aTenants is the list of the groups; empty for none.
+// Returns a configuration with the keyed service "rates", and with bookings (not safe to retry)
+// routed to aBookingService. aTenants is the JSON list of groups; empty for none.
 std::string
 MakeManifest(int aVersion, const std::string& aBookingService, const std::string& aTenants = "");
 
-// What a server without a slow start writes of itself into the store.
+// Returns the record of a server without slow start, as the server writes it to the store.
 std::string
 MakeServerEntry(const std::string& aService, const std::string& aAddress, int aSequence);
 
--- a/Tests/Platform/Soak/AnswerPromises.cpp
+++ b/Tests/Platform/Soak/AnswerPromises.cpp
@@ -8,15 +8,15 @@
 
 namespace {
 
-// A request that a client sent later than this after an instance had passed on that a server
-// leaves must not reach that server from there.
+// A client's request that was sent later than this after its instance passed on a server's shutdown
+// announcement must not reach that server.
 constexpr Duration kDrainBound = seconds(2);
-// What comes so soon after a server asked for rest was under way.
+// Requests that arrive within this time after a server asked for a backoff were already in flight.
 constexpr Duration kUnderWay = milliseconds(500);
-// So many requests may come in a rest beside these.
+// Requests of one instance that may arrive during a backoff in addition to those in flight.
 constexpr int kMostInRest = 2;
-// From so long after a limit was first passed on, no such time may have more requests than
-// half as many again as the limit allows, and some more.
+// From kLimitBound after a limit was first passed on, no window of length kLimitWindow may contain
+// more requests than half as many again as the limit allows, plus kLimitExtra.
 constexpr Duration kLimitBound = seconds(3);
 constexpr Duration kLimitWindow = seconds(4);
 constexpr double kLimitFactor = 1.5;
--- a/Tests/Platform/Soak/AnswerPromises.h
+++ b/Tests/Platform/Soak/AnswerPromises.h
@@ -11,55 +11,58 @@
 
 namespace latchslip::platform {
 
-// Checks that an instance acts on what servers say in their answers to it: that they leave,
-// that they want nothing from it for a while, or how many requests a second they take. A start
-// of an instance is another one.
+// Checks that each instance acts on what servers announce in their answers: a shutdown, a backoff
+// (Retry-After) or a rate limit. A restarted instance counts as a different one.
 class AnswerPromises
 {
 public:
-  // A client is about to send a request to that start of an instance.
+  // Called before a client sends a request. aInstance names the instance and its run.
   void OnAsked(const std::string& aRequest, const std::string& aInstance);
-  // A client got an answer which says that the server leaves that ran the request last.
+  // A client received an answer that announces the shutdown of the server that executed the request
+  // last.
   void OnLeavingPassedOn(const std::string& aRequest);
-  // A client got an answer which names the rate limit of the server that ran the request last.
+  // A client received an answer that names the rate limit of the server that executed the request
+  // last.
   void OnRateLimitPassedOn(const std::string& aRequest);
-  // The server names that limit in its answers from now on; no value for none.
+  // The server names this rate limit in all further answers; no value for none.
   void OnRateLimitNamed(const std::string& aServer, std::optional<double> aLimit);
   void OnRun(const std::string& aServer, const std::string& aRequest);
-  // What is broken by a request that reaches a server; no value when nothing is.
+  // Returns a description of the violated guarantee when a request reaches a server; no value if
+  // none is violated.
   std::optional<std::string> OnArrival(const std::string& aServer, const std::string& aRequest);
   void OnRejected(const std::string& aServer, const std::string& aRequest, Duration aBackoff);
-  // The instance was frozen: what servers have said to it binds no more.
+  // The instance was suspended, so earlier announcements no longer have to be respected.
   void ExcuseInstance(const std::string& aInstance);
-  // The way to the server is harmed, or is so no more: what it said binds no more, and the
-  // rest that it asks for meanwhile does not bind.
+  // The link to the server is disturbed or restored: earlier announcements no longer have to be
+  // respected, nor do backoffs announced while it is disturbed.
   void SetHarmed(const std::string& aServer, bool aIsHarmed);
 
 private:
-  // What one server has said to one instance.
+  // What one server has announced to one instance.
   struct Word
   {
-    // When the instance passed on that the server leaves.
+    // When the instance first passed on the server's shutdown announcement.
     std::optional<Instant> leavingPassedOn_;
-    // The rest that was asked for last, and what has come in it.
+    // The last requested backoff, and the number of requests that arrived during it.
     Instant restFrom_ = Instant::min();
     Instant restUntil_ = Instant::min();
     int arrivals_ = 0;
-    // When the instance passed on a rate limit.
+    // When the instance first passed on the rate limit.
     std::optional<Instant> limitPassedOn_;
   };
 
-  // The rate limit that a server names at the moment.
+  // A server's current rate limit.
   struct NamedLimit
   {
     double limit_ = 0;
-    // When an instance first passed it on.
+    // When any instance first passed it on.
     std::optional<Instant> firstPassedOn_;
-    // What came lately from instances that had passed it on.
+    // Recent arrivals from instances that had passed it on.
     std::deque<Instant> arrivals_;
   };
 
-  // Counts a request that comes to a server under a limit, from an instance that knows that.
+  // Counts a request to a server with a rate limit, if its instance has passed the limit on.
+  // Returns a description of the violation if there are too many.
   std::optional<std::string> CountAtLimit(NamedLimit& aLimit,
                                           const Word& aWord,
                                           const std::string& aServer);
--- a/Tests/Platform/Soak/CalmChecks.cpp
+++ b/Tests/Platform/Soak/CalmChecks.cpp
@@ -8,19 +8,20 @@
 
 namespace {
 
-// Until everything is served again after all faults; a grant that was taken late by
-// a server that fell silent may hold for long.
+// Time until everything is served again after all faults were removed. A grant that a server
+// accepted late, just before it became unreachable, may stay valid for long.
 constexpr Duration kRecovery = seconds(20);
-// A change of the configuration, or of a server that leaves, holds everywhere then.
+// Time in which a change of the configuration, or a server's shutdown announcement, takes effect on
+// all instances.
 constexpr Duration kInForce = milliseconds(2500);
-// For so long nothing may come that no longer should.
+// Period in which no request may reach the former target.
 constexpr Duration kWatched = seconds(1);
-// A planned stop is over then, the grace included.
+// Time limit of a graceful shutdown, including the grace period.
 constexpr Duration kStopped = seconds(6);
-// A request that met a close on its way ends within this time: many times the way
-// there and back on loopback.
+// A request that crossed the close of its connection fails within this time, many times the round
+// trip on loopback.
 constexpr Duration kCrossing = milliseconds(50);
-// Between two planned stops, of which there are so many.
+// Interval between graceful shutdowns, and their number.
 constexpr Duration kStopGap = seconds(1);
 constexpr std::size_t kStops = 2;
 
@@ -67,7 +68,7 @@
   if (world_.Kept().ArrivalsOf(server.Id()) != before) {
     world_.Kept().Break("DRAIN " + server.Id() + " still gets requests");
   }
-  // It never takes that back, and the stops that follow need only the others.
+  // The server stays in shutdown; the following checks need only the others.
 }
 
 void
--- a/Tests/Platform/Soak/CalmChecks.h
+++ b/Tests/Platform/Soak/CalmChecks.h
@@ -6,8 +6,8 @@
 
 namespace latchslip::platform {
 
-// Checks what is bound in time when nothing is wrong: run it once every fault has
-// been healed. What is broken is told to the world's promises.
+// Checks the guarantees with time limits once all faults have been removed. Violations are reported
+// to the world's guarantee checker.
 class CalmChecks
 {
 public:
@@ -16,25 +16,25 @@
   {
   }
 
-  // All checks, one after the other; the world's first instances are stopped then.
+  // Runs all checks in order. The first instances of the world are stopped afterwards.
   void Run();
 
 private:
-  // Everything is served again.
+  // Everything is served again within a time limit.
   void CheckRecovery();
-  // A change of the configuration reaches all in time.
+  // A change of the configuration reaches all instances in time.
   void CheckConfiguration();
-  // A leaving server gets nothing new in time.
+  // A server that announces its shutdown gets no new requests in time.
   void CheckDrain();
-  // Planned stops in series cut nothing, although clients use their open
-  // connections until the process is gone.
+  // Graceful shutdowns in succession lose no request, although clients use their open connections
+  // until the process has exited.
   void CheckStops();
-  // A request that meets the close of its connection on the way was not read:
-  // clients may send it again, and nothing was cut. It ends at once, and no server
-  // had it.
+  // Checks a request that failed during a graceful shutdown. Only a request that crossed the close
+  // of its connection may fail: it fails at once and reached no server, so the client can safely
+  // retry it.
   void CheckCut(const SoakWorld::BrokenRequest& aRequest);
   void CheckStop(SoakWorld::Instance& aInstance);
-  // Requests that reached a server of that service so far.
+  // Number of requests that have reached servers of the service.
   std::size_t ArrivalsAt(const std::string& aService);
 
   SoakWorld& world_;
--- a/Tests/Platform/Soak/FaultPlan.cpp
+++ b/Tests/Platform/Soak/FaultPlan.cpp
@@ -10,45 +10,46 @@
 
 namespace {
 
-// Between the beginnings of two faults.
+// Time between the starts of two faults.
 constexpr Duration kLeastGap = milliseconds(50);
 constexpr Duration kMostGap = milliseconds(900);
-// How long a fault lasts that ends by itself.
+// Duration of a fault that ends by itself.
 constexpr Duration kLeastTime = milliseconds(200);
 constexpr Duration kMostTime = milliseconds(4000);
-// One after the other, this many instances are stopped and started in a series.
+// Maximum number of instances that are stopped and restarted in succession.
 constexpr std::size_t kMostSeries = 3;
-// A leaving server serves for this long after it said so.
+// How long a server continues to serve after announcing its shutdown.
 constexpr Duration kServesOn = milliseconds(2600);
-// A crashed server's record stays for three of its silent heartbeats.
+// How long a crashed server's record stays: three missed heartbeats.
 constexpr Duration kRecordStays = milliseconds(1500);
-// Each way, of a link that is delayed.
+// Maximum delay of a delayed link, in each direction.
 constexpr Duration kMostDelay = milliseconds(300);
 constexpr int kMostLost = 5;
-// Of so many faults one goes with a return of the store.
+// One in this many faults comes with a restore of the store.
 constexpr unsigned kFaultsAReturn = 5;
-// Of so many faults one goes with a server that says something of itself in its answers.
+// One in this many faults comes with a server that announces a shutdown or a backoff in its
+// answers.
 constexpr unsigned kFaultsATelling = 3;
-// How long the store is away when a server tells only its clients that it leaves.
+// How long the store is down while a server announces its shutdown in its answers only.
 constexpr Duration kTellingAway = milliseconds(4000);
-// The rest that servers ask for.
+// Backoff that servers ask for.
 constexpr Duration kLeastRest = milliseconds(600);
 constexpr Duration kMostRest = milliseconds(3000);
-// Of so many faults one goes with a server that names a rate limit, of so many requests a
-// second, for so long. Usually it gets some 17 a second.
+// One in this many faults comes with a server that names a rate limit, in requests a second, for a
+// while. A server usually gets some 17 requests a second.
 constexpr unsigned kFaultsALimit = 3;
 constexpr unsigned kLeastLimit = 1;
 constexpr unsigned kMostLimit = 6;
 constexpr Duration kLeastLimitTime = milliseconds(5000);
 constexpr Duration kMostLimitTime = milliseconds(12000);
-// How long the store is away before it returns.
+// Maximum downtime of the store before it is restored.
 constexpr Duration kMostAway = milliseconds(1500);
-// Writes of others that a return loses: a second of what a store of a small fleet takes.
+// Writes by others that a restore loses: one second of writes to the store of a small fleet.
 constexpr int kLostWrites = 400;
-// Servers and operators write again within this time.
+// Servers and operators repeat their lost writes within this time.
 constexpr Duration kMostWriteAgain = milliseconds(1800);
 
-// A time between the two, drawn from that generator.
+// Draws a duration between the two, both included.
 Duration
 DrawFrom(std::minstd_rand& aRandom, Duration aLeast, Duration aMost)
 {
@@ -229,7 +230,7 @@
   }
   aInstance.isExpected_ = false;
   aInstance.process_->Signal(SIGTERM);
-  // The platform kills after the grace.
+  // The platform kills the process after the grace period.
   constexpr Duration kGrace = seconds(6);
   world_.After(kGrace, [this, &aInstance, run = aInstance.runs_] {
     if (aInstance.runs_ == run) {
@@ -455,7 +456,8 @@
   Note(SoakFault::StoreReturns, "from a copy as old as this:", age);
   world_.Store().SaveCopy();
   world_.After(age, [this] {
-    // Others write as well, so that the counter takes long to pass its old mark.
+    // Other writers advance the version counter, so that the restored store takes long to reach its
+    // old value.
     for (int write = 0; write < kLostWrites; ++write) {
       world_.Store().Put("others", "row", std::to_string(write));
     }
@@ -517,7 +519,7 @@
   backend.SetBackoff(std::nullopt);
   EndLimit(aServer);
   if (backend.IsUp() && backend.IsLeaving()) {
-    // No server takes its leaving back.
+    // A server never revokes its shutdown announcement.
     Crash(aServer);
   }
   if (backend.IsUp()) {
--- a/Tests/Platform/Soak/FaultPlan.h
+++ b/Tests/Platform/Soak/FaultPlan.h
@@ -8,7 +8,8 @@
 
 namespace latchslip::platform {
 
-// What a soak does to the fleet.
+// The faults that the soak test injects. The first kDrawnFaults of them are drawn with equal
+// probability.
 enum class SoakFault
 {
   KillInstance,
@@ -26,16 +27,15 @@
   ServerLeaves,
   ServerUnlisted,
   ConfigurationChange,
-  // Only where it is asked for: the seeds of before draw what they drew.
+  // This and the following faults are injected only on request, and drawn from generators of their
+  // own, so that a seed draws the same basic faults with and without them.
   StoreReturns,
-  // Likewise.
   ServerTellsLeaving,
   ServerAsksForRest,
-  // Likewise.
   ServerNamesRateLimit,
 };
 
-// Those that are drawn with equal chances.
+// Number of the basic faults.
 inline constexpr std::size_t kDrawnFaults = static_cast<std::size_t>(SoakFault::StoreReturns);
 
 inline constexpr NameTable<SoakFault, 19> kSoakFaultNames{ { "kill-instance",
@@ -58,51 +58,52 @@
                                                              "server-asks-for-rest",
                                                              "server-names-rate-limit" } };
 
-// Draws faults from a seed and brings them on: in series, overlapping, on one thing
-// or another. The same seed draws the same faults; how they meet what the processes
-// are at differs from run to run.
+// Fault injection: draws faults from a seed and injects them in succession, overlapping and on any
+// part of the fleet. The same seed draws the same faults, but their timing relative to the
+// processes varies from run to run.
 class FaultPlan
 {
 public:
-  // Faults that are left out unless they are asked for.
+  // Faults that are injected only on request.
   struct Extras
   {
-    // The store comes back from older copies.
+    // The store is restored from older copies.
     bool storeReturns_ = false;
-    // Servers say in their answers that they leave while the store is away, or ask for rest.
+    // Servers announce in their answers only that they shut down, while the store is down, or ask
+    // for a backoff.
     bool serversTell_ = false;
-    // Servers name limits of requests a second in their answers.
+    // Servers name rate limits in their answers.
     bool serversLimit_ = false;
   };
 
   FaultPlan(SoakWorld& aWorld, std::uint32_t aSeed, Extras aExtras);
 
-  // Brings on faults for so long; some end later.
+  // Injects faults for aTime; some end later.
   void Run(Duration aTime);
-  // Ends every fault and starts what was ended.
+  // Removes all faults and restarts whatever was stopped.
   void HealAll();
-  // What was brought on, a line each.
+  // The injected faults, one per line.
   const std::string& Story() const { return story_; }
 
 private:
   void Inject(SoakFault aFault);
-  // Writes a line of the story.
+  // Adds a line to the record of injected faults.
   void Note(SoakFault aFault, const std::string& aWhat, Duration aTime);
-  // A time between the two, drawn.
+  // Draws a duration between the two, both included.
   Duration Draw(Duration aLeast, Duration aMost);
   std::size_t DrawIndex(std::size_t aCount);
   SoakWorld::Instance& DrawInstance();
   SoakWorld::Server& DrawServer();
 
-  // One for each fault. Times are how long it lasts or, with aDown, until what was
-  // ended is started again.
+  // One function for each fault. aTime is its duration; aDown is the time until whatever was
+  // stopped is restarted.
   void KillInstance(SoakWorld::Instance& aInstance, Duration aDown);
-  // Stops instances as an operator does, one after the other.
+  // Shuts down instances gracefully in succession, as an operator does.
   void StopSeries(Duration aGap);
   void PauseInstance(SoakWorld::Instance& aInstance, Duration aTime);
   void SignalSettings(const SoakWorld::Instance& aInstance);
   void KillAll(Duration aDown);
-  // Of any kind that a link has.
+  // Applies a random link fault.
   void HarmLink(LoopbackProxy& aLink, SoakFault aFault, const std::string& aWhat);
   void TakeStoreDown(Duration aTime);
   void SlowStore(Duration aTime);
@@ -112,23 +113,23 @@
   void LetServerLeave(SoakWorld::Server& aServer);
   void UnlistServer(SoakWorld::Server& aServer, Duration aTime);
   void ChangeConfiguration();
-  // The store goes away some time after a copy was taken and comes back from that.
+  // Saves a copy of the store, takes the store down some time later, and restores the copy.
   void ReturnStore();
-  // The server says so in its answers only, as the store is away, and ends.
+  // The server announces its shutdown in its answers only, as the store is down, and ends.
   void LetServerTellLeaving(SoakWorld::Server& aServer);
-  // The server turns all requests away for a while.
+  // The server rejects all requests for a while and asks for a backoff.
   void LetServerRest(SoakWorld::Server& aServer);
-  // The server names a limit of requests a second for a while.
+  // The server names a rate limit for a while.
   void LimitServer(SoakWorld::Server& aServer);
   void EndLimit(SoakWorld::Server& aServer);
 
   void Kill(SoakWorld::Instance& aInstance, Duration aDown);
   void Stop(SoakWorld::Instance& aInstance);
-  // Ends the server at once; connections to it are reset from then on.
+  // Stops the server at once; connections to it are reset from then on.
   static void Crash(SoakWorld::Server& aServer);
-  // Ends a leaving server, unless it has ended meanwhile, and starts it again some time later.
+  // Stops a server that has announced its shutdown, if it still runs as aId, and restarts it later.
   void EndLeaving(SoakWorld::Server& aServer, const std::string& aId);
-  // Starts the server again under the next name, unless it runs.
+  // Restarts the server under the next id, unless it is running.
   void BeginLife(SoakWorld::Server& aServer);
   void HealStore();
   void Heal(SoakWorld::Instance& aInstance);
--- a/Tests/Platform/Soak/LoopbackProxy.h
+++ b/Tests/Platform/Soak/LoopbackProxy.h
@@ -12,19 +12,19 @@
 
 namespace latchslip::platform {
 
-// What is wrong with a link.
+// The faults of a link.
 enum class LinkFault
 {
   None,
-  // Bytes arrive late, in both directions.
+  // Bytes are delayed in both directions.
   Delayed,
-  // Connections are reset, open ones at once and new ones when they come.
+  // Open connections are reset at once, new ones when they are accepted.
   Reset,
-  // What the caller sends is held up; answers pass.
+  // Bytes from the client are held back; answers pass.
   CutForth,
-  // What the caller sends arrives; answers are held up.
+  // Bytes from the client pass; answers are held back.
   CutBack,
-  // Nothing passes, and nobody is told.
+  // Black hole: no bytes pass, and connections stay open.
   Silent,
 };
 
@@ -34,22 +34,22 @@
 
 class ProxyLink;
 
-// A link on loopback: passes on what comes to one address to another, unless it is
-// told to misbehave. Bytes that were held up go on when the fault ends.
+// TCP proxy on loopback that forwards connections to a target and can inject faults. Bytes that
+// were held back are forwarded when the fault ends.
 class LoopbackProxy
 {
 public:
-  // Listens at once. The error names the address.
+  // Starts listening at aListen. The error names the address.
   static FieldResult<std::unique_ptr<LoopbackProxy>> Create(boost::asio::io_context& aContext,
                                                             const std::string& aListen,
                                                             const std::string& aTarget);
   ~LoopbackProxy();
 
-  // aDelay holds for LinkFault::Delayed, each way.
+  // aDelay is the delay in each direction and applies to LinkFault::Delayed only.
   void SetFault(LinkFault aFault, Duration aDelay = Duration(0));
   LinkFault Fault() const { return fault_; }
   Duration Delay() const { return delay_; }
-  // That link has ended.
+  // Called by a link that has ended.
   void Forget(const ProxyLink* aLink);
 
 private:
--- a/Tests/Platform/Soak/Promises.cpp
+++ b/Tests/Platform/Soak/Promises.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-// What the settings of the soak's instances allow, see MakeSettings: this part of
-// the requests and so many in ten seconds, for each of the services.
+// Retry budget in the settings of the soak's instances (see MakeSettings), for each service: a
+// share of the requests, plus kRetryExtra in each window of ten seconds.
 constexpr double kRetryRatio = 0.2;
 constexpr double kRetryExtra = 62;
 constexpr double kRetryWindow = 10;
--- a/Tests/Platform/Soak/Promises.h
+++ b/Tests/Platform/Soak/Promises.h
@@ -11,12 +11,12 @@
 
 namespace latchslip::platform {
 
-// Checks what is promised, from what clients and servers see, at the moment at
-// which it is broken.
+// Checks the system's guarantees as they are visible to clients and servers, and reports each
+// violation when it occurs.
 class Promises : public BackendObserver
 {
 public:
-  // Lists all servers, of which no two may hold a key.
+  // Returns all servers. No two of them may hold the same key.
   using ListServers = std::function<std::vector<StandInBackend*>()>;
 
   explicit Promises(ListServers aServers)
@@ -24,16 +24,17 @@
   {
   }
 
-  // A client is about to send a request to that start of an instance.
+  // Called before a client sends a request. aInstance names the instance and its run.
   void OnAsked(const std::string& aRequest, bool aIsBooking, const std::string& aInstance);
-  // It got an answer which says that the server leaves that ran the request last.
+  // The client received an answer that announces the shutdown of the server that executed the
+  // request last.
   void OnLeavingPassedOn(const std::string& aRequest) { answers_.OnLeavingPassedOn(aRequest); }
-  // As above, for a rate limit.
+  // As above, for an answer that names a rate limit.
   void OnRateLimitPassedOn(const std::string& aRequest) { answers_.OnRateLimitPassedOn(aRequest); }
   AnswerPromises& Answers() { return answers_; }
-  // It was told that the request has not run and never will.
+  // The client was told that the request was not executed and never will be.
   void OnRefused(const std::string& aRequest);
-  // It got a success with that body and signature.
+  // The client received a 2xx answer with this body and signature.
   void OnSuccess(const std::string& aRequest,
                  const std::string& aBody,
                  const std::string& aSignature);
@@ -48,13 +49,13 @@
   }
   void OnGrant(StandInBackend& aBackend, KeyNumber aFirst, KeyNumber aLast) override;
 
-  // Something else that must not be.
+  // Reports a violation.
   void Break(const std::string& aWhat);
   const std::vector<std::string>& Broken() const { return broken_; }
-  // Requests that reached more servers than the retries of that many seconds allow.
+  // Checks that no more requests reached several servers than the retry budget of aSeconds allows.
   void CheckRetries(double aSeconds);
   std::size_t ArrivalsOf(const std::string& aServer) const;
-  // Whether a server has had that request.
+  // Whether the request has reached a server.
   bool HasArrived(const std::string& aRequest) const;
 
 private:
--- a/Tests/Platform/Soak/ProxyLink.cpp
+++ b/Tests/Platform/Soak/ProxyLink.cpp
@@ -14,7 +14,7 @@
 using boost::system::error_code;
 using tcp = asio::ip::tcp;
 
-// How often bytes that are held up look whether the fault has ended.
+// Interval at which held-back bytes check whether the fault has ended.
 constexpr Duration kHeldCheck = milliseconds(20);
 
 } // namespace
--- a/Tests/Platform/Soak/ProxyLink.h
+++ b/Tests/Platform/Soak/ProxyLink.h
@@ -13,11 +13,11 @@
 
 class LoopbackProxy;
 
-// Closes a connection so that the other side is told of a failure.
+// Closes a connection with a TCP reset, so that the peer sees a failure.
 void
 Reset(boost::asio::ip::tcp::socket& aSocket);
 
-// One connection through a proxy: from a caller to the target, and back.
+// One proxied connection: from a client to the target, and back.
 class ProxyLink : public std::enable_shared_from_this<ProxyLink>
 {
 public:
@@ -25,9 +25,10 @@
             LoopbackProxy& aProxy,
             boost::asio::ip::tcp::socket aCaller);
 
-  // Connects to the target and passes bytes on both ways from then on.
+  // Connects to the target and forwards bytes in both directions from then on.
   void Start(const boost::asio::ip::tcp::endpoint& aTarget);
-  // The proxy is gone, or drops this link; nothing more may be asked of it.
+  // Detaches the link from its proxy, which is being destroyed or drops the link, and resets both
+  // connections.
   void Orphan();
 
 private:
@@ -40,26 +41,26 @@
     std::shared_ptr<boost::asio::ip::tcp::socket> from_;
     std::shared_ptr<boost::asio::ip::tcp::socket> to_;
     boost::asio::steady_timer timer_;
-    // Bytes that were read and are to be written.
+    // Bytes read and not yet written.
     std::array<char, 16384> buffer_{};
     std::size_t size_ = 0;
-    // From the target to the caller.
+    // From the target to the client.
     bool isBack_ = false;
-    // No more bytes come this way.
+    // End of stream was read in this direction.
     bool isEnd_ = false;
   };
 
   void Read(Direction& aWay);
-  // Writes what was read, after that delay and once nothing holds it up.
+  // Writes the bytes read, after aDelay and once no fault holds them back.
   void Hold(Direction& aWay, Duration aDelay);
   void Write(Direction& aWay);
   Duration Delay() const;
   bool IsHeld(const Direction& aWay) const;
   void ResetBoth();
-  // A connection that broke on one side is reset on both.
+  // Ends the link. If one connection failed, both are reset.
   void End();
 
-  // Null once the proxy does not know this link any more.
+  // Null once the proxy has dropped this link.
   LoopbackProxy* proxy_;
   Direction forth_;
   Direction back_;
--- a/Tests/Platform/Soak/SoakWorld.cpp
+++ b/Tests/Platform/Soak/SoakWorld.cpp
@@ -12,28 +12,30 @@
 
 namespace {
 
-// Offsets of ports from the first of the soak.
+// Offsets from the first port of the soak.
 constexpr int kStorePort = 0;
 constexpr int kInstancePorts = 10;
 constexpr int kPortsAnInstance = 5;
 constexpr int kServerPorts = 600;
-// One for the server itself and one for the link to it.
+// One port for the server and one for the proxy in front of it.
 constexpr int kPortsAServer = 2;
-// Offset from an instance's own ports, see MakeSettings, of its link to the store.
+// Offset of an instance's store proxy from the instance's first port; MakeSettings uses the ports
+// before it.
 constexpr int kStoreLinkPort = 3;
 // The services of the configuration, see MakeManifest.
 constexpr auto kRates = "rates";
 constexpr auto kBookings = "bookings";
 constexpr auto kOthers = "others";
 constexpr int kOtherServers = 2;
-// A process is looked at, and due requests are sent, this often.
+// Interval at which processes are checked and due requests are sent.
 constexpr Duration kStep = milliseconds(5);
-// How long the client of a request waits, and how much longer the harness does.
+// Timeout of a client's request, and how much longer the harness waits for its end.
 constexpr Duration kClientTime = milliseconds(1500);
 constexpr Duration kClientSlack = seconds(3);
-// Orders that arrive so soon after a link or a process was healed were held up.
+// Commands that arrive within this time after a link or a process recovered were delayed by the
+// fault.
 constexpr Duration kHealed = milliseconds(300);
-// Until the fleet serves everything after its start.
+// Time limit for the fleet to serve everything after its start.
 constexpr Duration kStartTime = seconds(20);
 constexpr std::size_t kMostConnections = 64;
 constexpr unsigned kOk = 200;
@@ -54,7 +56,7 @@
 {
 }
 
-// The processes go first: they speak through everything else.
+// The processes are stopped first, because they use everything else.
 SoakWorld::~SoakWorld()
 {
   for (auto& instance : instances_) {
--- a/Tests/Platform/Soak/SoakWorld.h
+++ b/Tests/Platform/Soak/SoakWorld.h
@@ -16,44 +16,45 @@
 
 namespace latchslip::platform {
 
-// How large a soak is, and where it runs.
+// Size of the soak, and its place on this machine.
 struct SoakSettings
 {
-  // The daemon under test.
+  // Path of the program under test (latchslip-entry).
   std::string program_;
-  // Folder for the logs of the instances; empty for none.
+  // Folder for the instances' logs; empty for none.
   std::string logs_;
-  // The soak listens on about a thousand ports from here on.
+  // First of about a thousand ports that the soak uses.
   int firstPort_ = 25000;
   int instances_ = 5;
-  // Servers of the keyed service; the bookings have as many, others have two.
+  // Number of servers of the keyed service, and of the booking service. The third service has two.
   int servers_ = 5;
-  // Between two requests.
+  // Interval between requests.
   Duration pace_ = milliseconds(6);
 };
 
-// A fleet of real processes before stand-ins of the store and the servers, which
-// all speak through links that can misbehave, under a steady load of clients.
+// The environment of the soak test: a fleet of real processes with test doubles of the store and of
+// the backend servers, connected through proxies that can inject faults, under a steady load of
+// client requests.
 class SoakWorld
 {
 public:
-  // An entry instance: its process, and its links to the store.
+  // A gateway instance: its process, and the proxy to the store.
   struct Instance
   {
     std::string name_;
     int port_ = 0;
     std::unique_ptr<LoopbackProxy> storeLink_;
     std::unique_ptr<EntryProcess> process_;
-    // It is to be running, so that an end of its own is a failure.
+    // Whether the process should be running, so that its exit is a violation.
     bool isExpected_ = false;
     bool isPaused_ = false;
     std::size_t runs_ = 0;
 
-    // Names this start of it.
+    // Identifies this run of the instance.
     std::string Run() const { return name_ + "#" + std::to_string(runs_); }
   };
 
-  // A backend server and the link to it.
+  // A backend server and the proxy in front of it.
   struct Server
   {
     std::unique_ptr<LoopbackProxy> link_;
@@ -64,28 +65,27 @@
   explicit SoakWorld(SoakSettings aSettings);
   ~SoakWorld();
 
-  // Starts everything and waits until all is served. The error says what does not
-  // start.
+  // Starts everything and waits until all requests are served. The error names what did not start.
   FieldResult<void> Start();
 
-  // Lets time pass under load, at least this long.
+  // Runs the load for at least aTime.
   void Run(Duration aTime);
-  // The same until that is true; whether it became so in time.
+  // Runs the load until aIsDone returns true; returns false if it does not within aMost.
   bool RunUntil(const std::function<bool()>& aIsDone, Duration aMost);
-  // Sends nothing more and waits for what is under way.
+  // Stops the load and waits for the requests in flight.
   void Quiesce();
-  // Calls this once after a time, while the world runs.
+  // Calls aWhat once after aTime, while the world runs.
   void After(Duration aTime, std::function<void()> aWhat);
 
   void StartInstance(Instance& aInstance);
-  // Ends the process at once.
+  // Kills the process (SIGKILL) and waits for its exit.
   void KillInstance(Instance& aInstance);
-  // A link or a process works again: what was held up on it arrives now.
+  // Called when a link or a process recovers, because delayed commands arrive then.
   void NoteHealed();
-  // From now on the other of two services takes the bookings.
+  // Routes bookings to the other of two services from now on.
   void SwitchBookingService();
-  // Operators and servers write what the store may have lost by its return; the records of
-  // former lives lapse.
+  // Operators and servers repeat the writes that a restored store may have lost; records of former
+  // incarnations are removed.
   void RepeatWrites();
   const std::string& BookingService() const { return bookingService_; }
 
@@ -93,18 +93,18 @@
   std::vector<Server>& Servers() { return servers_; }
   StandInStore& Store() { return *store_; }
   Promises& Kept() { return promises_; }
-  // A request that was sent and ended without a whole answer.
+  // A request that was sent and ended without a complete answer.
   struct BrokenRequest
   {
     std::string id_;
-    // Who had it and how it ended.
+    // The instance, and how the request ended.
     std::string story_;
     Duration age_{ 0 };
   };
 
-  // All of them so far.
+  // All such requests so far.
   const std::vector<BrokenRequest>& Broken() const { return broken_; }
-  // Whether each instance serves a keyed request and a booking now.
+  // Whether each instance serves keyed requests and bookings now.
   bool IsAllServed();
   std::size_t Asked() const { return asked_; }
   std::size_t Answered() const { return answered_; }
@@ -113,20 +113,20 @@
   FieldResult<void> AddServers();
   FieldResult<void> AddServer(const std::string& aName, const std::string& aService, int aPort);
   FieldResult<void> AddInstance(int aNumber);
-  // Writes the configuration under its next version.
+  // Writes the configuration with the next version.
   void PutConfiguration();
-  // Writes it as it is.
+  // Writes the configuration with its current version.
   void WriteConfiguration();
-  // Sends the requests of the load that are due.
+  // Sends the load's requests that are due.
   void SendDue(Instant aNow);
-  // aDone is told the status of the answer; 0 when there is no whole one.
+  // aDone receives the status of the answer, or 0 if there was no complete one.
   void Ask(Instance& aInstance, bool aIsBooking, const std::function<void(unsigned)>& aDone = {});
-  // Counts what came of a request and returns the status, as above.
+  // Evaluates the end of a request and returns the status, or 0, as for aDone.
   unsigned OnAnswered(const std::string& aRequest,
                       const std::string& aInstance,
                       Instant aSentAt,
                       const HttpExchange& aExchange);
-  // An instance that ends by itself breaks a promise.
+  // Reports instances whose process exited by itself.
   void LookAtProcesses();
 
   SoakSettings settings_;
--- a/Tests/Platform/Soak/main.cpp
+++ b/Tests/Platform/Soak/main.cpp
@@ -1,5 +1,5 @@
-// Runs real entry instances under faults that are drawn from a seed, and checks
-// what clients and servers were promised. See docs/SOAK.md.
+// Soak test: runs real gateway instances under faults drawn from a seed, and checks the guarantees
+// given to clients and servers. See docs/SOAK.md.
 
 #include "CalmChecks.h"
 #include "FaultPlan.h"
@@ -28,10 +28,10 @@
 namespace {
 
 constexpr int kExitUsage = 2;
-// After the last fault, until everything that is bound in time holds again.
+// Time after the last fault until all guarantees with a time limit hold again.
 constexpr Duration kSettle = seconds(4);
 
-// Brings faults on, heals them all, and checks what must hold then.
+// Injects faults, removes them all, and checks the guarantees.
 void
 RunFaults(SoakWorld& aWorld, FaultPlan& aPlan, Duration aTime)
 {
@@ -44,7 +44,7 @@
   aWorld.Kept().CheckRetries(ToSeconds(MonotonicNow() - begin));
 }
 
-// Whether every promise held.
+// Returns whether all guarantees held.
 bool
 RunSeed(const SoakSettings& aSettings, unsigned aSeed, Duration aTime)
 {
--- a/Tests/Platform/TestEntryProcesses.cpp
+++ b/Tests/Platform/TestEntryProcesses.cpp
@@ -1,4 +1,5 @@
-// Entry instances as separate processes, before stand-ins of the platform.
+// End-to-end tests: gateway instances as child processes, with test doubles of the store and of the
+// backend servers.
 
 #include "EntryProcess.h"
 #include "FleetDocuments.h"
@@ -24,7 +25,7 @@
 StartEntry(int aNumber)
 {
   const auto name = "edge-" + std::to_string(aNumber);
-  // Where the logs of the instances are wanted, for whoever looks into a failure.
+  // Set by a developer to keep the logs of the instances when looking into a failure.
   const auto* folder = std::getenv("LATCHSLIP_TEST_LOGS");
   return std::make_unique<EntryProcess>(
     LATCHSLIP_ENTRY,
@@ -54,7 +55,7 @@
       processes_.push_back(StartEntry(number));
     }
     ASSERT_TRUE(RunUntil([&] { return Served() == instances_; }, seconds(15)));
-    // Requests before the instances listened found nobody.
+    // Requests sent before the instances listened have failed.
     broken_ = 0;
   }
 
@@ -68,7 +69,7 @@
     backends_[aId] = StandInBackend::Create(context_, settings, *store_).value();
   }
 
-  // Sends a request to an instance; counts its end.
+  // Sends a client's request to an instance and counts how it ends.
   void Ask(int aInstance, bool aIsBooking)
   {
     const auto id = "q" + std::to_string(++asked_);
@@ -111,7 +112,7 @@
     }
   }
 
-  // Whether all is served: counts instances that answer a keyed request.
+  // Sends a keyed request to each instance and returns how many answer with 200.
   int Served()
   {
     statuses_.clear();
@@ -137,7 +138,7 @@
     return true;
   }
 
-  // Sends requests of both kinds to the given instances at a steady rate.
+  // Alternates bookings and keyed requests over the given instances, one every 5 ms.
   void Load(Duration aTime, const std::vector<int>& aInstances)
   {
     const auto end = MonotonicNow() + aTime;
@@ -151,7 +152,7 @@
     RunUntil([&] { return ended_ == asked_; }, seconds(6));
   }
 
-  // Raises the versions of the tables that others write, and changes nothing that matters.
+  // Advances the versions of the configuration and server tables without a relevant change.
   void WriteMuch()
   {
     constexpr int kWrites = 100;
@@ -161,7 +162,7 @@
     }
   }
 
-  // So many requests have run in all.
+  // Number of requests executed by all servers.
   std::size_t Runs() const
   {
     std::size_t runs = 0;
@@ -189,7 +190,8 @@
     }
   }
 
-  // When each instance first passed on an answer of that server that says that it leaves.
+  // For each instance, the time of the first answer passed on from aBackend that announces its
+  // shutdown.
   std::map<int, Instant> LeavingPassedOn(const std::string& aBackend) const
   {
     std::map<int, Instant> passedOn;
@@ -203,8 +205,8 @@
     return passedOn;
   }
 
-  // Requests that reached that server, and that a client sent to an instance later than the
-  // bound after that instance had passed on that the server leaves.
+  // Number of requests that reached aBackend and that clients sent more than aBound after their
+  // instance had passed on an answer of aBackend that announces its shutdown.
   std::size_t LateArrivalsAt(const std::string& aBackend, Duration aBound) const
   {
     std::size_t late = 0;
@@ -217,8 +219,9 @@
     return late;
   }
 
-  // The most requests that one instance sent to that server, which turns all away since
-  // aSince, between half a second after the first of them and the end of the rest.
+  // The highest number of requests that any one instance sent to aBackend, which rejects all
+  // requests since aSince, during the backoff: from half a second after the instance's first
+  // rejected request to the end of the backoff.
   std::size_t MostArrivalsInRest(const std::string& aBackend,
                                  Instant aSince,
                                  Duration aBackoff) const
@@ -240,7 +243,8 @@
     return most;
   }
 
-  // The most requests that came to that server in any such time, from aSince on.
+  // The highest number of requests that reached aBackend in any time window of length aWindow after
+  // aSince.
   std::size_t MostArrivalsIn(const std::string& aBackend, Instant aSince, Duration aWindow) const
   {
     std::deque<Instant> recent;
@@ -258,7 +262,7 @@
     return most;
   }
 
-  // What a client asked: of which instance, and when.
+  // A client's request: the instance it was sent to, the time, and the service.
   struct Asked
   {
     int instance_ = 0;
@@ -272,17 +276,17 @@
   std::map<std::string, std::unique_ptr<StandInBackend>> backends_;
   std::unique_ptr<HttpClient> client_ = HttpClient::Create(context_, 64);
   std::vector<std::unique_ptr<EntryProcess>> processes_;
-  // What the requests show; none when it is empty.
+  // API key of the requests; empty for none.
   std::string apiKey_;
   std::size_t asked_ = 0;
   std::size_t ended_ = 0;
   std::size_t broken_ = 0;
   std::map<unsigned, int> statuses_;
-  // By the request's id.
+  // By request id.
   std::map<std::string, Asked> askedOf_;
-  // When each answer came that says that its server leaves, by the request's id.
+  // Arrival times of the answers that announce their server's shutdown, by request id.
   std::map<std::string, Instant> leavingAnswers_;
-  // Of the requests for the service without keys alone.
+  // Statuses of the bookings only.
   std::map<unsigned, int> bookingStatuses_;
 };
 
@@ -295,7 +299,7 @@
   }
 };
 
-// Enough instances that two of them read the store for the others.
+// Large enough that two instances poll the store on behalf of the others.
 class FleetOfTwentyProcesses : public EntryFleet
 {
 protected:
@@ -337,7 +341,7 @@
 
 TEST_F(FleetOfThreeProcesses, EachInstanceIsKilledInTurn_TheOthersServeAllKeys)
 {
-  // Whichever is the placer, it is among the first two.
+  // One of the first two instances is the placer.
   processes_[0]->Signal(SIGKILL);
   Load(seconds(4), { 2, 3 });
   processes_[1]->Signal(SIGKILL);
@@ -361,8 +365,8 @@
   EXPECT_EQ(statuses_.size(), 1U);
 }
 
-// Guards against a server that goes on being used though each of its answers says that it
-// leaves, since the store, which alone was believed, is away and cannot say so.
+// Guards against requests to a server whose answers announce its shutdown while the store is down.
+// They were sent when instances took the announcement from the store's records only.
 TEST_F(FleetOfThreeProcesses, ServerSaysInItsAnswersThatItLeaves_GetsNothingAfterTheBound)
 {
   constexpr Duration kBound = seconds(2);
@@ -374,7 +378,7 @@
   EXPECT_EQ(LateArrivalsAt("k0", kBound), 0U);
   EXPECT_FALSE(LeavingPassedOn("b0").empty());
   EXPECT_FALSE(LeavingPassedOn("k0").empty());
-  // Two other servers can have these requests.
+  // Two other servers can handle these requests.
   EXPECT_EQ(bookingStatuses_.size(), 1U);
   EXPECT_GT(bookingStatuses_[200], 0);
   store_->SetDown(false);
@@ -387,7 +391,8 @@
   ExpectNothingRanTwice();
 }
 
-// Guards against requests that go on to a server which turned one away and asked for rest.
+// Guards against instances that ignore Retry-After and keep sending requests to a server that
+// rejected one and asked for a backoff.
 TEST_F(FleetOfThreeProcesses, ServersAskForRest_GetAtMostTwoRequestsOfAnInstanceInIt)
 {
   constexpr Duration kRest = seconds(3);
@@ -409,14 +414,15 @@
   ExpectNothingRanTwice();
 }
 
-// Guards against requests that come faster than a server takes them, from instances which it
-// has told in its answers how many it takes from all of them together.
+// Guards against a server getting more requests a second than the limit named in its answers, which
+// applies to all instances together.
 TEST_F(FleetOfThreeProcesses, ServersNameARateLimit_GetNoMoreThanThatFromAllTogether)
 {
   constexpr double kLimit = 6;
   constexpr Duration kUntilKept = seconds(3);
   constexpr Duration kWindow = seconds(4);
-  // Half as many again, and five, are allowed: instances hear of it one after another.
+  // Half as many again, and five, are allowed, because instances learn of the limit one after
+  // another.
   const auto allowed = static_cast<std::size_t>(1.5 * kLimit * ToSeconds(kWindow)) + 5;
   auto since = MonotonicNow() + kUntilKept;
   for (const auto* id : { "b0", "b1", "k0" }) {
@@ -426,7 +432,7 @@
   for (const auto* id : { "b0", "b1", "k0" }) {
     EXPECT_LE(MostArrivalsIn(id, since, kWindow), allowed) << id;
   }
-  // Another server can have these requests.
+  // Another server can handle these requests.
   EXPECT_EQ(bookingStatuses_.size(), 1U);
   backends_["b2"]->SetRateLimit(kLimit);
   since = MonotonicNow() + kUntilKept;
@@ -447,8 +453,8 @@
   ExpectNothingRanTwice();
 }
 
-// Guards against an owner that takes few requests a second and keeps the keys of many, which
-// are refused though the other owners have room.
+// Guards against an owner with a low rate limit that keeps many keys, so that requests are refused
+// although the other owners have capacity.
 TEST_F(FleetOfThreeProcesses, OwnerNamesARateLimit_ItsKeysPassToOthersAndAllIsServed)
 {
   backends_["k0"]->SetRateLimit(6);
@@ -488,13 +494,12 @@
   EXPECT_GT(statuses_[200], 30);
 }
 
-// The fault that these two bring about: a store that comes back from a copy some seconds old
-// gives its versions out again. Whoever takes only what is newer than the last version that
-// it knew takes nothing more until the store's counter has passed the old mark. Seen as a
-// configuration that came into force 4 s late on all instances, and a server that got requests
-// after it had said that it leaves. Proved by the store's answers here: they name the changes,
-// and the log says that views are dropped as older (E135) and that each write of the placer
-// meets a conflict with its own former version (E136).
+// The next two tests guard against version numbers that are reused after the store was restored
+// from a copy some seconds old. A reader that accepts only versions above the last known one
+// accepts nothing until the store's counter has passed the old value. Seen as a configuration that
+// came into force 4 s late on all instances, and as requests to a server that had announced its
+// shutdown. The log then shows that views are dropped as older (E135), and that each write of the
+// placer conflicts with its own former version (E136).
 TEST_F(FleetOfThreeProcesses, StoreReturnsFromAnOlderCopy_WhatChangesNextIsInForceInTwoSeconds)
 {
   store_->SaveCopy();
@@ -515,11 +520,11 @@
   ExpectNothingRanTwice();
 }
 
-// The owners that the copy names stand under fences that servers have seen exceeded since.
+// Servers have seen higher fences than those of the owners in the restored copy.
 TEST_F(FleetOfThreeProcesses, StoreReturnsFromAnOlderCopyAndAllAreKilled_AllKeysAreServed)
 {
   store_->SaveCopy();
-  // Each of the two that become the placer in turn raises all fences.
+  // The two instances that become the placer in turn each raise all fences.
   for (std::size_t number = 0; number < 2; ++number) {
     processes_[number]->Signal(SIGKILL);
     Load(seconds(5), { 3 });
@@ -531,8 +536,8 @@
   for (int number = 1; number <= instances_; ++number) {
     processes_.push_back(StartEntry(number));
   }
-  // What the lost writes granted may hold for a hold and the time that a placer alone
-  // renews, 11.1 s together, before keys of unknown owners may pass on.
+  // Grants of the lost writes may be valid for one lease duration plus the time for which an
+  // isolated placer renews, 11.1 s together, before keys of unknown owners may be granted again.
   EXPECT_TRUE(RunUntil([&] { return Served() == instances_; }, seconds(15)));
   statuses_.clear();
   Load(seconds(2), { 1, 2, 3 });
@@ -571,7 +576,7 @@
   }
 }
 
-// Nobody can know then whether the key was taken away.
+// While the store is down, no instance can know whether the key has been revoked.
 TEST_F(FleetOfThreeProcesses, StoreIsDown_KeysAreHonouredForTheBoundAndAgainAfterItsReturn)
 {
   store_->Put("op", "config", MakeManifest(5, "bookings", kTwoGroups));
@@ -604,7 +609,7 @@
   EXPECT_GT(statuses_[401], 0);
 }
 
-// 20 a second and 20 at once, where some 200 a second are asked for.
+// The limit is 20 requests a second with a burst of 20; some 200 a second are sent.
 TEST_F(FleetOfThreeProcesses, GroupAsksForMoreThanItsLimit_AllInstancesTogetherKeepIt)
 {
   store_->Put("op", "config", MakeManifest(5, "bookings", kTwoGroups));
@@ -628,7 +633,8 @@
   EXPECT_EQ(statuses_.size(), 1U);
 }
 
-// The rows of the fleet twice each, and the tables and changes of one placer.
+// Two reads of the instances' own rows by each instance, plus the tables and changes for one
+// placer.
 TEST_F(FleetOfTwentyProcesses, AllStart_FewOfThemReadTheTables)
 {
   EXPECT_LT(store_->Calls(), 100U);
@@ -648,7 +654,7 @@
   statuses_.clear();
   Load(seconds(2), others);
   EXPECT_EQ(statuses_.size(), 1U);
-  // Half of all requests.
+  // Half of all requests are bookings.
   EXPECT_GT(3 * (backends_["o0"]->Runs().size() - before),
             static_cast<std::size_t>(statuses_[200]));
   ExpectNothingRanTwice();
--- a/Tests/Platform/TestPlatformCodec.cpp
+++ b/Tests/Platform/TestPlatformCodec.cpp
@@ -113,7 +113,7 @@
   EXPECT_TRUE(attempt.Header("Authorization").empty());
   order.group_ = "";
   EXPECT_TRUE(codec_.EncodeAttempt(request, order).Header("X-Tenant").empty());
-  // Without groups the header is none of ours.
+  // Without groups the gateway does not use the header and passes it on.
   EXPECT_EQ(codec_.EncodeAttempt(request, order_).Header("Authorization"), "Bearer key1");
 }
 
@@ -274,7 +274,7 @@
   EXPECT_EQ(Decode(200), OrderEnd::Done);
   EXPECT_EQ(Decode(409), OrderEnd::HigherFence);
   EXPECT_EQ(Decode(421, { { "X-Instance-Id", "i-2" } }), OrderEnd::OtherLife);
-  // The life that was meant is there, so it may hold keys.
+  // The expected incarnation is running, so it may hold the keys.
   EXPECT_EQ(Decode(421, { { "X-Instance-Id", "i-1" } }), OrderEnd::Unanswered);
   EXPECT_EQ(Decode(421), OrderEnd::Unanswered);
   EXPECT_EQ(Decode(200, { { "X-Instance-Id", "i-2" } }), OrderEnd::OtherLife);
--- a/Tests/Platform/TestPlatformStore.cpp
+++ b/Tests/Platform/TestPlatformStore.cpp
@@ -21,7 +21,7 @@
 class ClientOfAStore : public testing::Test
 {
 protected:
-  // Writes a row if it stands at that version.
+  // Writes a row on the condition that it has the version aExpected.
   StoreReply Write(const std::string& aKey, RowVersion aExpected, const std::string& aValue)
   {
     std::optional<StoreReply> reply;
@@ -53,7 +53,8 @@
   EXPECT_EQ(NumberOf(after.rows_.front().version_), NumberOf(before.rows_.front().version_));
 }
 
-// The store gives the number of a lost version out again, to a write of somebody else.
+// Guards against a condition that matches by number only: after a restore the store reuses the
+// number of a lost version for another writer's change.
 TEST_F(ClientOfAStore, ConditionNamesALostVersionWhoseNumberIsUsedAgain_WriteIsRefused)
 {
   store_->SaveCopy();
@@ -66,7 +67,7 @@
   EXPECT_EQ(Write("a", theirs, "ours now").status_, StoreStatus::Done);
 }
 
-// Whoever is told by others may hear of the return before a call of its own.
+// An instance may learn of the restore from other instances before it calls the store itself.
 TEST_F(ClientOfAStore, ConditionIsOfALaterEpochThanTheLastAnswer_WriteIsCarriedOut)
 {
   ASSERT_EQ(Write("b", 0, "x").status_, StoreStatus::Done);
@@ -76,7 +77,7 @@
   EXPECT_EQ(Write("a", VersionIn(2, 2), "2").status_, StoreStatus::Done);
 }
 
-// Owners of the keys of that many servers, each of two ranges.
+// Returns an ownership with two key ranges for each of aServers servers.
 KeyOwnership
 OwnersOf(std::size_t aServers)
 {
@@ -108,7 +109,7 @@
     const auto first = Write(key, 0, "{}");
     ASSERT_EQ(Write(key, first.rows_.front().version_, value).status_, StoreStatus::Done)
       << servers;
-    // Whoever knows an older version is told the present row.
+    // A writer with an outdated version receives the current row.
     const auto conflict = Write(key, first.rows_.front().version_, "{}");
     ASSERT_EQ(conflict.status_, StoreStatus::Conflict);
     ASSERT_EQ(conflict.rows_.size(), 1U) << servers;
@@ -116,7 +117,7 @@
   }
 }
 
-// Hears the rows of the fleet.
+// Collects the rows of the instances' own table.
 class FleetRows : public FleetStoreListener
 {
 public:
@@ -151,7 +152,7 @@
   ASSERT_EQ(rows.rows_.size(), 1U);
   EXPECT_EQ(rows.rows_.at("ownership/rates").value_, shorter);
   EXPECT_EQ(rows.rows_.at("ownership/rates").version_, version);
-  // And it can be written on from there.
+  // The version read is good for a conditional write.
   EXPECT_EQ(Write("ownership/rates", version, longer).status_, StoreStatus::Done);
   reader->Stop();
 }
--- a/Tests/Platform/TestTablePoller.cpp
+++ b/Tests/Platform/TestTablePoller.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// Answers questions by hand.
+// TablePollerHost whose requests the test answers by hand.
 class ManualStore : public TablePollerHost
 {
 public:
@@ -26,7 +26,7 @@
   void OnTableReread(FleetTable, RowVersion aAfter) override { rereadAfter_ = aAfter; }
   void OnMalformed(const FieldError&) override { ++malformed_; }
 
-  // An empty epoch is not named.
+  // An empty aEpoch leaves out the epoch header.
   void Answer(unsigned aStatus, std::string aBody, const std::string& aEpoch = "")
   {
     HttpExchange exchange;
@@ -69,7 +69,7 @@
     }
   }
 
-  // The version after which the last question asked.
+  // The version after which the last request asked for changes; empty for a read.
   std::string LastRequestedVersion() const
   {
     const auto& target = store_.targets_.back();
@@ -135,7 +135,7 @@
     context.restart();
     context.run_one();
   }
-  // A long question, since the placer's answers name what it misses.
+  // The long wait, since the placer's answers name changes that were missed.
   EXPECT_NE(store.targets_.back().find("waitMs=8000"), std::string::npos);
   poller.SetPollMode(Following::Alone, 80);
   EXPECT_NE(store.targets_.back().find("after=80&waitMs=4000"), std::string::npos);
@@ -171,7 +171,7 @@
   EXPECT_TRUE(store_.views_[1].isWhole_);
   EXPECT_GT(store_.views_[1].version_, store_.views_[0].version_);
   EXPECT_GT(store_.views_[1].rows_[0].row_.version_, store_.views_[0].rows_[0].row_.version_);
-  // The store is asked in its own numbers.
+  // The request uses the store's own version number, without the epoch.
   EXPECT_EQ(LastRequestedVersion(), "60");
 }
 
