--- a/Tests/Platform/FleetDocuments.cpp
+++ b/Tests/Platform/FleetDocuments.cpp
@@ -12,10 +12,10 @@
 ControlAddress(int aPort)
 {
   // Instances are at least five ports apart. 127.0.0.1 is left to the other listeners.
-  constexpr int kPortsAnInstance = 5;
+  constexpr int kPortsPerInstance = 5;
   constexpr int kFirstHost = 2;
   constexpr int kHosts = 250;
-  const int host = kFirstHost + aPort / kPortsAnInstance % kHosts;
+  const int host = kFirstHost + aPort / kPortsPerInstance % kHosts;
   return "127.0.0." + std::to_string(host) + ":" + std::to_string(aPort + 2);
 }
 
--- a/Tests/Platform/TestEntryProcesses.cpp
+++ b/Tests/Platform/TestEntryProcesses.cpp
@@ -54,7 +54,7 @@
     for (int number = 1; number <= instances_; ++number) {
       processes_.push_back(StartEntry(number));
     }
-    ASSERT_TRUE(RunUntil([&] { return Served() == instances_; }, seconds(15)));
+    ASSERT_TRUE(RunUntil([&] { return CountServed() == instances_; }, seconds(15)));
     // Requests sent before the instances listened have failed.
     broken_ = 0;
   }
@@ -70,16 +70,16 @@
   }
 
   // Sends a client's request to an instance and counts how it ends.
-  void Ask(int aInstance, bool aIsBooking)
+  void SendRequest(int aInstance, bool aIsBooking)
   {
-    const auto id = "q" + std::to_string(++asked_);
+    const auto id = "q" + std::to_string(++sentCount_);
     HttpRequest request;
     request.method_ = aIsBooking ? "POST" : "GET";
     request.target_ = aIsBooking ? "/book/1" : "/rates/1";
     request.headers_ = { { "Host", "a.example" },
                          { "X-Request-Id", id },
                          { "X-Deadline-Ms", "4000" },
-                         { "X-Shard-Key", std::to_string((asked_ * 7919) % 65536) } };
+                         { "X-Shard-Key", std::to_string((sentCount_ * 7919) % 65536) } };
     if (!apiKey_.empty()) {
       request.headers_.emplace_back("Authorization", "Bearer " + apiKey_);
       request.headers_.emplace_back("X-Tenant", "somebody-else");
@@ -88,12 +88,12 @@
                   std::move(request),
                   seconds(5),
                   [this, id](const HttpExchange& aExchange) { OnEnd(id, aExchange); });
-    askedOf_[id] = { aInstance, MonotonicNow(), aIsBooking };
+    sentRequests_[id] = { aInstance, MonotonicNow(), aIsBooking };
   }
 
   void OnEnd(const std::string& aId, const HttpExchange& aExchange)
   {
-    ++ended_;
+    ++endedCount_;
     const auto& answer = aExchange.response_;
     if (!answer.Header("Server-Leaving").empty()) {
       leavingAnswers_[aId] = MonotonicNow();
@@ -103,7 +103,7 @@
       return;
     }
     ++statuses_[answer.status_];
-    if (askedOf_.at(aId).isBooking_) {
+    if (sentRequests_.at(aId).isBooking_) {
       ++bookingStatuses_[answer.status_];
     }
     if (answer.status_ == 200) {
@@ -113,21 +113,21 @@
   }
 
   // Sends a keyed request to each instance and returns how many answer with 200.
-  int Served()
+  int CountServed()
   {
     statuses_.clear();
-    const auto before = ended_;
+    const auto before = endedCount_;
     for (int instance = 1; instance <= instances_; ++instance) {
-      Ask(instance, false);
+      SendRequest(instance, false);
     }
     const auto expected = before + static_cast<std::size_t>(instances_);
-    RunUntil([&] { return ended_ == expected; }, seconds(6));
+    RunUntil([&] { return endedCount_ == expected; }, seconds(6));
     return statuses_[200];
   }
 
-  bool RunUntil(const std::function<bool()>& aIsDone, Duration aMost)
+  bool RunUntil(const std::function<bool()>& aIsDone, Duration aTimeout)
   {
-    const auto end = MonotonicNow() + aMost;
+    const auto end = MonotonicNow() + aTimeout;
     while (!aIsDone()) {
       if (MonotonicNow() >= end) {
         return false;
@@ -139,21 +139,21 @@
   }
 
   // Alternates bookings and keyed requests over the given instances, one every 5 ms.
-  void Load(Duration aTime, const std::vector<int>& aInstances)
+  void RunLoad(Duration aTime, const std::vector<int>& aInstances)
   {
     const auto end = MonotonicNow() + aTime;
     std::size_t turn = 0;
     while (MonotonicNow() < end) {
       const auto instance = aInstances[turn % aInstances.size()];
-      Ask(instance, ++turn % 2 == 0);
+      SendRequest(instance, ++turn % 2 == 0);
       context_.run_for(std::chrono::milliseconds(5));
       context_.restart();
     }
-    RunUntil([&] { return ended_ == asked_; }, seconds(6));
+    RunUntil([&] { return endedCount_ == sentCount_; }, seconds(6));
   }
 
   // Advances the versions of the configuration and server tables without a relevant change.
-  void WriteMuch()
+  void AdvanceVersions()
   {
     constexpr int kWrites = 100;
     for (int number = 0; number < kWrites; ++number) {
@@ -197,7 +197,7 @@
     std::map<int, Instant> passedOn;
     for (const auto& [request, time] : leavingAnswers_) {
       if (backends_.at(aBackend)->Runs().contains(request)) {
-        const auto instance = askedOf_.at(request).instance_;
+        const auto instance = sentRequests_.at(request).instance_;
         auto& first = passedOn.try_emplace(instance, time).first->second;
         first = std::min(first, time);
       }
@@ -212,7 +212,7 @@
     std::size_t late = 0;
     const auto passedOn = LeavingPassedOn(aBackend);
     for (const auto& arrival : backends_.at(aBackend)->Arrivals()) {
-      const auto& asked = askedOf_.at(arrival.request_);
+      const auto& asked = sentRequests_.at(arrival.request_);
       const auto first = passedOn.find(asked.instance_);
       late += first != passedOn.end() && asked.at_ > first->second + aBound ? 1 : 0;
     }
@@ -222,33 +222,34 @@
   // The highest number of requests that any one instance sent to aBackend, which rejects all
   // requests since aSince, during the backoff: from half a second after the instance's first
   // rejected request to the end of the backoff.
-  std::size_t MostArrivalsInRest(const std::string& aBackend,
-                                 Instant aSince,
-                                 Duration aBackoff) const
+  std::size_t MaxArrivalsInBackoff(const std::string& aBackend,
+                                   Instant aSince,
+                                   Duration aBackoff) const
   {
-    constexpr Duration kUnderWay = milliseconds(500);
-    std::map<int, Instant> turnedAwayAt;
+    constexpr Duration kInFlightTime = milliseconds(500);
+    std::map<int, Instant> rejectedAt;
     std::map<int, std::size_t> arrivals;
-    std::size_t most = 0;
+    std::size_t maxArrivals = 0;
     for (const auto& arrival : backends_.at(aBackend)->Arrivals()) {
       if (arrival.time_ < aSince) {
         continue;
       }
-      const auto instance = askedOf_.at(arrival.request_).instance_;
-      const auto first = turnedAwayAt.try_emplace(instance, arrival.time_).first->second;
-      const bool isInRest = arrival.time_ > first + kUnderWay && arrival.time_ < first + aBackoff;
-      arrivals[instance] += isInRest ? 1 : 0;
-      most = std::max(most, arrivals[instance]);
+      const auto instance = sentRequests_.at(arrival.request_).instance_;
+      const auto first = rejectedAt.try_emplace(instance, arrival.time_).first->second;
+      const bool isInBackoff =
+        arrival.time_ > first + kInFlightTime && arrival.time_ < first + aBackoff;
+      arrivals[instance] += isInBackoff ? 1 : 0;
+      maxArrivals = std::max(maxArrivals, arrivals[instance]);
     }
-    return most;
+    return maxArrivals;
   }
 
   // The highest number of requests that reached aBackend in any time window of length aWindow after
   // aSince.
-  std::size_t MostArrivalsIn(const std::string& aBackend, Instant aSince, Duration aWindow) const
+  std::size_t MaxArrivalsIn(const std::string& aBackend, Instant aSince, Duration aWindow) const
   {
     std::deque<Instant> recent;
-    std::size_t most = 0;
+    std::size_t maxArrivals = 0;
     for (const auto& arrival : backends_.at(aBackend)->Arrivals()) {
       if (arrival.time_ < aSince) {
         continue;
@@ -257,13 +258,13 @@
       while (recent.front() + aWindow <= arrival.time_) {
         recent.pop_front();
       }
-      most = std::max(most, recent.size());
+      maxArrivals = std::max(maxArrivals, recent.size());
     }
-    return most;
+    return maxArrivals;
   }
 
   // A client's request: the instance it was sent to, the time, and the service.
-  struct Asked
+  struct SentRequest
   {
     int instance_ = 0;
     Instant at_{ 0 };
@@ -278,12 +279,12 @@
   std::vector<std::unique_ptr<EntryProcess>> processes_;
   // API key of the requests; empty for none.
   std::string apiKey_;
-  std::size_t asked_ = 0;
-  std::size_t ended_ = 0;
+  std::size_t sentCount_ = 0;
+  std::size_t endedCount_ = 0;
   std::size_t broken_ = 0;
   std::map<unsigned, int> statuses_;
   // By request id.
-  std::map<std::string, Asked> askedOf_;
+  std::map<std::string, SentRequest> sentRequests_;
   // Arrival times of the answers that announce their server's shutdown, by request id.
   std::map<std::string, Instant> leavingAnswers_;
   // Statuses of the bookings only.
@@ -321,7 +322,7 @@
 TEST_F(FleetOfThreeProcesses, SteadyLoad_EveryRequestGetsItsOwnWholeAnswer)
 {
   statuses_.clear();
-  Load(seconds(3), { 1, 2, 3 });
+  RunLoad(seconds(3), { 1, 2, 3 });
   EXPECT_EQ(broken_, 0U);
   EXPECT_EQ(statuses_.size(), 1U);
   EXPECT_GT(statuses_[200], 100);
@@ -332,7 +333,7 @@
 {
   statuses_.clear();
   processes_[0]->Signal(SIGTERM);
-  Load(seconds(2), { 1, 2, 3 });
+  RunLoad(seconds(2), { 1, 2, 3 });
   EXPECT_EQ(broken_, 0U);
   EXPECT_EQ(statuses_.size(), 1U);
   EXPECT_TRUE(RunUntil([&] { return processes_[0]->HasEnded(); }, seconds(6)));
@@ -343,11 +344,11 @@
 {
   // One of the first two instances is the placer.
   processes_[0]->Signal(SIGKILL);
-  Load(seconds(4), { 2, 3 });
+  RunLoad(seconds(4), { 2, 3 });
   processes_[1]->Signal(SIGKILL);
-  Load(seconds(4), { 3 });
+  RunLoad(seconds(4), { 3 });
   statuses_.clear();
-  Load(seconds(1), { 3 });
+  RunLoad(seconds(1), { 3 });
   EXPECT_EQ(statuses_.size(), 1U);
   EXPECT_GT(statuses_[200], 30);
   ExpectNothingRanTwice();
@@ -357,10 +358,10 @@
 {
   backends_["k0"]->Leave();
   backends_["b0"]->Leave();
-  Load(seconds(2), { 1, 2, 3 });
+  RunLoad(seconds(2), { 1, 2, 3 });
   const auto runs = backends_["k0"]->Runs().size() + backends_["b0"]->Runs().size();
   statuses_.clear();
-  Load(seconds(2), { 1, 2, 3 });
+  RunLoad(seconds(2), { 1, 2, 3 });
   EXPECT_EQ(backends_["k0"]->Runs().size() + backends_["b0"]->Runs().size(), runs);
   EXPECT_EQ(statuses_.size(), 1U);
 }
@@ -373,7 +374,7 @@
   store_->SetDown(true);
   backends_["b0"]->AnnounceLeaving();
   backends_["k0"]->AnnounceLeaving();
-  Load(seconds(4), { 1, 2, 3 });
+  RunLoad(seconds(4), { 1, 2, 3 });
   EXPECT_EQ(LateArrivalsAt("b0", kBound), 0U);
   EXPECT_EQ(LateArrivalsAt("k0", kBound), 0U);
   EXPECT_FALSE(LeavingPassedOn("b0").empty());
@@ -384,9 +385,9 @@
   store_->SetDown(false);
   backends_["b0"]->Leave();
   backends_["k0"]->Leave();
-  Load(seconds(3), { 1, 2, 3 });
+  RunLoad(seconds(3), { 1, 2, 3 });
   statuses_.clear();
-  Load(seconds(1), { 1, 2, 3 });
+  RunLoad(seconds(1), { 1, 2, 3 });
   EXPECT_EQ(statuses_.size(), 1U);
   ExpectNothingRanTwice();
 }
@@ -395,20 +396,20 @@
 // rejected one and asked for a backoff.
 TEST_F(FleetOfThreeProcesses, ServersAskForRest_GetAtMostTwoRequestsOfAnInstanceInIt)
 {
-  constexpr Duration kRest = seconds(3);
-  constexpr std::size_t kMost = 2;
+  constexpr Duration kBackoff = seconds(3);
+  constexpr std::size_t kMaxArrivals = 2;
   const auto since = MonotonicNow();
-  backends_["b0"]->SetBackoff(kRest);
-  backends_["k0"]->SetBackoff(kRest);
-  Load(seconds(4), { 1, 2, 3 });
-  EXPECT_LE(MostArrivalsInRest("b0", since, kRest), kMost);
-  EXPECT_LE(MostArrivalsInRest("k0", since, kRest), kMost);
+  backends_["b0"]->SetBackoff(kBackoff);
+  backends_["k0"]->SetBackoff(kBackoff);
+  RunLoad(seconds(4), { 1, 2, 3 });
+  EXPECT_LE(MaxArrivalsInBackoff("b0", since, kBackoff), kMaxArrivals);
+  EXPECT_LE(MaxArrivalsInBackoff("k0", since, kBackoff), kMaxArrivals);
   backends_["b0"]->SetBackoff(std::nullopt);
   backends_["k0"]->SetBackoff(std::nullopt);
-  Load(kRest, { 1, 2, 3 });
+  RunLoad(kBackoff, { 1, 2, 3 });
   const auto runs = RunsOf({ "b0" });
   statuses_.clear();
-  Load(seconds(1), { 1, 2, 3 });
+  RunLoad(seconds(1), { 1, 2, 3 });
   EXPECT_EQ(statuses_.size(), 1U);
   EXPECT_GT(RunsOf({ "b0" }), runs);
   ExpectNothingRanTwice();
@@ -428,26 +429,26 @@
   for (const auto* id : { "b0", "b1", "k0" }) {
     backends_[id]->SetRateLimit(kLimit);
   }
-  Load(seconds(8), { 1, 2, 3 });
+  RunLoad(seconds(8), { 1, 2, 3 });
   for (const auto* id : { "b0", "b1", "k0" }) {
-    EXPECT_LE(MostArrivalsIn(id, since, kWindow), allowed) << id;
+    EXPECT_LE(MaxArrivalsIn(id, since, kWindow), allowed) << id;
   }
   // Another server can handle these requests.
   EXPECT_EQ(bookingStatuses_.size(), 1U);
   backends_["b2"]->SetRateLimit(kLimit);
   since = MonotonicNow() + kUntilKept;
-  Load(seconds(8), { 1, 2, 3 });
+  RunLoad(seconds(8), { 1, 2, 3 });
   for (const auto* id : { "b0", "b1", "b2" }) {
-    const auto most = MostArrivalsIn(id, since, kWindow);
-    EXPECT_LE(most, allowed) << id;
-    EXPECT_GT(most, static_cast<std::size_t>(kLimit * ToSeconds(kWindow)) / 2) << id;
+    const auto maxArrivals = MaxArrivalsIn(id, since, kWindow);
+    EXPECT_LE(maxArrivals, allowed) << id;
+    EXPECT_GT(maxArrivals, static_cast<std::size_t>(kLimit * ToSeconds(kWindow)) / 2) << id;
   }
   for (const auto* id : { "b0", "b1", "b2", "k0" }) {
     backends_[id]->SetRateLimit(std::nullopt);
   }
-  Load(seconds(2), { 1, 2, 3 });
+  RunLoad(seconds(2), { 1, 2, 3 });
   bookingStatuses_.clear();
-  Load(seconds(2), { 1, 2, 3 });
+  RunLoad(seconds(2), { 1, 2, 3 });
   EXPECT_EQ(bookingStatuses_.size(), 1U);
   EXPECT_GT(bookingStatuses_[200], 0);
   ExpectNothingRanTwice();
@@ -458,9 +459,9 @@
 TEST_F(FleetOfThreeProcesses, OwnerNamesARateLimit_ItsKeysPassToOthersAndAllIsServed)
 {
   backends_["k0"]->SetRateLimit(6);
-  Load(seconds(8), { 1, 2, 3 });
+  RunLoad(seconds(8), { 1, 2, 3 });
   statuses_.clear();
-  Load(seconds(4), { 1, 2, 3 });
+  RunLoad(seconds(4), { 1, 2, 3 });
   EXPECT_GT(statuses_[200], 0);
   EXPECT_LE(statuses_[503], statuses_[200] / 100);
 }
@@ -468,13 +469,13 @@
 TEST_F(FleetOfThreeProcesses, RouteMovesToAnotherService_InForceEverywhereInTwoSeconds)
 {
   store_->Put("op", "config", MakeManifest(5, "others"));
-  Load(seconds(2), { 1, 2, 3 });
+  RunLoad(seconds(2), { 1, 2, 3 });
   const auto before = backends_["o0"]->Runs().size();
   std::size_t old = 0;
   for (const auto* id : { "b0", "b1", "b2" }) {
     old += backends_[id]->Runs().size();
   }
-  Load(seconds(2), { 1, 2, 3 });
+  RunLoad(seconds(2), { 1, 2, 3 });
   std::size_t now = 0;
   for (const auto* id : { "b0", "b1", "b2" }) {
     now += backends_[id]->Runs().size();
@@ -486,9 +487,9 @@
 TEST_F(FleetOfThreeProcesses, StoreIsAwayForLongerThanAGrantHolds_AllIsServed)
 {
   store_->SetDown(true);
-  Load(seconds(7), { 1, 2, 3 });
+  RunLoad(seconds(7), { 1, 2, 3 });
   statuses_.clear();
-  Load(seconds(1), { 1, 2, 3 });
+  RunLoad(seconds(1), { 1, 2, 3 });
   store_->SetDown(false);
   EXPECT_EQ(statuses_.size(), 1U);
   EXPECT_GT(statuses_[200], 30);
@@ -503,17 +504,17 @@
 TEST_F(FleetOfThreeProcesses, StoreReturnsFromAnOlderCopy_WhatChangesNextIsInForceInTwoSeconds)
 {
   store_->SaveCopy();
-  WriteMuch();
-  Load(seconds(2), { 1, 2, 3 });
+  AdvanceVersions();
+  RunLoad(seconds(2), { 1, 2, 3 });
   store_->RestoreCopy();
-  Load(seconds(2), { 1, 2, 3 });
+  RunLoad(seconds(2), { 1, 2, 3 });
   store_->Put("op", "config", MakeManifest(5, "others"));
   backends_["k0"]->Leave();
-  Load(seconds(2), { 1, 2, 3 });
+  RunLoad(seconds(2), { 1, 2, 3 });
   const auto runsOfFormer = RunsOf({ "k0", "b0", "b1", "b2" });
   const auto runsOfPresent = RunsOf({ "o0" });
   statuses_.clear();
-  Load(seconds(2), { 1, 2, 3 });
+  RunLoad(seconds(2), { 1, 2, 3 });
   EXPECT_EQ(RunsOf({ "k0", "b0", "b1", "b2" }), runsOfFormer);
   EXPECT_GT(RunsOf({ "o0" }), runsOfPresent);
   EXPECT_EQ(statuses_.size(), 1U);
@@ -527,7 +528,7 @@
   // The two instances that become the placer in turn each raise all fences.
   for (std::size_t number = 0; number < 2; ++number) {
     processes_[number]->Signal(SIGKILL);
-    Load(seconds(5), { 3 });
+    RunLoad(seconds(5), { 3 });
   }
   store_->RestoreCopy();
   processes_[2]->Signal(SIGKILL);
@@ -538,9 +539,9 @@
   }
   // Grants of the lost writes may be valid for one lease duration plus the time for which an
   // isolated placer renews, 11.1 s together, before keys of unknown owners may be granted again.
-  EXPECT_TRUE(RunUntil([&] { return Served() == instances_; }, seconds(15)));
+  EXPECT_TRUE(RunUntil([&] { return CountServed() == instances_; }, seconds(15)));
   statuses_.clear();
-  Load(seconds(2), { 1, 2, 3 });
+  RunLoad(seconds(2), { 1, 2, 3 });
   EXPECT_EQ(statuses_.size(), 1U);
   ExpectNothingRanTwice();
 }
@@ -555,17 +556,17 @@
 {
   store_->Put("op", "config", MakeManifest(5, "bookings", kTwoGroups));
   apiKey_ = "key-1";
-  ASSERT_TRUE(RunUntil([&] { return Served() == instances_; }, seconds(5)));
+  ASSERT_TRUE(RunUntil([&] { return CountServed() == instances_; }, seconds(5)));
   for (auto& [id, backend] : backends_) {
     backend->ResetCallers();
   }
   statuses_.clear();
-  Load(seconds(1), { 1, 2, 3 });
+  RunLoad(seconds(1), { 1, 2, 3 });
   EXPECT_EQ(statuses_.size(), 1U);
   EXPECT_GT(statuses_[200], 0);
   apiKey_ = "key-3";
   statuses_.clear();
-  Load(milliseconds(300), { 1, 2, 3 });
+  RunLoad(milliseconds(300), { 1, 2, 3 });
   EXPECT_EQ(statuses_.size(), 1U);
   EXPECT_GT(statuses_[401], 0);
   for (const auto& [id, backend] : backends_) {
@@ -581,29 +582,29 @@
 {
   store_->Put("op", "config", MakeManifest(5, "bookings", kTwoGroups));
   apiKey_ = "key-1";
-  ASSERT_TRUE(RunUntil([&] { return Served() == instances_; }, seconds(5)));
+  ASSERT_TRUE(RunUntil([&] { return CountServed() == instances_; }, seconds(5)));
   store_->SetDown(true);
-  Load(milliseconds(3100), { 1, 2, 3 });
+  RunLoad(milliseconds(3100), { 1, 2, 3 });
   const auto before = Runs();
   statuses_.clear();
-  Load(seconds(1), { 1, 2, 3 });
+  RunLoad(seconds(1), { 1, 2, 3 });
   EXPECT_EQ(Runs(), before);
   EXPECT_EQ(statuses_.size(), 1U);
   EXPECT_GT(statuses_[503], 0);
   store_->SetDown(false);
-  EXPECT_TRUE(RunUntil([&] { return Served() == instances_; }, seconds(4)));
+  EXPECT_TRUE(RunUntil([&] { return CountServed() == instances_; }, seconds(4)));
 }
 
 TEST_F(FleetOfThreeProcesses, KeyIsTakenAway_NobodyHonoursItAfterTheBound)
 {
   store_->Put("op", "config", MakeManifest(5, "bookings", kTwoGroups));
   apiKey_ = "key-1";
-  ASSERT_TRUE(RunUntil([&] { return Served() == instances_; }, seconds(5)));
+  ASSERT_TRUE(RunUntil([&] { return CountServed() == instances_; }, seconds(5)));
   store_->Put("op", "config", MakeManifest(7, "bookings", kOneKeyLess));
-  Load(seconds(2), { 1, 2, 3 });
+  RunLoad(seconds(2), { 1, 2, 3 });
   const auto before = Runs();
   statuses_.clear();
-  Load(milliseconds(500), { 1, 2, 3 });
+  RunLoad(milliseconds(500), { 1, 2, 3 });
   EXPECT_EQ(Runs(), before);
   EXPECT_EQ(statuses_.size(), 1U);
   EXPECT_GT(statuses_[401], 0);
@@ -614,10 +615,10 @@
 {
   store_->Put("op", "config", MakeManifest(5, "bookings", kTwoGroups));
   apiKey_ = "key-2";
-  ASSERT_TRUE(RunUntil([&] { return Served() == instances_; }, seconds(5)));
+  ASSERT_TRUE(RunUntil([&] { return CountServed() == instances_; }, seconds(5)));
   const auto before = Runs();
   statuses_.clear();
-  Load(seconds(5), { 1, 2, 3 });
+  RunLoad(seconds(5), { 1, 2, 3 });
   const auto allowed = (20 * 5 + 20) * 1.1 + 20;
   EXPECT_LE(static_cast<double>(Runs() - before), allowed);
   EXPECT_GT(Runs() - before, 60U);
@@ -628,7 +629,7 @@
 {
   processes_[0]->Signal(SIGHUP);
   statuses_.clear();
-  Load(seconds(1), { 1 });
+  RunLoad(seconds(1), { 1 });
   EXPECT_FALSE(processes_[0]->HasEnded());
   EXPECT_EQ(statuses_.size(), 1U);
 }
@@ -647,12 +648,12 @@
     processes_[static_cast<std::size_t>(number)]->Signal(SIGKILL);
   }
   const auto others = AllButTheFirst(6);
-  Load(seconds(5), others);
+  RunLoad(seconds(5), others);
   store_->Put("op", "config", MakeManifest(5, "others"));
-  Load(seconds(2), others);
+  RunLoad(seconds(2), others);
   const auto before = backends_["o0"]->Runs().size();
   statuses_.clear();
-  Load(seconds(2), others);
+  RunLoad(seconds(2), others);
   EXPECT_EQ(statuses_.size(), 1U);
   // Half of all requests are bookings.
   EXPECT_GT(3 * (backends_["o0"]->Runs().size() - before),
@@ -671,7 +672,7 @@
   for (int number = 1; number <= instances_; ++number) {
     processes_.push_back(StartEntry(number));
   }
-  EXPECT_TRUE(RunUntil([&] { return Served() == instances_; }, seconds(10)));
+  EXPECT_TRUE(RunUntil([&] { return CountServed() == instances_; }, seconds(10)));
 }
 
 TEST(EntryProcess, SettingsAreMalformed_EndsWithItsOwnStatus)
--- a/Tests/Platform/TestPlatformCodec.cpp
+++ b/Tests/Platform/TestPlatformCodec.cpp
@@ -24,7 +24,7 @@
   return request;
 }
 
-class CodecOfOneAttempt : public testing::Test
+class AttemptCodec : public testing::Test
 {
 protected:
   AttemptOutcome Decode(unsigned aStatus, std::vector<HttpHeader> aHeaders) const
@@ -52,7 +52,7 @@
   const AttemptOrder order_{ 1, 1, "i-1", "10.0.0.1:80", milliseconds(345) };
 };
 
-TEST_F(CodecOfOneAttempt, ClientRequest_IsReadIntoWhatRoutingNeeds)
+TEST_F(AttemptCodec, ClientRequest_IsDecodedForRouting)
 {
   const auto request = codec_.DecodeRequest(7, MakeClientRequest());
   EXPECT_EQ(request.number_, 7U);
@@ -63,7 +63,7 @@
   EXPECT_EQ(request.timeLeft_, milliseconds(600));
 }
 
-TEST_F(CodecOfOneAttempt, KeyOrTimeIsMalformed_CountsAsNotGiven)
+TEST_F(AttemptCodec, KeyOrDeadlineIsMalformed_CountsAsAbsent)
 {
   auto request = MakeClientRequest();
   request.headers_ = { { "X-Shard-Key", "70000" }, { "X-Deadline-Ms", "soon" } };
@@ -72,7 +72,7 @@
   EXPECT_FALSE(read.timeLeft_);
 }
 
-TEST_F(CodecOfOneAttempt, RequestGoesToTheServer_OnlyConnectionTimeAndServerDiffer)
+TEST_F(AttemptCodec, RequestIsForwarded_OnlyHopByHopDeadlineAndServerHeadersDiffer)
 {
   const auto attempt = codec_.EncodeAttempt(MakeClientRequest(), order_);
   EXPECT_EQ(attempt.method_, "POST");
@@ -89,7 +89,7 @@
             2);
 }
 
-TEST_F(CodecOfOneAttempt, ClientShowsAnApiKey_IsReadWhateverTheCaseOfTheScheme)
+TEST_F(AttemptCodec, ApiKey_SchemeIsCaseInsensitive)
 {
   HttpRequest request;
   request.headers_ = { { "authorization", "bearer key1" } };
@@ -100,7 +100,7 @@
   EXPECT_EQ(codec_.DecodeRequest(1, request).apiKey_, "");
 }
 
-TEST_F(CodecOfOneAttempt, CallersShowApiKeys_ServerSeesTheGroupAndNeverTheKey)
+TEST_F(AttemptCodec, ApiKeyIsHidden_ServerReceivesOnlyTheGroup)
 {
   auto request = MakeClientRequest();
   request.headers_.emplace_back("authorization", "Bearer key1");
@@ -117,7 +117,7 @@
   EXPECT_EQ(codec_.EncodeAttempt(request, order_).Header("Authorization"), "Bearer key1");
 }
 
-TEST_F(CodecOfOneAttempt, ServerSaysThatItLeaves_IsReadFromAnyAnswerOfTheLifeThatWasMeant)
+TEST_F(AttemptCodec, ServerAnnouncesLeaving_IsReadFromAnyAnswerOfTheExpectedIncarnation)
 {
   EXPECT_TRUE(
     Decode(200, { { "Server-Leaving", "1" }, { "X-Response-Signature", "s" } }).isLeaving_);
@@ -128,7 +128,7 @@
   EXPECT_FALSE(Decode(500, {}).isLeaving_);
 }
 
-TEST_F(CodecOfOneAttempt, ServerAsksForRest_IsReadFromItsRefusalInSeconds)
+TEST_F(AttemptCodec, RetryAfter_IsReadAsBackoffInSeconds)
 {
   EXPECT_EQ(Decode(503, { { "Retry-After", "3" }, { "X-Not-Executed", "1" } }).rest_, seconds(3));
   EXPECT_EQ(Decode(503, { { "Retry-After", "0.25" } }).rest_, milliseconds(250));
@@ -141,7 +141,7 @@
   }
 }
 
-TEST_F(CodecOfOneAttempt, ServerNamesARateLimit_IsReadFromAnyAnswerOfTheLifeThatWasMeant)
+TEST_F(AttemptCodec, RateLimit_IsReadFromAnyAnswerOfTheExpectedIncarnation)
 {
   EXPECT_EQ(Decode(500, { { "Server-Limit", "8.7" } }).rateLimit_, 8.7);
   EXPECT_EQ(Decode(503, { { "server-limit", "12" }, { "X-Not-Executed", "1" } }).rateLimit_, 12);
@@ -149,7 +149,7 @@
   EXPECT_FALSE(Decode(421, { { "Server-Limit", "3" }, { "X-Instance-Id", "i-2" } }).rateLimit_);
 }
 
-TEST_F(CodecOfOneAttempt, ServerNamesNoRateLimit_HasNoneUnlessItSaysWhatMakesNoSense)
+TEST_F(AttemptCodec, RateLimitIsMissing_MeansNoneUnlessMalformed)
 {
   EXPECT_EQ(Decode(500, {}).rateLimit_, kNoRateLimit);
   EXPECT_FALSE(Decode(421, { { "X-Instance-Id", "i-1" } }).rateLimit_);
@@ -158,7 +158,7 @@
   }
 }
 
-TEST_F(CodecOfOneAttempt, RefusalsForTheCallersSake_HaveTheirOwnStatus)
+TEST_F(AttemptCodec, ApiKeyAndLimitRefusals_HaveTheirOwnStatus)
 {
   EXPECT_EQ(StatusOf(RefusalReason::UnknownApiKey, true), 401U);
   EXPECT_EQ(StatusOf(RefusalReason::OverLimit, true), 429U);
@@ -167,29 +167,29 @@
   EXPECT_EQ(codec_.EncodeRefusal({}, overLimit).Header("Retry-After"), "0.125");
 }
 
-TEST_F(CodecOfOneAttempt, SuccessWithSignature_IsAnAnswer)
+TEST_F(AttemptCodec, SuccessWithSignature_IsAnAnswer)
 {
   EXPECT_EQ(Decode(200, { { "X-Response-Signature", "s" } }).end_, AttemptEnd::Answered);
 }
 
-TEST_F(CodecOfOneAttempt, SuccessWithoutSignature_IsNoAnswer)
+TEST_F(AttemptCodec, SuccessWithoutSignature_IsBroken)
 {
   EXPECT_EQ(Decode(200, {}).end_, AttemptEnd::Broken);
 }
 
-TEST_F(CodecOfOneAttempt, FailureOfTheServer_IsAnAnswerAndMayHaveRun)
+TEST_F(AttemptCodec, ServerError_IsAnAnswerAndMayHaveRun)
 {
   EXPECT_EQ(Decode(500, {}).end_, AttemptEnd::Answered);
   EXPECT_EQ(Decode(503, {}).end_, AttemptEnd::Answered);
 }
 
-TEST_F(CodecOfOneAttempt, ServerSaysNotRun_IsNotRun)
+TEST_F(AttemptCodec, ServerSaysNotRun_IsNotRun)
 {
   EXPECT_EQ(Decode(503, { { "X-Not-Executed", "1" } }).end_, AttemptEnd::NotRun);
   EXPECT_EQ(Decode(429, { { "x-not-executed", "1" } }).end_, AttemptEnd::NotRun);
 }
 
-TEST_F(CodecOfOneAttempt, Misdirected_TellsAnotherLifeFromAWrongOwner)
+TEST_F(AttemptCodec, Misdirected_DistinguishesOtherIncarnationFromWrongOwner)
 {
   const auto owner = Decode(421, { { "X-Instance-Id", "i-1" }, { "X-Not-Executed", "1" } });
   EXPECT_EQ(owner.end_, AttemptEnd::WrongServer);
@@ -197,13 +197,13 @@
   EXPECT_TRUE(Decode(421, { { "X-Instance-Id", "i-2" } }).isOtherLife_);
 }
 
-TEST_F(CodecOfOneAttempt, ExchangeFails_SentAndNotSentAreToldApart)
+TEST_F(AttemptCodec, ExchangeFails_SentAndNotSentAreDistinguished)
 {
   EXPECT_EQ(DecodeEnd(ExchangeEnd::NotSent).end_, AttemptEnd::NotSent);
   EXPECT_EQ(DecodeEnd(ExchangeEnd::Broken).end_, AttemptEnd::Broken);
 }
 
-TEST_F(CodecOfOneAttempt, Refusal_PromisesOnlyWhatIsCertain)
+TEST_F(AttemptCodec, RefusalStatus_SaysNotRunOnlyWhenCertain)
 {
   EXPECT_EQ(StatusOf(RefusalReason::NoCapacity, true), 503U);
   EXPECT_EQ(StatusOf(RefusalReason::NoConfiguration, true), 503U);
@@ -212,7 +212,7 @@
   EXPECT_EQ(StatusOf(RefusalReason::OutOfTime, false), 504U);
 }
 
-TEST_F(CodecOfOneAttempt, RefusedAsNotRun_SaysInSecondsWhenToComeBack)
+TEST_F(AttemptCodec, RefusedAsNotRun_HasRetryAfterInSeconds)
 {
   RoutedRequest request;
   request.id_ = "r1";
@@ -225,7 +225,7 @@
   EXPECT_TRUE(unknown.Header("Retry-After").empty());
 }
 
-TEST_F(CodecOfOneAttempt, AnswerGoesToTheClient_HeadersOfTheConnectionStayBehind)
+TEST_F(AttemptCodec, AnswerIsForwarded_HopByHopHeadersAreDropped)
 {
   HttpResponse answer;
   answer.headers_ = { { "Connection", "close" },
@@ -237,7 +237,7 @@
   EXPECT_TRUE(passed.contentType_.empty());
 }
 
-class CodecOfOneOrder : public testing::Test
+class CommandCodec : public testing::Test
 {
 protected:
   OrderEnd Decode(unsigned aStatus, std::vector<HttpHeader> aHeaders = {}) const
@@ -253,7 +253,7 @@
   KeyOrder order_{ 1, "i-1", "10.0.0.1:80", 4096, 8191, 12, false, "warm", milliseconds(4000) };
 };
 
-TEST_F(CodecOfOneOrder, Grant_NamesKeysFenceHoldAndHandover)
+TEST_F(CommandCodec, Grant_EncodesKeysFenceLeaseAndHandover)
 {
   const auto request = codec_.EncodeOrder(order_);
   EXPECT_EQ(request.target_, "/api/grant");
@@ -261,7 +261,7 @@
             R"({"from":4096,"targetVersion":8191,"fence":12,"holdMs":4000,"handover":"warm"})");
 }
 
-TEST_F(CodecOfOneOrder, Release_NamesKeysAndFence)
+TEST_F(CommandCodec, Release_EncodesKeysAndFence)
 {
   order_.isRelease_ = true;
   const auto request = codec_.EncodeOrder(order_);
@@ -269,7 +269,7 @@
   EXPECT_EQ(*request.body_, R"({"from":4096,"targetVersion":8191,"fence":12})");
 }
 
-TEST_F(CodecOfOneOrder, Answers_TellWhatBecameOfTheOrder)
+TEST_F(CommandCodec, Answers_DetermineTheCommandStatus)
 {
   EXPECT_EQ(Decode(200), OrderEnd::Done);
   EXPECT_EQ(Decode(409), OrderEnd::HigherFence);
@@ -282,7 +282,7 @@
   EXPECT_EQ(Decode(503, { { "X-Not-Executed", "1" } }), OrderEnd::NotSent);
 }
 
-TEST_F(CodecOfOneOrder, ServerSaysThatItLeaves_IsReadUnlessAnotherLifeSaysSo)
+TEST_F(CommandCodec, ServerAnnouncesLeaving_IsIgnoredFromOtherIncarnation)
 {
   HttpExchange exchange;
   exchange.end_ = ExchangeEnd::Complete;
@@ -293,7 +293,7 @@
   EXPECT_FALSE(codec_.DecodeOrder(order_, exchange).isLeaving_);
 }
 
-TEST_F(CodecOfOneOrder, NoAnswer_OnlyASentOrderMayComeLate)
+TEST_F(CommandCodec, NoAnswer_OnlyASentCommandMayTakeEffectLater)
 {
   HttpExchange exchange;
   exchange.end_ = ExchangeEnd::Broken;
@@ -304,7 +304,7 @@
   EXPECT_EQ(codec_.DecodeOrder(order_, exchange).end_, OrderEnd::Refused);
 }
 
-TEST_F(CodecOfOneAttempt, ServerTellsItsLoad_IsReadWithOrWithoutThePace)
+TEST_F(AttemptCodec, LoadReport_IsReadWithOrWithoutServiceTime)
 {
   EXPECT_EQ(
     Decode(200, { { "X-Response-Signature", "s" }, { "X-Server-Load", "3,1,4,250" } }).server_,
@@ -312,7 +312,7 @@
   EXPECT_EQ(Decode(500, { { "X-Server-Load", "3,0,8" } }).server_, (ServerStatus{ 3, 0, 8, 1 }));
 }
 
-TEST_F(CodecOfOneAttempt, ServerTellsNoLoadOrNonsense_NothingIsBelieved)
+TEST_F(AttemptCodec, LoadReportIsMissingOrMalformed_IsIgnored)
 {
   for (const auto* text : { "",
                             "3",
--- a/Tests/Platform/TestPlatformDocuments.cpp
+++ b/Tests/Platform/TestPlatformDocuments.cpp
@@ -33,7 +33,7 @@
   return text.replace(at, aOld.size(), aNew);
 }
 
-class DecoderOfManifests : public testing::Test
+class ManifestDecoding : public testing::Test
 {
 protected:
   FieldResult<std::optional<RoutingConfiguration>> Decode(std::string aText) const
@@ -44,7 +44,7 @@
   const ManifestDecoder decoder_;
 };
 
-TEST_F(DecoderOfManifests, WholeManifest_IsReadIntoRoutes)
+TEST_F(ManifestDecoding, CompleteManifest_IsDecodedIntoRoutes)
 {
   const auto configuration = *Decode(std::string(kManifest)).value();
   EXPECT_EQ(configuration.version_, 7U);
@@ -67,14 +67,14 @@
   EXPECT_EQ(configuration.services_[1].mostConnections_, 120U);
 }
 
-TEST_F(DecoderOfManifests, OtherRowOfTheTable_IsNoConfiguration)
+TEST_F(ManifestDecoding, OtherRowOfTheTable_IsIgnored)
 {
   const auto other = decoder_.DecodeConfiguration({ "note", 9, "hello" });
   ASSERT_TRUE(other);
   EXPECT_FALSE(other.value());
 }
 
-TEST_F(DecoderOfManifests, MalformedManifest_IsRefusedAndNamesTheField)
+TEST_F(ManifestDecoding, MalformedManifest_IsRefusedAndNamesTheField)
 {
   EXPECT_FALSE(Decode("{"));
   EXPECT_FALSE(Decode("[]"));
@@ -90,7 +90,7 @@
   R"("tenants":[{"name":"yefi","apiKeys":["k1","k2"],"priority":1,"ratePerS":285,"burst":30},)"
   R"({"name":"wuno","apiKeys":[]}],"limits")";
 
-TEST_F(DecoderOfManifests, ManifestWithTenants_HasGroupsWithKeysAndLimits)
+TEST_F(ManifestDecoding, ManifestWithTenants_HasGroupsWithKeysAndLimits)
 {
   const auto text = Replace(kManifest, R"("limits")", kTenants);
   const auto configuration = *Decode(Replace(text, R"("priority": 2)", R"("public":true)")).value();
@@ -106,7 +106,7 @@
   EXPECT_TRUE(configuration.routes_[1].isPublic_);
 }
 
-TEST_F(DecoderOfManifests, ManifestWithMalformedTenants_IsRefusedAndShowsNoKey)
+TEST_F(ManifestDecoding, ManifestWithMalformedTenants_IsRefusedWithoutApiKeysInTheError)
 {
   const auto text = Replace(kManifest, R"("limits")", kTenants);
   EXPECT_FALSE(Decode(Replace(text, R"("name":"yefi")", R"("name":7)")));
@@ -116,7 +116,7 @@
   EXPECT_EQ(malformed.error().Describe().find("k1"), std::string::npos);
 }
 
-TEST_F(DecoderOfManifests, LargeAnswersMayBeAskedForAgain_LargeBodiesNot)
+TEST_F(ManifestDecoding, Downloads_AreRepeatableUploadsAreNot)
 {
   const auto downloads = *Decode(Replace(kManifest, R"("idempotent")", R"("download")")).value();
   EXPECT_TRUE(downloads.routes_[1].isRepeatable_);
@@ -124,7 +124,7 @@
   EXPECT_FALSE(uploads.routes_[1].isRepeatable_);
 }
 
-TEST_F(DecoderOfManifests, ServerRecord_IsReadWithItsIdFromTheKey)
+TEST_F(ManifestDecoding, ServerRecord_IsReadWithItsIdFromTheKey)
 {
   const auto record =
     decoder_
@@ -142,7 +142,7 @@
   EXPECT_TRUE(record.isLeaving_);
 }
 
-TEST_F(DecoderOfManifests, MalformedServerRecord_IsRefused)
+TEST_F(ManifestDecoding, MalformedServerRecord_IsRefused)
 {
   EXPECT_FALSE(decoder_.DecodeServer({ "i-7f", 42, "" }));
   EXPECT_FALSE(decoder_.DecodeServer({ "i-7f", 42, R"({"service":"rate"})" }));
@@ -164,7 +164,7 @@
              "holdMaxMs=3000", "unknown=true"],
   "platform": {"address": "10.200.1.7:4"}})";
 
-TEST(PlatformSettings, WholeFile_IsReadAndUnknownFieldsAreSkipped)
+TEST(PlatformSettings, CompleteFile_IsReadAndUnknownFieldsAreSkipped)
 {
   const auto settings = ParseSettings(kSettings).value();
   EXPECT_EQ(settings.storeAddress_, "10.200.1.7:4");
@@ -183,7 +183,7 @@
   EXPECT_EQ(host.clientConnections_, 2050U);
 }
 
-TEST(PlatformSettings, KeysTakenAwayAreBounded_TheBoundIsRead)
+TEST(PlatformSettings, RevocationBound_IsRead)
 {
   EXPECT_FALSE(ParseSettings(kSettings).value().host_.member_.apiKeyBound_);
   const auto text = Replace(
@@ -197,7 +197,7 @@
   EXPECT_FALSE(ParseSettings(Replace(text, "strictRevoke=true", "strictRevoke=maybe")));
 }
 
-TEST(PlatformSettings, HoldsAreBounded_TheBoundIsKept)
+TEST(PlatformSettings, LeaseDurationLimit_IsApplied)
 {
   EXPECT_EQ(ParseSettings(kSettings).value().host_.member_.placer_.hold_, seconds(3));
 }
@@ -250,7 +250,7 @@
   EXPECT_EQ(page.rows_[1].row_.version_, 0U);
 }
 
-TEST(StoreProtocol, EpochOfAnAnswer_IsReadOrTakenAsKnown)
+TEST(StoreProtocol, EpochHeader_IsReadOrLastKnownEpochIsUsed)
 {
   HttpResponse response;
   EXPECT_EQ(DecodeEpoch(response, 4).value(), 4U);
@@ -262,13 +262,13 @@
   }
 }
 
-TEST(StoreProtocol, ChangesAreAskedFor_InTheStoresOwnNumbers)
+TEST(StoreProtocol, LongPoll_UsesTheStoresOwnVersionNumbers)
 {
   const auto request = EncodeLongPoll(FleetTable::Servers, VersionIn(3, 412), seconds(1));
   EXPECT_NE(request.target_.find("after=412&"), std::string::npos);
 }
 
-TEST(StoreProtocol, Transaction_NamesConditionsAndWrites)
+TEST(StoreProtocol, Transaction_EncodesConditionsAndWrites)
 {
   const auto request = EncodeTransaction({ { { "placer", 3 } }, { { "placer", "node-1" } } });
   EXPECT_EQ(request.target_, "/api/rows-tx");
@@ -278,7 +278,7 @@
             R"("remove":[]})");
 }
 
-class AnswerToATransaction : public testing::Test
+class TransactionAnswer : public testing::Test
 {
 protected:
   StoreReply Decode(unsigned aStatus, std::string aBody) const
@@ -293,14 +293,14 @@
   const Transaction transaction_{ { { "placer", 3 } }, { { "placer", "node-1" } } };
 };
 
-TEST_F(AnswerToATransaction, Done_TellsTheNewVersion)
+TEST_F(TransactionAnswer, Done_ContainsTheNewVersion)
 {
   const auto reply = Decode(200, R"({"ver":412,"nowMs":51230})");
   EXPECT_EQ(reply.status_, StoreStatus::Done);
   EXPECT_EQ(FindRow(reply.rows_, "placer")->version_, 412U);
 }
 
-TEST_F(AnswerToATransaction, ConditionFailed_TellsTheRowsAsTheyAre)
+TEST_F(TransactionAnswer, ConditionFailed_ContainsTheCurrentRows)
 {
   const auto reply = Decode(412,
                             R"({"rows":[{"table":"latchslip","part":"","key":"placer",)"
@@ -309,7 +309,7 @@
   EXPECT_EQ(FindRow(reply.rows_, "placer")->version_, 9U);
 }
 
-TEST_F(AnswerToATransaction, NotDone_IsCertainOnlyWhenTheStoreSaysSo)
+TEST_F(TransactionAnswer, Failure_IsCertainOnlyWhenTheStoreConfirmsIt)
 {
   EXPECT_EQ(Decode(503, "").status_, StoreStatus::Unavailable);
   EXPECT_EQ(Decode(429, "").status_, StoreStatus::Unavailable);
@@ -322,7 +322,7 @@
   EXPECT_EQ(DecodeTransaction(transaction_, broken, 0).status_, StoreStatus::Unavailable);
 }
 
-TEST_F(DecoderOfManifests, ServicesAndServersThatStartSlowly_AreRead)
+TEST_F(ManifestDecoding, SlowStart_IsReadForServicesAndServers)
 {
   const auto service = R"({"name": "book", "healthPath": "/health", "maxConns": 120)";
   const auto slow = Decode(
@@ -344,14 +344,14 @@
   EXPECT_FALSE(record(R"(,"coldRemainingMs":1e12)"));
 }
 
-TEST_F(DecoderOfManifests, RowsOfDrainedHalls_NameTheHall)
+TEST_F(ManifestDecoding, RowsOfDrainedHalls_NameTheHall)
 {
   EXPECT_EQ(decoder_.DecodeDrainedHall("evacuate/hall-a"), "hall-a");
   EXPECT_FALSE(decoder_.DecodeDrainedHall("evacuate/"));
   EXPECT_FALSE(decoder_.DecodeDrainedHall("config"));
 }
 
-TEST(PlatformSettings, PortsOfTheInstances_TheFirstIsForPermits)
+TEST(PlatformSettings, PortRange_FirstPortIsForPermits)
 {
   EXPECT_EQ(ParseSettings(kSettings).value().host_.permitPort_, 0U) << "none is given";
   const auto with = [&](const std::string& aRange) {
--- a/Tests/Platform/TestTablePoller.cpp
+++ b/Tests/Platform/TestTablePoller.cpp
@@ -122,7 +122,7 @@
   EXPECT_EQ(LastRequestedVersion(), "95");
 }
 
-TEST(FollowerOfTheConfiguration, PlacerRelays_GoesOnAsking)
+TEST(ConfigurationPoller, PlacerSendsUpdates_ContinuesToPoll)
 {
   boost::asio::io_context context;
   ManualStore store;
