--- a/Tests/Platform/Soak/AnswerPromises.cpp
+++ b/Tests/Platform/Soak/AnnouncementChecker.cpp
@@ -1,4 +1,4 @@
-#include "AnswerPromises.h"
+#include "AnnouncementChecker.h"
 
 #include "LibNet/MonotonicClock.h"
 
@@ -25,19 +25,19 @@
 } // namespace
 
 void
-AnswerPromises::OnAsked(const std::string& aRequest, const std::string& aInstance)
+AnnouncementChecker::OnAsked(const std::string& aRequest, const std::string& aInstance)
 {
   requests_[aRequest] = { aInstance, MonotonicNow(), {} };
 }
 
 void
-AnswerPromises::OnRun(const std::string& aServer, const std::string& aRequest)
+AnnouncementChecker::OnRun(const std::string& aServer, const std::string& aRequest)
 {
   requests_[aRequest].ranAt_ = aServer;
 }
 
 void
-AnswerPromises::OnLeavingPassedOn(const std::string& aRequest)
+AnnouncementChecker::OnLeavingPassedOn(const std::string& aRequest)
 {
   const auto& request = requests_[aRequest];
   auto& passedOn = words_[{ request.instance_, request.ranAt_ }].leavingPassedOn_;
@@ -45,7 +45,7 @@
 }
 
 void
-AnswerPromises::OnRateLimitPassedOn(const std::string& aRequest)
+AnnouncementChecker::OnRateLimitPassedOn(const std::string& aRequest)
 {
   const auto& request = requests_[aRequest];
   const auto limit = limits_.find(request.ranAt_);
@@ -59,7 +59,7 @@
 }
 
 void
-AnswerPromises::OnRateLimitNamed(const std::string& aServer, std::optional<double> aLimit)
+AnnouncementChecker::OnRateLimitNamed(const std::string& aServer, std::optional<double> aLimit)
 {
   limits_.erase(aServer);
   for (auto& [who, word] : words_) {
@@ -73,7 +73,7 @@
 }
 
 std::optional<std::string>
-AnswerPromises::CountAtLimit(NamedLimit& aLimit, const Word& aWord, const std::string& aServer)
+AnnouncementChecker::CountAtLimit(NamedLimit& aLimit, const Word& aWord, const std::string& aServer)
 {
   const auto now = MonotonicNow();
   const bool isBound = aLimit.firstPassedOn_ && now >= *aLimit.firstPassedOn_ + kLimitBound;
@@ -94,7 +94,7 @@
 }
 
 std::optional<std::string>
-AnswerPromises::OnArrival(const std::string& aServer, const std::string& aRequest)
+AnnouncementChecker::OnArrival(const std::string& aServer, const std::string& aRequest)
 {
   const auto& request = requests_[aRequest];
   const auto found = words_.find({ request.instance_, aServer });
@@ -119,9 +119,9 @@
 }
 
 void
-AnswerPromises::OnRejected(const std::string& aServer,
-                           const std::string& aRequest,
-                           Duration aBackoff)
+AnnouncementChecker::OnRejected(const std::string& aServer,
+                                const std::string& aRequest,
+                                Duration aBackoff)
 {
   if (harmed_.contains(aServer)) {
     return;
@@ -136,13 +136,13 @@
 }
 
 void
-AnswerPromises::ExcuseInstance(const std::string& aInstance)
+AnnouncementChecker::ExcuseInstance(const std::string& aInstance)
 {
   std::erase_if(words_, [&](const auto& aEntry) { return aEntry.first.first == aInstance; });
 }
 
 void
-AnswerPromises::SetHarmed(const std::string& aServer, bool aIsHarmed)
+AnnouncementChecker::SetHarmed(const std::string& aServer, bool aIsHarmed)
 {
   std::erase_if(words_, [&](const auto& aEntry) { return aEntry.first.second == aServer; });
   if (const auto limit = limits_.find(aServer); limit != limits_.end()) {
--- a/Tests/Platform/Soak/AnswerPromises.h
+++ b/Tests/Platform/Soak/AnnouncementChecker.h
@@ -13,7 +13,7 @@
 
 // Checks that each instance acts on what servers announce in their answers: a shutdown, a backoff
 // (Retry-After) or a rate limit. A restarted instance counts as a different one.
-class AnswerPromises
+class AnnouncementChecker
 {
 public:
   // Called before a client sends a request. aInstance names the instance and its run.
--- a/Tests/Platform/Soak/FaultPlan.cpp
+++ b/Tests/Platform/Soak/FaultInjector.cpp
@@ -1,4 +1,4 @@
-#include "FaultPlan.h"
+#include "FaultInjector.h"
 
 #include "LibNet/MonotonicClock.h"
 
@@ -59,7 +59,7 @@
 
 } // namespace
 
-FaultPlan::FaultPlan(SoakWorld& aWorld, std::uint32_t aSeed, Extras aExtras)
+FaultInjector::FaultInjector(SoakEnvironment& aWorld, std::uint32_t aSeed, Extras aExtras)
   : world_(aWorld)
   , random_(aSeed)
   , extras_(aExtras)
@@ -71,7 +71,7 @@
 }
 
 void
-FaultPlan::Run(Duration aTime)
+FaultInjector::Run(Duration aTime)
 {
   const auto end = MonotonicNow() + aTime;
   while (MonotonicNow() < end) {
@@ -95,31 +95,31 @@
 }
 
 Duration
-FaultPlan::Draw(Duration aLeast, Duration aMost)
+FaultInjector::Draw(Duration aLeast, Duration aMost)
 {
   return DrawFrom(random_, aLeast, aMost);
 }
 
 std::size_t
-FaultPlan::DrawIndex(std::size_t aCount)
+FaultInjector::DrawIndex(std::size_t aCount)
 {
   return std::uniform_int_distribution<std::size_t>(0, aCount - 1)(random_);
 }
 
-SoakWorld::Instance&
-FaultPlan::DrawInstance()
+SoakEnvironment::Instance&
+FaultInjector::DrawInstance()
 {
   return world_.Instances()[DrawIndex(world_.Instances().size())];
 }
 
-SoakWorld::Server&
-FaultPlan::DrawServer()
+SoakEnvironment::Server&
+FaultInjector::DrawServer()
 {
   return world_.Servers()[DrawIndex(world_.Servers().size())];
 }
 
 void
-FaultPlan::Note(SoakFault aFault, const std::string& aWhat, Duration aTime)
+FaultInjector::Note(SoakFault aFault, const std::string& aWhat, Duration aTime)
 {
   char line[160];
   std::snprintf(line,
@@ -133,7 +133,7 @@
 }
 
 void
-FaultPlan::Inject(SoakFault aFault)
+FaultInjector::Inject(SoakFault aFault)
 {
   const auto time = Draw(kLeastTime, kMostTime);
   auto& instance = DrawInstance();
@@ -182,14 +182,14 @@
 }
 
 void
-FaultPlan::KillInstance(SoakWorld::Instance& aInstance, Duration aDown)
+FaultInjector::KillInstance(SoakEnvironment::Instance& aInstance, Duration aDown)
 {
   Note(SoakFault::KillInstance, aInstance.name_, aDown);
   Kill(aInstance, aDown);
 }
 
 void
-FaultPlan::KillAll(Duration aDown)
+FaultInjector::KillAll(Duration aDown)
 {
   Note(SoakFault::KillAll, "", aDown);
   for (auto& instance : world_.Instances()) {
@@ -198,7 +198,7 @@
 }
 
 void
-FaultPlan::Kill(SoakWorld::Instance& aInstance, Duration aDown)
+FaultInjector::Kill(SoakEnvironment::Instance& aInstance, Duration aDown)
 {
   if (!aInstance.isExpected_) {
     return;
@@ -212,7 +212,7 @@
 }
 
 void
-FaultPlan::StopSeries(Duration aGap)
+FaultInjector::StopSeries(Duration aGap)
 {
   for (std::size_t count = 1 + DrawIndex(kMostSeries); count > 0; --count) {
     auto& instance = DrawInstance();
@@ -223,7 +223,7 @@
 }
 
 void
-FaultPlan::Stop(SoakWorld::Instance& aInstance)
+FaultInjector::Stop(SoakEnvironment::Instance& aInstance)
 {
   if (!aInstance.isExpected_ || aInstance.isPaused_) {
     return;
@@ -241,7 +241,7 @@
 }
 
 void
-FaultPlan::PauseInstance(SoakWorld::Instance& aInstance, Duration aTime)
+FaultInjector::PauseInstance(SoakEnvironment::Instance& aInstance, Duration aTime)
 {
   Note(SoakFault::PauseInstance, aInstance.name_, aTime);
   if (!aInstance.isExpected_ || aInstance.isPaused_) {
@@ -260,7 +260,7 @@
 }
 
 void
-FaultPlan::SignalSettings(const SoakWorld::Instance& aInstance)
+FaultInjector::SignalSettings(const SoakEnvironment::Instance& aInstance)
 {
   Note(SoakFault::SettingsSignal, aInstance.name_, Duration(0));
   if (aInstance.isExpected_) {
@@ -269,7 +269,7 @@
 }
 
 void
-FaultPlan::HarmLink(LoopbackProxy& aLink, SoakFault aFault, const std::string& aWhat)
+FaultInjector::HarmLink(LoopbackProxy& aLink, SoakFault aFault, const std::string& aWhat)
 {
   const auto kind = static_cast<LinkFault>(1 + DrawIndex(kLinkFaultNames.names_.size() - 1));
   const auto time = Draw(kLeastTime, kMostTime);
@@ -289,7 +289,7 @@
 }
 
 void
-FaultPlan::TakeStoreDown(Duration aTime)
+FaultInjector::TakeStoreDown(Duration aTime)
 {
   Note(SoakFault::StoreDown, "", aTime);
   auto& store = world_.Store();
@@ -298,7 +298,7 @@
 }
 
 void
-FaultPlan::SlowStore(Duration aTime)
+FaultInjector::SlowStore(Duration aTime)
 {
   Note(SoakFault::StoreSlow, "", aTime);
   auto& store = world_.Store();
@@ -307,21 +307,21 @@
 }
 
 void
-FaultPlan::LoseStoreAnswers()
+FaultInjector::LoseStoreAnswers()
 {
   Note(SoakFault::StoreLosesAnswers, "", Duration(0));
   world_.Store().DropAnswers(static_cast<int>(1 + DrawIndex(kMostLost)));
 }
 
 void
-FaultPlan::ForgetStoreHistory()
+FaultInjector::ForgetStoreHistory()
 {
   Note(SoakFault::StoreForgets, "", Duration(0));
   world_.Store().DropHistory();
 }
 
 void
-FaultPlan::CrashServer(SoakWorld::Server& aServer, Duration aDown)
+FaultInjector::CrashServer(SoakEnvironment::Server& aServer, Duration aDown)
 {
   Note(SoakFault::ServerCrash, aServer.backend_->Id(), aDown);
   Crash(aServer);
@@ -334,14 +334,14 @@
 }
 
 void
-FaultPlan::Crash(SoakWorld::Server& aServer)
+FaultInjector::Crash(SoakEnvironment::Server& aServer)
 {
   aServer.backend_->Crash();
   aServer.link_->SetFault(LinkFault::Reset);
 }
 
 void
-FaultPlan::BeginLife(SoakWorld::Server& aServer)
+FaultInjector::BeginLife(SoakEnvironment::Server& aServer)
 {
   if (aServer.backend_->IsUp()) {
     return;
@@ -353,7 +353,7 @@
 }
 
 void
-FaultPlan::LetServerLeave(SoakWorld::Server& aServer)
+FaultInjector::LetServerLeave(SoakEnvironment::Server& aServer)
 {
   Note(SoakFault::ServerLeaves, aServer.backend_->Id(), kServesOn);
   if (!aServer.backend_->IsUp()) {
@@ -365,7 +365,7 @@
 }
 
 void
-FaultPlan::EndLeaving(SoakWorld::Server& aServer, const std::string& aId)
+FaultInjector::EndLeaving(SoakEnvironment::Server& aServer, const std::string& aId)
 {
   if (aServer.backend_->Id() != aId || !aServer.backend_->IsUp()) {
     return;
@@ -376,7 +376,7 @@
 }
 
 void
-FaultPlan::LetServerTellLeaving(SoakWorld::Server& aServer)
+FaultInjector::LetServerTellLeaving(SoakEnvironment::Server& aServer)
 {
   Note(SoakFault::ServerTellsLeaving, aServer.backend_->Id(), kTellingAway);
   if (!aServer.backend_->IsUp()) {
@@ -393,7 +393,7 @@
 }
 
 void
-FaultPlan::LetServerRest(SoakWorld::Server& aServer)
+FaultInjector::LetServerRest(SoakEnvironment::Server& aServer)
 {
   const auto rest = DrawFrom(tellsRandom_, kLeastRest, kMostRest);
   const auto time = DrawFrom(tellsRandom_, kLeastTime, kMostTime);
@@ -407,7 +407,7 @@
 }
 
 void
-FaultPlan::LimitServer(SoakWorld::Server& aServer)
+FaultInjector::LimitServer(SoakEnvironment::Server& aServer)
 {
   const double limit = kLeastLimit + limitsRandom_() % (kMostLimit - kLeastLimit + 1);
   const auto time = DrawFrom(limitsRandom_, kLeastLimitTime, kMostLimitTime);
@@ -423,14 +423,14 @@
 }
 
 void
-FaultPlan::EndLimit(SoakWorld::Server& aServer)
+FaultInjector::EndLimit(SoakEnvironment::Server& aServer)
 {
   aServer.backend_->SetRateLimit(std::nullopt);
   world_.Kept().Answers().OnRateLimitNamed(aServer.backend_->Id(), std::nullopt);
 }
 
 void
-FaultPlan::UnlistServer(SoakWorld::Server& aServer, Duration aTime)
+FaultInjector::UnlistServer(SoakEnvironment::Server& aServer, Duration aTime)
 {
   Note(SoakFault::ServerUnlisted, aServer.backend_->Id(), aTime);
   aServer.backend_->RemoveRecord();
@@ -442,14 +442,14 @@
 }
 
 void
-FaultPlan::ChangeConfiguration()
+FaultInjector::ChangeConfiguration()
 {
   Note(SoakFault::ConfigurationChange, "", Duration(0));
   world_.SwitchBookingService();
 }
 
 void
-FaultPlan::ReturnStore()
+FaultInjector::ReturnStore()
 {
   const auto age = DrawFrom(returnsRandom_, Duration(0), kMostTime);
   const auto away = DrawFrom(returnsRandom_, Duration(0), kMostAway);
@@ -472,7 +472,7 @@
 }
 
 void
-FaultPlan::HealAll()
+FaultInjector::HealAll()
 {
   HealStore();
   for (auto& instance : world_.Instances()) {
@@ -485,7 +485,7 @@
 }
 
 void
-FaultPlan::HealStore()
+FaultInjector::HealStore()
 {
   auto& store = world_.Store();
   store.SetDown(false);
@@ -494,7 +494,7 @@
 }
 
 void
-FaultPlan::Heal(SoakWorld::Instance& aInstance)
+FaultInjector::Heal(SoakEnvironment::Instance& aInstance)
 {
   aInstance.storeLink_->SetFault(LinkFault::None);
   if (aInstance.isPaused_) {
@@ -509,7 +509,7 @@
 }
 
 void
-FaultPlan::Heal(SoakWorld::Server& aServer)
+FaultInjector::Heal(SoakEnvironment::Server& aServer)
 {
   auto& backend = *aServer.backend_;
   if (aServer.link_->Fault() != LinkFault::None) {
--- a/Tests/Platform/Soak/FaultPlan.h
+++ b/Tests/Platform/Soak/FaultInjector.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "LibBase/NameTable.h"
-#include "SoakWorld.h"
+#include "SoakEnvironment.h"
 
 #include <random>
 #include <string>
@@ -61,7 +61,7 @@
 // Fault injection: draws faults from a seed and injects them in succession, overlapping and on any
 // part of the fleet. The same seed draws the same faults, but their timing relative to the
 // processes varies from run to run.
-class FaultPlan
+class FaultInjector
 {
 public:
   // Faults that are injected only on request.
@@ -76,7 +76,7 @@
     bool serversLimit_ = false;
   };
 
-  FaultPlan(SoakWorld& aWorld, std::uint32_t aSeed, Extras aExtras);
+  FaultInjector(SoakEnvironment& aWorld, std::uint32_t aSeed, Extras aExtras);
 
   // Injects faults for aTime; some end later.
   void Run(Duration aTime);
@@ -92,16 +92,16 @@
   // Draws a duration between the two, both included.
   Duration Draw(Duration aLeast, Duration aMost);
   std::size_t DrawIndex(std::size_t aCount);
-  SoakWorld::Instance& DrawInstance();
-  SoakWorld::Server& DrawServer();
+  SoakEnvironment::Instance& DrawInstance();
+  SoakEnvironment::Server& DrawServer();
 
   // One function for each fault. aTime is its duration; aDown is the time until whatever was
   // stopped is restarted.
-  void KillInstance(SoakWorld::Instance& aInstance, Duration aDown);
+  void KillInstance(SoakEnvironment::Instance& aInstance, Duration aDown);
   // Shuts down instances gracefully in succession, as an operator does.
   void StopSeries(Duration aGap);
-  void PauseInstance(SoakWorld::Instance& aInstance, Duration aTime);
-  void SignalSettings(const SoakWorld::Instance& aInstance);
+  void PauseInstance(SoakEnvironment::Instance& aInstance, Duration aTime);
+  void SignalSettings(const SoakEnvironment::Instance& aInstance);
   void KillAll(Duration aDown);
   // Applies a random link fault.
   void HarmLink(LoopbackProxy& aLink, SoakFault aFault, const std::string& aWhat);
@@ -109,33 +109,33 @@
   void SlowStore(Duration aTime);
   void LoseStoreAnswers();
   void ForgetStoreHistory();
-  void CrashServer(SoakWorld::Server& aServer, Duration aDown);
-  void LetServerLeave(SoakWorld::Server& aServer);
-  void UnlistServer(SoakWorld::Server& aServer, Duration aTime);
+  void CrashServer(SoakEnvironment::Server& aServer, Duration aDown);
+  void LetServerLeave(SoakEnvironment::Server& aServer);
+  void UnlistServer(SoakEnvironment::Server& aServer, Duration aTime);
   void ChangeConfiguration();
   // Saves a copy of the store, takes the store down some time later, and restores the copy.
   void ReturnStore();
   // The server announces its shutdown in its answers only, as the store is down, and ends.
-  void LetServerTellLeaving(SoakWorld::Server& aServer);
+  void LetServerTellLeaving(SoakEnvironment::Server& aServer);
   // The server rejects all requests for a while and asks for a backoff.
-  void LetServerRest(SoakWorld::Server& aServer);
+  void LetServerRest(SoakEnvironment::Server& aServer);
   // The server names a rate limit for a while.
-  void LimitServer(SoakWorld::Server& aServer);
-  void EndLimit(SoakWorld::Server& aServer);
+  void LimitServer(SoakEnvironment::Server& aServer);
+  void EndLimit(SoakEnvironment::Server& aServer);
 
-  void Kill(SoakWorld::Instance& aInstance, Duration aDown);
-  void Stop(SoakWorld::Instance& aInstance);
+  void Kill(SoakEnvironment::Instance& aInstance, Duration aDown);
+  void Stop(SoakEnvironment::Instance& aInstance);
   // Stops the server at once; connections to it are reset from then on.
-  static void Crash(SoakWorld::Server& aServer);
+  static void Crash(SoakEnvironment::Server& aServer);
   // Stops a server that has announced its shutdown, if it still runs as aId, and restarts it later.
-  void EndLeaving(SoakWorld::Server& aServer, const std::string& aId);
+  void EndLeaving(SoakEnvironment::Server& aServer, const std::string& aId);
   // Restarts the server under the next id, unless it is running.
-  void BeginLife(SoakWorld::Server& aServer);
+  void BeginLife(SoakEnvironment::Server& aServer);
   void HealStore();
-  void Heal(SoakWorld::Instance& aInstance);
-  void Heal(SoakWorld::Server& aServer);
+  void Heal(SoakEnvironment::Instance& aInstance);
+  void Heal(SoakEnvironment::Server& aServer);
 
-  SoakWorld& world_;
+  SoakEnvironment& world_;
   std::minstd_rand random_;
   Extras extras_;
   std::minstd_rand returnsRandom_;
--- a/Tests/Platform/Soak/Promises.cpp
+++ b/Tests/Platform/Soak/GuaranteeChecker.cpp
@@ -1,4 +1,4 @@
-#include "Promises.h"
+#include "GuaranteeChecker.h"
 
 #include <algorithm>
 #include <iostream>
@@ -17,21 +17,23 @@
 } // namespace
 
 void
-Promises::Break(const std::string& aWhat)
+GuaranteeChecker::Break(const std::string& aWhat)
 {
   std::cout << "BROKEN " << aWhat << std::endl;
   broken_.push_back(aWhat);
 }
 
 void
-Promises::OnAsked(const std::string& aRequest, bool aIsBooking, const std::string& aInstance)
+GuaranteeChecker::OnAsked(const std::string& aRequest,
+                          bool aIsBooking,
+                          const std::string& aInstance)
 {
   requests_[aRequest].isBooking_ = aIsBooking;
   answers_.OnAsked(aRequest, aInstance);
 }
 
 void
-Promises::OnRefused(const std::string& aRequest)
+GuaranteeChecker::OnRefused(const std::string& aRequest)
 {
   auto& request = requests_[aRequest];
   request.isRefused_ = true;
@@ -41,9 +43,9 @@
 }
 
 void
-Promises::OnSuccess(const std::string& aRequest,
-                    const std::string& aBody,
-                    const std::string& aSignature)
+GuaranteeChecker::OnSuccess(const std::string& aRequest,
+                            const std::string& aBody,
+                            const std::string& aSignature)
 {
   if (aBody != "answer to " + aRequest || aSignature != "signed-" + aRequest) {
     Break("MIXED " + aRequest + " got the answer: " + aBody);
@@ -51,7 +53,7 @@
 }
 
 void
-Promises::OnArrival(const StandInBackend& aBackend, const std::string& aRequest)
+GuaranteeChecker::OnArrival(const StandInBackend& aBackend, const std::string& aRequest)
 {
   ++arrivals_[aBackend.Id()];
   if (!requests_.contains(aRequest)) {
@@ -64,7 +66,7 @@
 }
 
 void
-Promises::OnRun(const StandInBackend& aBackend, const std::string& aRequest)
+GuaranteeChecker::OnRun(const StandInBackend& aBackend, const std::string& aRequest)
 {
   auto& request = requests_[aRequest];
   ++request.runs_;
@@ -81,7 +83,7 @@
 }
 
 void
-Promises::OnGrant(StandInBackend& aBackend, KeyNumber aFirst, KeyNumber aLast)
+GuaranteeChecker::OnGrant(StandInBackend& aBackend, KeyNumber aFirst, KeyNumber aLast)
 {
   for (const auto* other : listServers_()) {
     if (other == &aBackend || !other->IsUp() || other->Service() != aBackend.Service()) {
@@ -98,7 +100,7 @@
 }
 
 void
-Promises::CheckRetries(double aSeconds)
+GuaranteeChecker::CheckRetries(double aSeconds)
 {
   double repeats = 0;
   for (const auto& [id, request] : requests_) {
@@ -112,14 +114,14 @@
 }
 
 bool
-Promises::HasArrived(const std::string& aRequest) const
+GuaranteeChecker::HasArrived(const std::string& aRequest) const
 {
   const auto found = requests_.find(aRequest);
   return found != requests_.end() && found->second.arrivals_ > 0;
 }
 
 std::size_t
-Promises::ArrivalsOf(const std::string& aServer) const
+GuaranteeChecker::ArrivalsOf(const std::string& aServer) const
 {
   const auto found = arrivals_.find(aServer);
   return found == arrivals_.end() ? 0 : found->second;
--- a/Tests/Platform/Soak/Promises.h
+++ b/Tests/Platform/Soak/GuaranteeChecker.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "AnswerPromises.h"
+#include "AnnouncementChecker.h"
 #include "platform/StandIn/StandInBackend.h"
 
 #include <functional>
@@ -13,13 +13,13 @@
 
 // Checks the system's guarantees as they are visible to clients and servers, and reports each
 // violation when it occurs.
-class Promises : public BackendObserver
+class GuaranteeChecker : public BackendObserver
 {
 public:
   // Returns all servers. No two of them may hold the same key.
   using ListServers = std::function<std::vector<StandInBackend*>()>;
 
-  explicit Promises(ListServers aServers)
+  explicit GuaranteeChecker(ListServers aServers)
     : listServers_(std::move(aServers))
   {
   }
@@ -31,7 +31,7 @@
   void OnLeavingPassedOn(const std::string& aRequest) { answers_.OnLeavingPassedOn(aRequest); }
   // As above, for an answer that names a rate limit.
   void OnRateLimitPassedOn(const std::string& aRequest) { answers_.OnRateLimitPassedOn(aRequest); }
-  AnswerPromises& Answers() { return answers_; }
+  AnnouncementChecker& Answers() { return answers_; }
   // The client was told that the request was not executed and never will be.
   void OnRefused(const std::string& aRequest);
   // The client received a 2xx answer with this body and signature.
@@ -69,7 +69,7 @@
 
   ListServers listServers_;
   std::map<std::string, Request> requests_;
-  AnswerPromises answers_;
+  AnnouncementChecker answers_;
   std::map<std::string, std::size_t> arrivals_;
   std::vector<std::string> broken_;
 };
--- a/Tests/Platform/Soak/CalmChecks.cpp
+++ b/Tests/Platform/Soak/RecoveryChecks.cpp
@@ -1,4 +1,4 @@
-#include "CalmChecks.h"
+#include "RecoveryChecks.h"
 
 #include <algorithm>
 #include <csignal>
@@ -28,7 +28,7 @@
 } // namespace
 
 void
-CalmChecks::Run()
+RecoveryChecks::Run()
 {
   CheckRecovery();
   CheckConfiguration();
@@ -37,7 +37,7 @@
 }
 
 void
-CalmChecks::CheckRecovery()
+RecoveryChecks::CheckRecovery()
 {
   if (!world_.RunUntil([this] { return world_.IsAllServed(); }, kRecovery)) {
     world_.Kept().Break("RECOVER not everything is served after all faults");
@@ -45,7 +45,7 @@
 }
 
 void
-CalmChecks::CheckConfiguration()
+RecoveryChecks::CheckConfiguration()
 {
   const auto former = world_.BookingService();
   world_.SwitchBookingService();
@@ -58,7 +58,7 @@
 }
 
 void
-CalmChecks::CheckDrain()
+RecoveryChecks::CheckDrain()
 {
   auto& server = *world_.Servers().front().backend_;
   server.Leave();
@@ -72,7 +72,7 @@
 }
 
 void
-CalmChecks::CheckStops()
+RecoveryChecks::CheckStops()
 {
   const auto before = world_.Broken().size();
   auto& instances = world_.Instances();
@@ -91,7 +91,7 @@
 }
 
 void
-CalmChecks::CheckStop(SoakWorld::Instance& aInstance)
+RecoveryChecks::CheckStop(SoakEnvironment::Instance& aInstance)
 {
   auto& process = *aInstance.process_;
   if (!world_.RunUntil([&] { return process.HasEnded(); }, kStopped)) {
@@ -103,7 +103,7 @@
 }
 
 void
-CalmChecks::CheckCut(const SoakWorld::BrokenRequest& aRequest)
+RecoveryChecks::CheckCut(const SoakEnvironment::BrokenRequest& aRequest)
 {
   if (world_.Kept().HasArrived(aRequest.id_) || aRequest.age_ > kCrossing) {
     world_.Kept().Break("LOST by a planned stop: " + aRequest.story_);
@@ -113,7 +113,7 @@
 }
 
 std::size_t
-CalmChecks::ArrivalsAt(const std::string& aService)
+RecoveryChecks::ArrivalsAt(const std::string& aService)
 {
   std::size_t arrivals = 0;
   for (auto& server : world_.Servers()) {
--- a/Tests/Platform/Soak/CalmChecks.h
+++ b/Tests/Platform/Soak/RecoveryChecks.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "SoakWorld.h"
+#include "SoakEnvironment.h"
 
 #include <string>
 
@@ -8,10 +8,10 @@
 
 // Checks the guarantees with time limits once all faults have been removed. Violations are reported
 // to the world's guarantee checker.
-class CalmChecks
+class RecoveryChecks
 {
 public:
-  explicit CalmChecks(SoakWorld& aWorld)
+  explicit RecoveryChecks(SoakEnvironment& aWorld)
     : world_(aWorld)
   {
   }
@@ -32,12 +32,12 @@
   // Checks a request that failed during a graceful shutdown. Only a request that crossed the close
   // of its connection may fail: it fails at once and reached no server, so the client can safely
   // retry it.
-  void CheckCut(const SoakWorld::BrokenRequest& aRequest);
-  void CheckStop(SoakWorld::Instance& aInstance);
+  void CheckCut(const SoakEnvironment::BrokenRequest& aRequest);
+  void CheckStop(SoakEnvironment::Instance& aInstance);
   // Number of requests that have reached servers of the service.
   std::size_t ArrivalsAt(const std::string& aService);
 
-  SoakWorld& world_;
+  SoakEnvironment& world_;
 };
 
 } // namespace latchslip::platform
--- a/Tests/Platform/Soak/SoakWorld.cpp
+++ b/Tests/Platform/Soak/SoakEnvironment.cpp
@@ -1,4 +1,4 @@
-#include "SoakWorld.h"
+#include "SoakEnvironment.h"
 
 #include "../FleetDocuments.h"
 #include "LibNet/MonotonicClock.h"
@@ -43,7 +43,7 @@
 
 } // namespace
 
-SoakWorld::SoakWorld(SoakSettings aSettings)
+SoakEnvironment::SoakEnvironment(SoakSettings aSettings)
   : settings_(std::move(aSettings))
   , promises_([this] {
     std::vector<StandInBackend*> backends;
@@ -57,7 +57,7 @@
 }
 
 // The processes are stopped first, because they use everything else.
-SoakWorld::~SoakWorld()
+SoakEnvironment::~SoakEnvironment()
 {
   for (auto& instance : instances_) {
     instance.process_.reset();
@@ -65,7 +65,7 @@
 }
 
 FieldResult<void>
-SoakWorld::Start()
+SoakEnvironment::Start()
 {
   const auto storeAddress = Loopback(settings_.firstPort_ + kStorePort);
   BOOST_OUTCOME_TRY(store_, StandInStore::Create(context_, storeAddress));
@@ -82,7 +82,7 @@
 }
 
 FieldResult<void>
-SoakWorld::AddServers()
+SoakEnvironment::AddServers()
 {
   int port = settings_.firstPort_ + kServerPorts;
   for (int number = 0; number < settings_.servers_; ++number, port += kPortsAServer) {
@@ -98,7 +98,7 @@
 }
 
 FieldResult<void>
-SoakWorld::AddServer(const std::string& aName, const std::string& aService, int aPort)
+SoakEnvironment::AddServer(const std::string& aName, const std::string& aService, int aPort)
 {
   StandInBackend::Settings settings;
   settings.id_ = aName + "-1";
@@ -116,7 +116,7 @@
 }
 
 FieldResult<void>
-SoakWorld::AddInstance(int aNumber)
+SoakEnvironment::AddInstance(int aNumber)
 {
   Instance instance;
   instance.name_ = "edge-" + std::to_string(settings_.firstPort_) + "-" + std::to_string(aNumber);
@@ -131,7 +131,7 @@
 }
 
 void
-SoakWorld::StartInstance(Instance& aInstance)
+SoakEnvironment::StartInstance(Instance& aInstance)
 {
   const auto seed = settings_.firstPort_ + kInstancePorts;
   const auto log =
@@ -148,7 +148,7 @@
 }
 
 void
-SoakWorld::KillInstance(Instance& aInstance)
+SoakEnvironment::KillInstance(Instance& aInstance)
 {
   aInstance.isExpected_ = false;
   aInstance.isPaused_ = false;
@@ -157,33 +157,33 @@
 }
 
 void
-SoakWorld::NoteHealed()
+SoakEnvironment::NoteHealed()
 {
   healedAt_ = MonotonicNow();
 }
 
 void
-SoakWorld::SwitchBookingService()
+SoakEnvironment::SwitchBookingService()
 {
   bookingService_ = bookingService_ == kBookings ? kOthers : kBookings;
   PutConfiguration();
 }
 
 void
-SoakWorld::PutConfiguration()
+SoakEnvironment::PutConfiguration()
 {
   configuration_ += 2;
   WriteConfiguration();
 }
 
 void
-SoakWorld::WriteConfiguration()
+SoakEnvironment::WriteConfiguration()
 {
   store_->Put("op", "config", MakeManifest(configuration_, bookingService_));
 }
 
 void
-SoakWorld::RepeatWrites()
+SoakEnvironment::RepeatWrites()
 {
   WriteConfiguration();
   std::set<std::string> lives;
@@ -199,13 +199,13 @@
 }
 
 void
-SoakWorld::Run(Duration aTime)
+SoakEnvironment::Run(Duration aTime)
 {
   RunUntil([] { return false; }, aTime);
 }
 
 bool
-SoakWorld::RunUntil(const std::function<bool()>& aIsDone, Duration aMost)
+SoakEnvironment::RunUntil(const std::function<bool()>& aIsDone, Duration aMost)
 {
   const auto end = MonotonicNow() + aMost;
   while (MonotonicNow() < end) {
@@ -225,7 +225,7 @@
 }
 
 void
-SoakWorld::SendDue(Instant aNow)
+SoakEnvironment::SendDue(Instant aNow)
 {
   while (isLoaded_ && nextRequest_ <= aNow) {
     nextRequest_ = std::max(nextRequest_ + settings_.pace_, aNow - kStep);
@@ -235,14 +235,14 @@
 }
 
 void
-SoakWorld::Quiesce()
+SoakEnvironment::Quiesce()
 {
   isLoaded_ = false;
   RunUntil([this] { return ended_ == asked_; }, kClientTime + kClientSlack + seconds(1));
 }
 
 void
-SoakWorld::After(Duration aTime, std::function<void()> aWhat)
+SoakEnvironment::After(Duration aTime, std::function<void()> aWhat)
 {
   auto timer = std::make_shared<boost::asio::steady_timer>(context_, aTime);
   timer->async_wait([timer, what = std::move(aWhat)](boost::system::error_code aError) {
@@ -253,7 +253,7 @@
 }
 
 void
-SoakWorld::LookAtProcesses()
+SoakEnvironment::LookAtProcesses()
 {
   for (auto& instance : instances_) {
     if (instance.isExpected_ && instance.process_->HasEnded()) {
@@ -265,7 +265,9 @@
 }
 
 void
-SoakWorld::Ask(Instance& aInstance, bool aIsBooking, const std::function<void(unsigned)>& aDone)
+SoakEnvironment::Ask(Instance& aInstance,
+                     bool aIsBooking,
+                     const std::function<void(unsigned)>& aDone)
 {
   const auto id = "q" + std::to_string(++asked_);
   HttpRequest request;
@@ -291,10 +293,10 @@
 }
 
 unsigned
-SoakWorld::OnAnswered(const std::string& aRequest,
-                      const std::string& aInstance,
-                      Instant aSentAt,
-                      const HttpExchange& aExchange)
+SoakEnvironment::OnAnswered(const std::string& aRequest,
+                            const std::string& aInstance,
+                            Instant aSentAt,
+                            const HttpExchange& aExchange)
 {
   ++ended_;
   if (aExchange.end_ == ExchangeEnd::Broken) {
@@ -323,7 +325,7 @@
 }
 
 bool
-SoakWorld::IsAllServed()
+SoakEnvironment::IsAllServed()
 {
   const bool wasLoaded = std::exchange(isLoaded_, false);
   constexpr int kEach = 6;
--- a/Tests/Platform/Soak/SoakWorld.h
+++ b/Tests/Platform/Soak/SoakEnvironment.h
@@ -1,9 +1,9 @@
 #pragma once
 
 #include "../EntryProcess.h"
+#include "GuaranteeChecker.h"
 #include "LibNet/HttpClient.h"
 #include "LoopbackProxy.h"
-#include "Promises.h"
 #include "platform/StandIn/StandInBackend.h"
 
 #include <boost/asio/io_context.hpp>
@@ -35,7 +35,7 @@
 // The environment of the soak test: a fleet of real processes with test doubles of the store and of
 // the backend servers, connected through proxies that can inject faults, under a steady load of
 // client requests.
-class SoakWorld
+class SoakEnvironment
 {
 public:
   // A gateway instance: its process, and the proxy to the store.
@@ -62,8 +62,8 @@
     std::size_t lives_ = 1;
   };
 
-  explicit SoakWorld(SoakSettings aSettings);
-  ~SoakWorld();
+  explicit SoakEnvironment(SoakSettings aSettings);
+  ~SoakEnvironment();
 
   // Starts everything and waits until all requests are served. The error names what did not start.
   FieldResult<void> Start();
@@ -92,7 +92,7 @@
   std::vector<Instance>& Instances() { return instances_; }
   std::vector<Server>& Servers() { return servers_; }
   StandInStore& Store() { return *store_; }
-  Promises& Kept() { return promises_; }
+  GuaranteeChecker& Kept() { return promises_; }
   // A request that was sent and ended without a complete answer.
   struct BrokenRequest
   {
@@ -131,7 +131,7 @@
 
   SoakSettings settings_;
   boost::asio::io_context context_{ 1 };
-  Promises promises_;
+  GuaranteeChecker promises_;
   std::unique_ptr<StandInStore> store_;
   std::vector<Instance> instances_;
   std::vector<Server> servers_;
--- a/Tests/Platform/Soak/main.cpp
+++ b/Tests/Platform/Soak/main.cpp
@@ -1,9 +1,9 @@
 // Soak test: runs real gateway instances under faults drawn from a seed, and checks the guarantees
 // given to clients and servers. See docs/SOAK.md.
 
-#include "CalmChecks.h"
-#include "FaultPlan.h"
+#include "FaultInjector.h"
 #include "LibNet/MonotonicClock.h"
+#include "RecoveryChecks.h"
 
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
@@ -33,13 +33,13 @@
 
 // Injects faults, removes them all, and checks the guarantees.
 void
-RunFaults(SoakWorld& aWorld, FaultPlan& aPlan, Duration aTime)
+RunFaults(SoakEnvironment& aWorld, FaultInjector& aPlan, Duration aTime)
 {
   const auto begin = MonotonicNow();
   aPlan.Run(aTime);
   aPlan.HealAll();
   aWorld.Run(kSettle);
-  CalmChecks(aWorld).Run();
+  RecoveryChecks(aWorld).Run();
   aWorld.Quiesce();
   aWorld.Kept().CheckRetries(ToSeconds(MonotonicNow() - begin));
 }
@@ -48,13 +48,13 @@
 bool
 RunSeed(const SoakSettings& aSettings, unsigned aSeed, Duration aTime)
 {
-  SoakWorld world(aSettings);
+  SoakEnvironment world(aSettings);
   const auto started = world.Start();
   if (!started) {
     std::cout << "seed " << aSeed << " cannot start: " << started.error().Describe() << '\n';
     return false;
   }
-  FaultPlan plan(
+  FaultInjector plan(
     world,
     aSeed,
     { absl::GetFlag(FLAGS_returns), absl::GetFlag(FLAGS_tells), absl::GetFlag(FLAGS_limits) });
