--- a/Tests/Platform/Soak/AnnouncementChecker.cpp
+++ b/Tests/Platform/Soak/AnnouncementChecker.cpp
@@ -12,9 +12,9 @@
 // announcement must not reach that server.
 constexpr Duration kDrainBound = seconds(2);
 // Requests that arrive within this time after a server asked for a backoff were already in flight.
-constexpr Duration kUnderWay = milliseconds(500);
+constexpr Duration kInFlightTime = milliseconds(500);
 // Requests of one instance that may arrive during a backoff in addition to those in flight.
-constexpr int kMostInRest = 2;
+constexpr int kMaxRequestsInBackoff = 2;
 // From kLimitBound after a limit was first passed on, no window of length kLimitWindow may contain
 // more requests than half as many again as the limit allows, plus kLimitExtra.
 constexpr Duration kLimitBound = seconds(3);
@@ -25,7 +25,7 @@
 } // namespace
 
 void
-AnnouncementChecker::OnAsked(const std::string& aRequest, const std::string& aInstance)
+AnnouncementChecker::OnRequestSent(const std::string& aRequest, const std::string& aInstance)
 {
   requests_[aRequest] = { aInstance, MonotonicNow(), {} };
 }
@@ -33,14 +33,14 @@
 void
 AnnouncementChecker::OnRun(const std::string& aServer, const std::string& aRequest)
 {
-  requests_[aRequest].ranAt_ = aServer;
+  requests_[aRequest].executedBy_ = aServer;
 }
 
 void
 AnnouncementChecker::OnLeavingPassedOn(const std::string& aRequest)
 {
   const auto& request = requests_[aRequest];
-  auto& passedOn = words_[{ request.instance_, request.ranAt_ }].leavingPassedOn_;
+  auto& passedOn = states_[{ request.instance_, request.executedBy_ }].leavingPassedOn_;
   passedOn = passedOn.value_or(MonotonicNow());
 }
 
@@ -48,12 +48,12 @@
 AnnouncementChecker::OnRateLimitPassedOn(const std::string& aRequest)
 {
   const auto& request = requests_[aRequest];
-  const auto limit = limits_.find(request.ranAt_);
+  const auto limit = limits_.find(request.executedBy_);
   if (limit == limits_.end()) {
     return;
   }
   const auto now = MonotonicNow();
-  auto& passedOn = words_[{ request.instance_, request.ranAt_ }].limitPassedOn_;
+  auto& passedOn = states_[{ request.instance_, request.executedBy_ }].limitPassedOn_;
   passedOn = passedOn.value_or(now);
   limit->second.firstPassedOn_ = limit->second.firstPassedOn_.value_or(now);
 }
@@ -62,9 +62,9 @@
 AnnouncementChecker::OnRateLimitNamed(const std::string& aServer, std::optional<double> aLimit)
 {
   limits_.erase(aServer);
-  for (auto& [who, word] : words_) {
-    if (who.second == aServer) {
-      word.limitPassedOn_.reset();
+  for (auto& [description, state] : states_) {
+    if (description.second == aServer) {
+      state.limitPassedOn_.reset();
     }
   }
   if (aLimit) {
@@ -73,11 +73,13 @@
 }
 
 std::optional<std::string>
-AnnouncementChecker::CountAtLimit(NamedLimit& aLimit, const Word& aWord, const std::string& aServer)
+AnnouncementChecker::CountAtLimit(RateLimit& aLimit,
+                                  const AnnouncementState& aState,
+                                  const std::string& aServer)
 {
   const auto now = MonotonicNow();
-  const bool isBound = aLimit.firstPassedOn_ && now >= *aLimit.firstPassedOn_ + kLimitBound;
-  if (!isBound || !aWord.limitPassedOn_ || now < *aWord.limitPassedOn_ + kUnderWay) {
+  const bool isEnforced = aLimit.firstPassedOn_ && now >= *aLimit.firstPassedOn_ + kLimitBound;
+  if (!isEnforced || !aState.limitPassedOn_ || now < *aState.limitPassedOn_ + kInFlightTime) {
     return std::nullopt;
   }
   auto& arrivals = aLimit.arrivals_;
@@ -97,24 +99,24 @@
 AnnouncementChecker::OnArrival(const std::string& aServer, const std::string& aRequest)
 {
   const auto& request = requests_[aRequest];
-  const auto found = words_.find({ request.instance_, aServer });
-  if (found == words_.end()) {
+  const auto found = states_.find({ request.instance_, aServer });
+  if (found == states_.end()) {
     return std::nullopt;
   }
-  auto& word = found->second;
-  const auto who = aRequest + " of " + request.instance_ + " at " + aServer;
-  if (word.leavingPassedOn_ && request.at_ > *word.leavingPassedOn_ + kDrainBound) {
-    return "DRAIN " + who + ", which it had passed on as leaving";
+  auto& state = found->second;
+  const auto description = aRequest + " of " + request.instance_ + " at " + aServer;
+  if (state.leavingPassedOn_ && request.sentAt_ > *state.leavingPassedOn_ + kDrainBound) {
+    return "DRAIN " + description + ", which it had passed on as leaving";
   }
   if (const auto limit = limits_.find(aServer); limit != limits_.end()) {
-    if (auto broken = CountAtLimit(limit->second, word, aServer)) {
+    if (auto broken = CountAtLimit(limit->second, state, aServer)) {
       return broken;
     }
   }
   const auto now = MonotonicNow();
-  word.arrivals_ += now > word.restFrom_ + kUnderWay && now < word.restUntil_ ? 1 : 0;
-  return word.arrivals_ > kMostInRest
-           ? std::optional("BUDGET " + who + ", which wants nothing from it")
+  state.arrivals_ += now > state.backoffFrom_ + kInFlightTime && now < state.backoffUntil_ ? 1 : 0;
+  return state.arrivals_ > kMaxRequestsInBackoff
+           ? std::optional("BUDGET " + description + ", which wants nothing from it")
            : std::nullopt;
 }
 
@@ -123,35 +125,35 @@
                                 const std::string& aRequest,
                                 Duration aBackoff)
 {
-  if (harmed_.contains(aServer)) {
+  if (disturbedServers_.contains(aServer)) {
     return;
   }
-  auto& word = words_[{ requests_[aRequest].instance_, aServer }];
+  auto& state = states_[{ requests_[aRequest].instance_, aServer }];
   const auto now = MonotonicNow();
-  if (now >= word.restUntil_) {
-    word.restFrom_ = now;
-    word.restUntil_ = now + aBackoff;
-    word.arrivals_ = 0;
+  if (now >= state.backoffUntil_) {
+    state.backoffFrom_ = now;
+    state.backoffUntil_ = now + aBackoff;
+    state.arrivals_ = 0;
   }
 }
 
 void
-AnnouncementChecker::ExcuseInstance(const std::string& aInstance)
+AnnouncementChecker::DiscardAnnouncementsTo(const std::string& aInstance)
 {
-  std::erase_if(words_, [&](const auto& aEntry) { return aEntry.first.first == aInstance; });
+  std::erase_if(states_, [&](const auto& aEntry) { return aEntry.first.first == aInstance; });
 }
 
 void
-AnnouncementChecker::SetHarmed(const std::string& aServer, bool aIsHarmed)
+AnnouncementChecker::SetLinkDisturbed(const std::string& aServer, bool aIsDisturbed)
 {
-  std::erase_if(words_, [&](const auto& aEntry) { return aEntry.first.second == aServer; });
+  std::erase_if(states_, [&](const auto& aEntry) { return aEntry.first.second == aServer; });
   if (const auto limit = limits_.find(aServer); limit != limits_.end()) {
     limit->second.arrivals_.clear();
   }
-  if (aIsHarmed) {
-    harmed_.insert(aServer);
+  if (aIsDisturbed) {
+    disturbedServers_.insert(aServer);
   } else {
-    harmed_.erase(aServer);
+    disturbedServers_.erase(aServer);
   }
 }
 
--- a/Tests/Platform/Soak/AnnouncementChecker.h
+++ b/Tests/Platform/Soak/AnnouncementChecker.h
@@ -17,7 +17,7 @@
 {
 public:
   // Called before a client sends a request. aInstance names the instance and its run.
-  void OnAsked(const std::string& aRequest, const std::string& aInstance);
+  void OnRequestSent(const std::string& aRequest, const std::string& aInstance);
   // A client received an answer that announces the shutdown of the server that executed the request
   // last.
   void OnLeavingPassedOn(const std::string& aRequest);
@@ -32,27 +32,27 @@
   std::optional<std::string> OnArrival(const std::string& aServer, const std::string& aRequest);
   void OnRejected(const std::string& aServer, const std::string& aRequest, Duration aBackoff);
   // The instance was suspended, so earlier announcements no longer have to be respected.
-  void ExcuseInstance(const std::string& aInstance);
+  void DiscardAnnouncementsTo(const std::string& aInstance);
   // The link to the server is disturbed or restored: earlier announcements no longer have to be
   // respected, nor do backoffs announced while it is disturbed.
-  void SetHarmed(const std::string& aServer, bool aIsHarmed);
+  void SetLinkDisturbed(const std::string& aServer, bool aIsDisturbed);
 
 private:
   // What one server has announced to one instance.
-  struct Word
+  struct AnnouncementState
   {
     // When the instance first passed on the server's shutdown announcement.
     std::optional<Instant> leavingPassedOn_;
     // The last requested backoff, and the number of requests that arrived during it.
-    Instant restFrom_ = Instant::min();
-    Instant restUntil_ = Instant::min();
+    Instant backoffFrom_ = Instant::min();
+    Instant backoffUntil_ = Instant::min();
     int arrivals_ = 0;
     // When the instance first passed on the rate limit.
     std::optional<Instant> limitPassedOn_;
   };
 
   // A server's current rate limit.
-  struct NamedLimit
+  struct RateLimit
   {
     double limit_ = 0;
     // When any instance first passed it on.
@@ -63,23 +63,23 @@
 
   // Counts a request to a server with a rate limit, if its instance has passed the limit on.
   // Returns a description of the violation if there are too many.
-  std::optional<std::string> CountAtLimit(NamedLimit& aLimit,
-                                          const Word& aWord,
+  std::optional<std::string> CountAtLimit(RateLimit& aLimit,
+                                          const AnnouncementState& aState,
                                           const std::string& aServer);
 
-  struct Asked
+  struct SentRequest
   {
     std::string instance_;
-    Instant at_{ 0 };
-    std::string ranAt_;
+    Instant sentAt_{ 0 };
+    std::string executedBy_;
   };
 
-  std::map<std::string, Asked> requests_;
-  std::set<std::string> harmed_;
+  std::map<std::string, SentRequest> requests_;
+  std::set<std::string> disturbedServers_;
   // By server.
-  std::map<std::string, NamedLimit> limits_;
+  std::map<std::string, RateLimit> limits_;
   // By instance and server.
-  std::map<std::pair<std::string, std::string>, Word> words_;
+  std::map<std::pair<std::string, std::string>, AnnouncementState> states_;
 };
 
 } // namespace latchslip::platform
--- a/Tests/Platform/Soak/FaultInjector.cpp
+++ b/Tests/Platform/Soak/FaultInjector.cpp
@@ -11,61 +11,61 @@
 namespace {
 
 // Time between the starts of two faults.
-constexpr Duration kLeastGap = milliseconds(50);
-constexpr Duration kMostGap = milliseconds(900);
+constexpr Duration kMinGap = milliseconds(50);
+constexpr Duration kMaxGap = milliseconds(900);
 // Duration of a fault that ends by itself.
-constexpr Duration kLeastTime = milliseconds(200);
-constexpr Duration kMostTime = milliseconds(4000);
+constexpr Duration kMinFaultTime = milliseconds(200);
+constexpr Duration kMaxFaultTime = milliseconds(4000);
 // Maximum number of instances that are stopped and restarted in succession.
-constexpr std::size_t kMostSeries = 3;
+constexpr std::size_t kMaxShutdowns = 3;
 // How long a server continues to serve after announcing its shutdown.
-constexpr Duration kServesOn = milliseconds(2600);
+constexpr Duration kShutdownDelay = milliseconds(2600);
 // How long a crashed server's record stays: three missed heartbeats.
-constexpr Duration kRecordStays = milliseconds(1500);
+constexpr Duration kRecordLifetime = milliseconds(1500);
 // Maximum delay of a delayed link, in each direction.
-constexpr Duration kMostDelay = milliseconds(300);
-constexpr int kMostLost = 5;
+constexpr Duration kMaxDelay = milliseconds(300);
+constexpr int kMaxDroppedAnswers = 5;
 // One in this many faults comes with a restore of the store.
-constexpr unsigned kFaultsAReturn = 5;
+constexpr unsigned kFaultsPerRestore = 5;
 // One in this many faults comes with a server that announces a shutdown or a backoff in its
 // answers.
-constexpr unsigned kFaultsATelling = 3;
+constexpr unsigned kFaultsPerAnnouncement = 3;
 // How long the store is down while a server announces its shutdown in its answers only.
-constexpr Duration kTellingAway = milliseconds(4000);
+constexpr Duration kAnnouncementDowntime = milliseconds(4000);
 // Backoff that servers ask for.
-constexpr Duration kLeastRest = milliseconds(600);
-constexpr Duration kMostRest = milliseconds(3000);
+constexpr Duration kMinBackoff = milliseconds(600);
+constexpr Duration kMaxBackoff = milliseconds(3000);
 // One in this many faults comes with a server that names a rate limit, in requests a second, for a
 // while. A server usually gets some 17 requests a second.
-constexpr unsigned kFaultsALimit = 3;
-constexpr unsigned kLeastLimit = 1;
-constexpr unsigned kMostLimit = 6;
-constexpr Duration kLeastLimitTime = milliseconds(5000);
-constexpr Duration kMostLimitTime = milliseconds(12000);
+constexpr unsigned kFaultsPerLimit = 3;
+constexpr unsigned kMinLimit = 1;
+constexpr unsigned kMaxLimit = 6;
+constexpr Duration kMinLimitTime = milliseconds(5000);
+constexpr Duration kMaxLimitTime = milliseconds(12000);
 // Maximum downtime of the store before it is restored.
-constexpr Duration kMostAway = milliseconds(1500);
+constexpr Duration kMaxDowntime = milliseconds(1500);
 // Writes by others that a restore loses: one second of writes to the store of a small fleet.
 constexpr int kLostWrites = 400;
 // Servers and operators repeat their lost writes within this time.
-constexpr Duration kMostWriteAgain = milliseconds(1800);
+constexpr Duration kMaxRewriteDelay = milliseconds(1800);
 
 // Draws a duration between the two, both included.
 Duration
-DrawFrom(std::minstd_rand& aRandom, Duration aLeast, Duration aMost)
+DrawFrom(std::minstd_rand& aRandom, Duration aMin, Duration aMax)
 {
   return Duration(
-    std::uniform_int_distribution<Duration::rep>(aLeast.count(), aMost.count())(aRandom));
+    std::uniform_int_distribution<Duration::rep>(aMin.count(), aMax.count())(aRandom));
 }
 
 } // namespace
 
-FaultInjector::FaultInjector(SoakEnvironment& aWorld, std::uint32_t aSeed, Extras aExtras)
-  : world_(aWorld)
+FaultInjector::FaultInjector(SoakEnvironment& aEnvironment, std::uint32_t aSeed, Extras aExtras)
+  : environment_(aEnvironment)
   , random_(aSeed)
   , extras_(aExtras)
-  , returnsRandom_(aSeed)
-  , tellsRandom_(aSeed)
-  , limitsRandom_(aSeed)
+  , restoreRandom_(aSeed)
+  , announcementRandom_(aSeed)
+  , limitRandom_(aSeed)
   , startedAt_(MonotonicNow())
 {
 }
@@ -76,28 +76,28 @@
   const auto end = MonotonicNow() + aTime;
   while (MonotonicNow() < end) {
     Inject(static_cast<SoakFault>(DrawIndex(kDrawnFaults)));
-    if (extras_.storeReturns_ && returnsRandom_() % kFaultsAReturn == 0) {
-      ReturnStore();
+    if (extras_.storeRestores_ && restoreRandom_() % kFaultsPerRestore == 0) {
+      RestoreStore();
     }
-    if (extras_.serversTell_ && tellsRandom_() % kFaultsATelling == 0) {
-      auto& server = world_.Servers()[tellsRandom_() % world_.Servers().size()];
-      if (tellsRandom_() % 2 == 0) {
-        LetServerTellLeaving(server);
+    if (extras_.serversAnnounce_ && announcementRandom_() % kFaultsPerAnnouncement == 0) {
+      auto& server = environment_.Servers()[announcementRandom_() % environment_.Servers().size()];
+      if (announcementRandom_() % 2 == 0) {
+        AnnounceShutdownInAnswers(server);
       } else {
-        LetServerRest(server);
+        RequestBackoff(server);
       }
     }
-    if (extras_.serversLimit_ && limitsRandom_() % kFaultsALimit == 0) {
-      LimitServer(world_.Servers()[limitsRandom_() % world_.Servers().size()]);
+    if (extras_.serversNameLimits_ && limitRandom_() % kFaultsPerLimit == 0) {
+      SetServerLimit(environment_.Servers()[limitRandom_() % environment_.Servers().size()]);
     }
-    world_.Run(Draw(kLeastGap, kMostGap));
+    environment_.Run(Draw(kMinGap, kMaxGap));
   }
 }
 
 Duration
-FaultInjector::Draw(Duration aLeast, Duration aMost)
+FaultInjector::Draw(Duration aMin, Duration aMax)
 {
-  return DrawFrom(random_, aLeast, aMost);
+  return DrawFrom(random_, aMin, aMax);
 }
 
 std::size_t
@@ -109,17 +109,17 @@
 SoakEnvironment::Instance&
 FaultInjector::DrawInstance()
 {
-  return world_.Instances()[DrawIndex(world_.Instances().size())];
+  return environment_.Instances()[DrawIndex(environment_.Instances().size())];
 }
 
 SoakEnvironment::Server&
 FaultInjector::DrawServer()
 {
-  return world_.Servers()[DrawIndex(world_.Servers().size())];
+  return environment_.Servers()[DrawIndex(environment_.Servers().size())];
 }
 
 void
-FaultInjector::Note(SoakFault aFault, const std::string& aWhat, Duration aTime)
+FaultInjector::LogFault(SoakFault aFault, const std::string& aWhat, Duration aTime)
 {
   char line[160];
   std::snprintf(line,
@@ -129,13 +129,13 @@
                 std::string(kSoakFaultNames.NameOf(aFault)).c_str(),
                 aWhat.c_str(),
                 ToSeconds(aTime));
-  story_ += line;
+  faultLog_ += line;
 }
 
 void
 FaultInjector::Inject(SoakFault aFault)
 {
-  const auto time = Draw(kLeastTime, kMostTime);
+  const auto time = Draw(kMinFaultTime, kMaxFaultTime);
   auto& instance = DrawInstance();
   auto& server = DrawServer();
   switch (aFault) {
@@ -150,63 +150,63 @@
     case SoakFault::KillAll:
       return KillAll(time / 4);
     case SoakFault::StoreLink:
-      return HarmLink(*instance.storeLink_, aFault, instance.name_);
+      return DisturbLink(*instance.storeLink_, aFault, instance.name_);
     case SoakFault::ServerLink:
-      HarmLink(*server.link_, aFault, server.backend_->Id());
+      DisturbLink(*server.link_, aFault, server.backend_->Id());
       return;
     case SoakFault::StoreDown:
       return TakeStoreDown(time);
     case SoakFault::StoreSlow:
       return SlowStore(time);
-    case SoakFault::StoreLosesAnswers:
-      return LoseStoreAnswers();
-    case SoakFault::StoreForgets:
-      return ForgetStoreHistory();
+    case SoakFault::StoreDropsAnswers:
+      return DropStoreAnswers();
+    case SoakFault::StoreDropsHistory:
+      return DropStoreHistory();
     case SoakFault::ServerCrash:
       return CrashServer(server, time);
     case SoakFault::ServerLeaves:
-      return LetServerLeave(server);
-    case SoakFault::ServerUnlisted:
-      return UnlistServer(server, time);
+      return ShutDownServer(server);
+    case SoakFault::ServerRecordRemoved:
+      return RemoveServerRecord(server, time);
     case SoakFault::ConfigurationChange:
       return ChangeConfiguration();
-    case SoakFault::StoreReturns:
-      return ReturnStore();
-    case SoakFault::ServerTellsLeaving:
-      return LetServerTellLeaving(server);
-    case SoakFault::ServerAsksForRest:
-      return LetServerRest(server);
+    case SoakFault::StoreRestored:
+      return RestoreStore();
+    case SoakFault::ServerAnnouncesLeaving:
+      return AnnounceShutdownInAnswers(server);
+    case SoakFault::ServerRequestsBackoff:
+      return RequestBackoff(server);
     case SoakFault::ServerNamesRateLimit:
-      return LimitServer(server);
+      return SetServerLimit(server);
   }
 }
 
 void
-FaultInjector::KillInstance(SoakEnvironment::Instance& aInstance, Duration aDown)
+FaultInjector::KillInstance(SoakEnvironment::Instance& aInstance, Duration aDowntime)
 {
-  Note(SoakFault::KillInstance, aInstance.name_, aDown);
-  Kill(aInstance, aDown);
+  LogFault(SoakFault::KillInstance, aInstance.name_, aDowntime);
+  Kill(aInstance, aDowntime);
 }
 
 void
-FaultInjector::KillAll(Duration aDown)
+FaultInjector::KillAll(Duration aDowntime)
 {
-  Note(SoakFault::KillAll, "", aDown);
-  for (auto& instance : world_.Instances()) {
-    Kill(instance, aDown);
+  LogFault(SoakFault::KillAll, "", aDowntime);
+  for (auto& instance : environment_.Instances()) {
+    Kill(instance, aDowntime);
   }
 }
 
 void
-FaultInjector::Kill(SoakEnvironment::Instance& aInstance, Duration aDown)
+FaultInjector::Kill(SoakEnvironment::Instance& aInstance, Duration aDowntime)
 {
-  if (!aInstance.isExpected_) {
+  if (!aInstance.shouldRun_) {
     return;
   }
-  world_.KillInstance(aInstance);
-  world_.After(aDown, [this, &aInstance, run = aInstance.runs_] {
+  environment_.KillInstance(aInstance);
+  environment_.After(aDowntime, [this, &aInstance, run = aInstance.runs_] {
     if (aInstance.runs_ == run) {
-      world_.StartInstance(aInstance);
+      environment_.StartInstance(aInstance);
     }
   });
 }
@@ -214,28 +214,28 @@
 void
 FaultInjector::StopSeries(Duration aGap)
 {
-  for (std::size_t count = 1 + DrawIndex(kMostSeries); count > 0; --count) {
+  for (std::size_t count = 1 + DrawIndex(kMaxShutdowns); count > 0; --count) {
     auto& instance = DrawInstance();
-    Note(SoakFault::StopInstance, instance.name_, Duration(0));
+    LogFault(SoakFault::StopInstance, instance.name_, Duration(0));
     Stop(instance);
-    world_.Run(aGap);
+    environment_.Run(aGap);
   }
 }
 
 void
 FaultInjector::Stop(SoakEnvironment::Instance& aInstance)
 {
-  if (!aInstance.isExpected_ || aInstance.isPaused_) {
+  if (!aInstance.shouldRun_ || aInstance.isPaused_) {
     return;
   }
-  aInstance.isExpected_ = false;
+  aInstance.shouldRun_ = false;
   aInstance.process_->Signal(SIGTERM);
   // The platform kills the process after the grace period.
   constexpr Duration kGrace = seconds(6);
-  world_.After(kGrace, [this, &aInstance, run = aInstance.runs_] {
+  environment_.After(kGrace, [this, &aInstance, run = aInstance.runs_] {
     if (aInstance.runs_ == run) {
-      world_.KillInstance(aInstance);
-      world_.StartInstance(aInstance);
+      environment_.KillInstance(aInstance);
+      environment_.StartInstance(aInstance);
     }
   });
 }
@@ -243,18 +243,18 @@
 void
 FaultInjector::PauseInstance(SoakEnvironment::Instance& aInstance, Duration aTime)
 {
-  Note(SoakFault::PauseInstance, aInstance.name_, aTime);
-  if (!aInstance.isExpected_ || aInstance.isPaused_) {
+  LogFault(SoakFault::PauseInstance, aInstance.name_, aTime);
+  if (!aInstance.shouldRun_ || aInstance.isPaused_) {
     return;
   }
   aInstance.isPaused_ = true;
   aInstance.process_->Signal(SIGSTOP);
-  world_.After(aTime, [this, &aInstance, run = aInstance.runs_] {
+  environment_.After(aTime, [this, &aInstance, run = aInstance.runs_] {
     if (aInstance.runs_ == run && aInstance.isPaused_) {
-      world_.Kept().Answers().ExcuseInstance(aInstance.Run());
+      environment_.Guarantees().Announcements().DiscardAnnouncementsTo(aInstance.RunId());
       aInstance.isPaused_ = false;
       aInstance.process_->Signal(SIGCONT);
-      world_.NoteHealed();
+      environment_.OnRecovered();
     }
   });
 }
@@ -262,28 +262,28 @@
 void
 FaultInjector::SignalSettings(const SoakEnvironment::Instance& aInstance)
 {
-  Note(SoakFault::SettingsSignal, aInstance.name_, Duration(0));
-  if (aInstance.isExpected_) {
+  LogFault(SoakFault::SettingsSignal, aInstance.name_, Duration(0));
+  if (aInstance.shouldRun_) {
     aInstance.process_->Signal(SIGHUP);
   }
 }
 
 void
-FaultInjector::HarmLink(LoopbackProxy& aLink, SoakFault aFault, const std::string& aWhat)
+FaultInjector::DisturbLink(LoopbackProxy& aLink, SoakFault aFault, const std::string& aWhat)
 {
   const auto kind = static_cast<LinkFault>(1 + DrawIndex(kLinkFaultNames.names_.size() - 1));
-  const auto time = Draw(kLeastTime, kMostTime);
+  const auto time = Draw(kMinFaultTime, kMaxFaultTime);
   if (aLink.Fault() != LinkFault::None) {
     return;
   }
-  Note(aFault, aWhat + " " + std::string(kLinkFaultNames.NameOf(kind)), time);
-  world_.Kept().Answers().SetHarmed(aWhat, true);
-  aLink.SetFault(kind, Draw(Duration(0), kMostDelay));
-  world_.After(time, [this, &aLink, kind, aWhat] {
+  LogFault(aFault, aWhat + " " + std::string(kLinkFaultNames.NameOf(kind)), time);
+  environment_.Guarantees().Announcements().SetLinkDisturbed(aWhat, true);
+  aLink.SetFault(kind, Draw(Duration(0), kMaxDelay));
+  environment_.After(time, [this, &aLink, kind, aWhat] {
     if (aLink.Fault() == kind) {
-      world_.Kept().Answers().SetHarmed(aWhat, false);
+      environment_.Guarantees().Announcements().SetLinkDisturbed(aWhat, false);
       aLink.SetFault(LinkFault::None);
-      world_.NoteHealed();
+      environment_.OnRecovered();
     }
   });
 }
@@ -291,46 +291,46 @@
 void
 FaultInjector::TakeStoreDown(Duration aTime)
 {
-  Note(SoakFault::StoreDown, "", aTime);
-  auto& store = world_.Store();
+  LogFault(SoakFault::StoreDown, "", aTime);
+  auto& store = environment_.Store();
   store.SetDown(true);
-  world_.After(aTime, [&store] { store.SetDown(false); });
+  environment_.After(aTime, [&store] { store.SetDown(false); });
 }
 
 void
 FaultInjector::SlowStore(Duration aTime)
 {
-  Note(SoakFault::StoreSlow, "", aTime);
-  auto& store = world_.Store();
-  store.SetDelay(Draw(Duration(0), kMostDelay));
-  world_.After(aTime, [&store] { store.SetDelay(Duration(0)); });
+  LogFault(SoakFault::StoreSlow, "", aTime);
+  auto& store = environment_.Store();
+  store.SetDelay(Draw(Duration(0), kMaxDelay));
+  environment_.After(aTime, [&store] { store.SetDelay(Duration(0)); });
 }
 
 void
-FaultInjector::LoseStoreAnswers()
+FaultInjector::DropStoreAnswers()
 {
-  Note(SoakFault::StoreLosesAnswers, "", Duration(0));
-  world_.Store().DropAnswers(static_cast<int>(1 + DrawIndex(kMostLost)));
+  LogFault(SoakFault::StoreDropsAnswers, "", Duration(0));
+  environment_.Store().DropAnswers(static_cast<int>(1 + DrawIndex(kMaxDroppedAnswers)));
 }
 
 void
-FaultInjector::ForgetStoreHistory()
+FaultInjector::DropStoreHistory()
 {
-  Note(SoakFault::StoreForgets, "", Duration(0));
-  world_.Store().DropHistory();
+  LogFault(SoakFault::StoreDropsHistory, "", Duration(0));
+  environment_.Store().DropHistory();
 }
 
 void
-FaultInjector::CrashServer(SoakEnvironment::Server& aServer, Duration aDown)
+FaultInjector::CrashServer(SoakEnvironment::Server& aServer, Duration aDowntime)
 {
-  Note(SoakFault::ServerCrash, aServer.backend_->Id(), aDown);
+  LogFault(SoakFault::ServerCrash, aServer.backend_->Id(), aDowntime);
   Crash(aServer);
-  world_.After(kRecordStays, [&aServer, id = aServer.backend_->Id()] {
+  environment_.After(kRecordLifetime, [&aServer, id = aServer.backend_->Id()] {
     if (aServer.backend_->Id() == id && !aServer.backend_->IsUp()) {
       aServer.backend_->RemoveRecord();
     }
   });
-  world_.After(aDown, [this, &aServer] { BeginLife(aServer); });
+  environment_.After(aDowntime, [this, &aServer] { BeginLife(aServer); });
 }
 
 void
@@ -349,57 +349,59 @@
   const auto id = aServer.backend_->Id();
   aServer.backend_->RemoveRecord();
   aServer.link_->SetFault(LinkFault::None);
-  aServer.backend_->BeginLife(id.substr(0, id.find('-') + 1) + std::to_string(++aServer.lives_));
+  aServer.backend_->BeginLife(id.substr(0, id.find('-') + 1) +
+                              std::to_string(++aServer.incarnations_));
 }
 
 void
-FaultInjector::LetServerLeave(SoakEnvironment::Server& aServer)
+FaultInjector::ShutDownServer(SoakEnvironment::Server& aServer)
 {
-  Note(SoakFault::ServerLeaves, aServer.backend_->Id(), kServesOn);
+  LogFault(SoakFault::ServerLeaves, aServer.backend_->Id(), kShutdownDelay);
   if (!aServer.backend_->IsUp()) {
     return;
   }
   aServer.backend_->Leave();
-  world_.After(kServesOn,
-               [this, &aServer, id = aServer.backend_->Id()] { EndLeaving(aServer, id); });
+  environment_.After(kShutdownDelay, [this, &aServer, id = aServer.backend_->Id()] {
+    FinishServerShutdown(aServer, id);
+  });
 }
 
 void
-FaultInjector::EndLeaving(SoakEnvironment::Server& aServer, const std::string& aId)
+FaultInjector::FinishServerShutdown(SoakEnvironment::Server& aServer, const std::string& aId)
 {
   if (aServer.backend_->Id() != aId || !aServer.backend_->IsUp()) {
     return;
   }
   Crash(aServer);
   aServer.backend_->RemoveRecord();
-  world_.After(kServesOn, [this, &aServer] { BeginLife(aServer); });
+  environment_.After(kShutdownDelay, [this, &aServer] { BeginLife(aServer); });
 }
 
 void
-FaultInjector::LetServerTellLeaving(SoakEnvironment::Server& aServer)
+FaultInjector::AnnounceShutdownInAnswers(SoakEnvironment::Server& aServer)
 {
-  Note(SoakFault::ServerTellsLeaving, aServer.backend_->Id(), kTellingAway);
+  LogFault(SoakFault::ServerAnnouncesLeaving, aServer.backend_->Id(), kAnnouncementDowntime);
   if (!aServer.backend_->IsUp()) {
     return;
   }
-  world_.Store().SetDown(true);
+  environment_.Store().SetDown(true);
   aServer.backend_->AnnounceLeaving();
-  world_.After(kTellingAway, [this, &aServer, id = aServer.backend_->Id()] {
-    world_.Store().SetDown(false);
+  environment_.After(kAnnouncementDowntime, [this, &aServer, id = aServer.backend_->Id()] {
+    environment_.Store().SetDown(false);
     if (aServer.backend_->Id() == id && aServer.backend_->IsUp()) {
-      LetServerLeave(aServer);
+      ShutDownServer(aServer);
     }
   });
 }
 
 void
-FaultInjector::LetServerRest(SoakEnvironment::Server& aServer)
+FaultInjector::RequestBackoff(SoakEnvironment::Server& aServer)
 {
-  const auto rest = DrawFrom(tellsRandom_, kLeastRest, kMostRest);
-  const auto time = DrawFrom(tellsRandom_, kLeastTime, kMostTime);
-  Note(SoakFault::ServerAsksForRest, aServer.backend_->Id(), rest);
-  aServer.backend_->SetBackoff(rest);
-  world_.After(time, [&aServer, id = aServer.backend_->Id()] {
+  const auto backoff = DrawFrom(announcementRandom_, kMinBackoff, kMaxBackoff);
+  const auto time = DrawFrom(announcementRandom_, kMinFaultTime, kMaxFaultTime);
+  LogFault(SoakFault::ServerRequestsBackoff, aServer.backend_->Id(), backoff);
+  aServer.backend_->SetBackoff(backoff);
+  environment_.After(time, [&aServer, id = aServer.backend_->Id()] {
     if (aServer.backend_->Id() == id) {
       aServer.backend_->SetBackoff(std::nullopt);
     }
@@ -407,34 +409,34 @@
 }
 
 void
-FaultInjector::LimitServer(SoakEnvironment::Server& aServer)
+FaultInjector::SetServerLimit(SoakEnvironment::Server& aServer)
 {
-  const double limit = kLeastLimit + limitsRandom_() % (kMostLimit - kLeastLimit + 1);
-  const auto time = DrawFrom(limitsRandom_, kLeastLimitTime, kMostLimitTime);
+  const double limit = kMinLimit + limitRandom_() % (kMaxLimit - kMinLimit + 1);
+  const auto time = DrawFrom(limitRandom_, kMinLimitTime, kMaxLimitTime);
   const auto id = aServer.backend_->Id();
-  Note(SoakFault::ServerNamesRateLimit, id + " at " + std::to_string(limit), time);
+  LogFault(SoakFault::ServerNamesRateLimit, id + " at " + std::to_string(limit), time);
   aServer.backend_->SetRateLimit(limit);
-  world_.Kept().Answers().OnRateLimitNamed(id, limit);
-  world_.After(time, [this, &aServer, id] {
+  environment_.Guarantees().Announcements().OnRateLimitNamed(id, limit);
+  environment_.After(time, [this, &aServer, id] {
     if (aServer.backend_->Id() == id) {
-      EndLimit(aServer);
+      ClearServerLimit(aServer);
     }
   });
 }
 
 void
-FaultInjector::EndLimit(SoakEnvironment::Server& aServer)
+FaultInjector::ClearServerLimit(SoakEnvironment::Server& aServer)
 {
   aServer.backend_->SetRateLimit(std::nullopt);
-  world_.Kept().Answers().OnRateLimitNamed(aServer.backend_->Id(), std::nullopt);
+  environment_.Guarantees().Announcements().OnRateLimitNamed(aServer.backend_->Id(), std::nullopt);
 }
 
 void
-FaultInjector::UnlistServer(SoakEnvironment::Server& aServer, Duration aTime)
+FaultInjector::RemoveServerRecord(SoakEnvironment::Server& aServer, Duration aTime)
 {
-  Note(SoakFault::ServerUnlisted, aServer.backend_->Id(), aTime);
+  LogFault(SoakFault::ServerRecordRemoved, aServer.backend_->Id(), aTime);
   aServer.backend_->RemoveRecord();
-  world_.After(aTime, [&aServer, id = aServer.backend_->Id()] {
+  environment_.After(aTime, [&aServer, id = aServer.backend_->Id()] {
     if (aServer.backend_->Id() == id && aServer.backend_->IsUp()) {
       aServer.backend_->RestoreRecord();
     }
@@ -444,50 +446,50 @@
 void
 FaultInjector::ChangeConfiguration()
 {
-  Note(SoakFault::ConfigurationChange, "", Duration(0));
-  world_.SwitchBookingService();
+  LogFault(SoakFault::ConfigurationChange, "", Duration(0));
+  environment_.SwitchBookingService();
 }
 
 void
-FaultInjector::ReturnStore()
+FaultInjector::RestoreStore()
 {
-  const auto age = DrawFrom(returnsRandom_, Duration(0), kMostTime);
-  const auto away = DrawFrom(returnsRandom_, Duration(0), kMostAway);
-  Note(SoakFault::StoreReturns, "from a copy as old as this:", age);
-  world_.Store().SaveCopy();
-  world_.After(age, [this] {
+  const auto age = DrawFrom(restoreRandom_, Duration(0), kMaxFaultTime);
+  const auto downtime = DrawFrom(restoreRandom_, Duration(0), kMaxDowntime);
+  LogFault(SoakFault::StoreRestored, "from a copy as old as this:", age);
+  environment_.Store().SaveCopy();
+  environment_.After(age, [this] {
     // Other writers advance the version counter, so that the restored store takes long to reach its
     // old value.
     for (int write = 0; write < kLostWrites; ++write) {
-      world_.Store().Put("others", "row", std::to_string(write));
+      environment_.Store().Put("others", "row", std::to_string(write));
     }
-    world_.Store().SetDown(true);
+    environment_.Store().SetDown(true);
   });
-  world_.After(age + away, [this] {
-    world_.Store().RestoreCopy();
-    world_.Store().SetDown(false);
+  environment_.After(age + downtime, [this] {
+    environment_.Store().RestoreCopy();
+    environment_.Store().SetDown(false);
   });
-  const auto writeAgain = DrawFrom(returnsRandom_, Duration(0), kMostWriteAgain);
-  world_.After(age + away + writeAgain, [this] { world_.RepeatWrites(); });
+  const auto rewriteDelay = DrawFrom(restoreRandom_, Duration(0), kMaxRewriteDelay);
+  environment_.After(age + downtime + rewriteDelay, [this] { environment_.RepeatWrites(); });
 }
 
 void
 FaultInjector::HealAll()
 {
   HealStore();
-  for (auto& instance : world_.Instances()) {
+  for (auto& instance : environment_.Instances()) {
     Heal(instance);
   }
-  for (auto& server : world_.Servers()) {
+  for (auto& server : environment_.Servers()) {
     Heal(server);
   }
-  world_.NoteHealed();
+  environment_.OnRecovered();
 }
 
 void
 FaultInjector::HealStore()
 {
-  auto& store = world_.Store();
+  auto& store = environment_.Store();
   store.SetDown(false);
   store.SetDelay(Duration(0));
   store.DropAnswers(0);
@@ -498,13 +500,13 @@
 {
   aInstance.storeLink_->SetFault(LinkFault::None);
   if (aInstance.isPaused_) {
-    world_.Kept().Answers().ExcuseInstance(aInstance.Run());
+    environment_.Guarantees().Announcements().DiscardAnnouncementsTo(aInstance.RunId());
     aInstance.isPaused_ = false;
     aInstance.process_->Signal(SIGCONT);
   }
-  if (!aInstance.isExpected_) {
-    world_.KillInstance(aInstance);
-    world_.StartInstance(aInstance);
+  if (!aInstance.shouldRun_) {
+    environment_.KillInstance(aInstance);
+    environment_.StartInstance(aInstance);
   }
 }
 
@@ -513,11 +515,11 @@
 {
   auto& backend = *aServer.backend_;
   if (aServer.link_->Fault() != LinkFault::None) {
-    world_.Kept().Answers().SetHarmed(backend.Id(), false);
+    environment_.Guarantees().Announcements().SetLinkDisturbed(backend.Id(), false);
     aServer.link_->SetFault(LinkFault::None);
   }
   backend.SetBackoff(std::nullopt);
-  EndLimit(aServer);
+  ClearServerLimit(aServer);
   if (backend.IsUp() && backend.IsLeaving()) {
     // A server never revokes its shutdown announcement.
     Crash(aServer);
--- a/Tests/Platform/Soak/GuaranteeChecker.cpp
+++ b/Tests/Platform/Soak/GuaranteeChecker.cpp
@@ -17,19 +17,19 @@
 } // namespace
 
 void
-GuaranteeChecker::Break(const std::string& aWhat)
+GuaranteeChecker::ReportViolation(const std::string& aWhat)
 {
   std::cout << "BROKEN " << aWhat << std::endl;
-  broken_.push_back(aWhat);
+  violations_.push_back(aWhat);
 }
 
 void
-GuaranteeChecker::OnAsked(const std::string& aRequest,
-                          bool aIsBooking,
-                          const std::string& aInstance)
+GuaranteeChecker::OnRequestSent(const std::string& aRequest,
+                                bool aIsBooking,
+                                const std::string& aInstance)
 {
   requests_[aRequest].isBooking_ = aIsBooking;
-  answers_.OnAsked(aRequest, aInstance);
+  announcements_.OnRequestSent(aRequest, aInstance);
 }
 
 void
@@ -38,7 +38,7 @@
   auto& request = requests_[aRequest];
   request.isRefused_ = true;
   if (request.isBooking_ && request.runs_ > 0) {
-    Break("REFUSED " + aRequest + " was said not to have run, and has");
+    ReportViolation("REFUSED " + aRequest + " was said not to have run, and has");
   }
 }
 
@@ -48,7 +48,7 @@
                             const std::string& aSignature)
 {
   if (aBody != "answer to " + aRequest || aSignature != "signed-" + aRequest) {
-    Break("MIXED " + aRequest + " got the answer: " + aBody);
+    ReportViolation("MIXED " + aRequest + " got the answer: " + aBody);
   }
 }
 
@@ -57,11 +57,11 @@
 {
   ++arrivals_[aBackend.Id()];
   if (!requests_.contains(aRequest)) {
-    Break("UNASKED " + aRequest + " at " + aBackend.Id());
+    ReportViolation("UNASKED " + aRequest + " at " + aBackend.Id());
   }
   ++requests_[aRequest].arrivals_;
-  if (const auto broken = answers_.OnArrival(aBackend.Id(), aRequest)) {
-    Break(*broken);
+  if (const auto violation = announcements_.OnArrival(aBackend.Id(), aRequest)) {
+    ReportViolation(*violation);
   }
 }
 
@@ -70,15 +70,15 @@
 {
   auto& request = requests_[aRequest];
   ++request.runs_;
-  answers_.OnRun(aBackend.Id(), aRequest);
+  announcements_.OnRun(aBackend.Id(), aRequest);
   if (!request.isBooking_) {
     return;
   }
   if (request.runs_ > 1) {
-    Break("TWICE " + aRequest + " at " + aBackend.Id());
+    ReportViolation("TWICE " + aRequest + " at " + aBackend.Id());
   }
   if (request.isRefused_) {
-    Break("REFUSED " + aRequest + " runs at " + aBackend.Id() + " after its refusal");
+    ReportViolation("REFUSED " + aRequest + " runs at " + aBackend.Id() + " after its refusal");
   }
 }
 
@@ -91,8 +91,8 @@
     }
     for (auto key = aFirst; key <= aLast; ++key) {
       if (other->HoldsValidLease(key) && aBackend.HoldsValidLease(key)) {
-        Break("OWNER key " + std::to_string(key) + " is held by " + other->Id() + " and " +
-              aBackend.Id());
+        ReportViolation("OWNER key " + std::to_string(key) + " is held by " + other->Id() +
+                        " and " + aBackend.Id());
         return;
       }
     }
@@ -106,10 +106,11 @@
   for (const auto& [id, request] : requests_) {
     repeats += std::max(0, request.arrivals_ - 1);
   }
-  const auto most = kRetryRatio * static_cast<double>(requests_.size()) +
-                    kServices * kRetryExtra * (1 + aSeconds / kRetryWindow);
-  if (repeats > most) {
-    Break("BUDGET " + std::to_string(repeats) + " repeats, " + std::to_string(most) + " allowed");
+  const auto allowed = kRetryRatio * static_cast<double>(requests_.size()) +
+                       kServices * kRetryExtra * (1 + aSeconds / kRetryWindow);
+  if (repeats > allowed) {
+    ReportViolation("BUDGET " + std::to_string(repeats) + " repeats, " + std::to_string(allowed) +
+                    " allowed");
   }
 }
 
--- a/Tests/Platform/Soak/GuaranteeChecker.h
+++ b/Tests/Platform/Soak/GuaranteeChecker.h
@@ -25,13 +25,19 @@
   }
 
   // Called before a client sends a request. aInstance names the instance and its run.
-  void OnAsked(const std::string& aRequest, bool aIsBooking, const std::string& aInstance);
+  void OnRequestSent(const std::string& aRequest, bool aIsBooking, const std::string& aInstance);
   // The client received an answer that announces the shutdown of the server that executed the
   // request last.
-  void OnLeavingPassedOn(const std::string& aRequest) { answers_.OnLeavingPassedOn(aRequest); }
+  void OnLeavingPassedOn(const std::string& aRequest)
+  {
+    announcements_.OnLeavingPassedOn(aRequest);
+  }
   // As above, for an answer that names a rate limit.
-  void OnRateLimitPassedOn(const std::string& aRequest) { answers_.OnRateLimitPassedOn(aRequest); }
-  AnnouncementChecker& Answers() { return answers_; }
+  void OnRateLimitPassedOn(const std::string& aRequest)
+  {
+    announcements_.OnRateLimitPassedOn(aRequest);
+  }
+  AnnouncementChecker& Announcements() { return announcements_; }
   // The client was told that the request was not executed and never will be.
   void OnRefused(const std::string& aRequest);
   // The client received a 2xx answer with this body and signature.
@@ -45,13 +51,13 @@
                   const std::string& aRequest,
                   Duration aBackoff) override
   {
-    answers_.OnRejected(aBackend.Id(), aRequest, aBackoff);
+    announcements_.OnRejected(aBackend.Id(), aRequest, aBackoff);
   }
   void OnGrant(StandInBackend& aBackend, KeyNumber aFirst, KeyNumber aLast) override;
 
   // Reports a violation.
-  void Break(const std::string& aWhat);
-  const std::vector<std::string>& Broken() const { return broken_; }
+  void ReportViolation(const std::string& aWhat);
+  const std::vector<std::string>& Violations() const { return violations_; }
   // Checks that no more requests reached several servers than the retry budget of aSeconds allows.
   void CheckRetries(double aSeconds);
   std::size_t ArrivalsOf(const std::string& aServer) const;
@@ -69,9 +75,9 @@
 
   ListServers listServers_;
   std::map<std::string, Request> requests_;
-  AnnouncementChecker answers_;
+  AnnouncementChecker announcements_;
   std::map<std::string, std::size_t> arrivals_;
-  std::vector<std::string> broken_;
+  std::vector<std::string> violations_;
 };
 
 } // namespace latchslip::platform
--- a/Tests/Platform/Soak/LoopbackProxy.cpp
+++ b/Tests/Platform/Soak/LoopbackProxy.cpp
@@ -38,7 +38,7 @@
 LoopbackProxy::~LoopbackProxy()
 {
   for (const auto& link : links_) {
-    link->Orphan();
+    link->Detach();
   }
 }
 
@@ -60,7 +60,7 @@
 }
 
 void
-LoopbackProxy::Forget(const ProxyLink* aLink)
+LoopbackProxy::OnLinkEnded(const ProxyLink* aLink)
 {
   links_.remove_if([&](const auto& aOther) { return aOther.get() == aLink; });
 }
@@ -73,7 +73,7 @@
   if (aFault == LinkFault::Reset) {
     const auto links = std::exchange(links_, {});
     for (const auto& link : links) {
-      link->Orphan();
+      link->Detach();
     }
   }
 }
--- a/Tests/Platform/Soak/LoopbackProxy.h
+++ b/Tests/Platform/Soak/LoopbackProxy.h
@@ -21,11 +21,11 @@
   // Open connections are reset at once, new ones when they are accepted.
   Reset,
   // Bytes from the client are held back; answers pass.
-  CutForth,
+  HeldToTarget,
   // Bytes from the client pass; answers are held back.
-  CutBack,
+  HeldToClient,
   // Black hole: no bytes pass, and connections stay open.
-  Silent,
+  BlackHole,
 };
 
 inline constexpr NameTable<LinkFault, 6> kLinkFaultNames{
@@ -50,7 +50,7 @@
   LinkFault Fault() const { return fault_; }
   Duration Delay() const { return delay_; }
   // Called by a link that has ended.
-  void Forget(const ProxyLink* aLink);
+  void OnLinkEnded(const ProxyLink* aLink);
 
 private:
   LoopbackProxy(boost::asio::io_context& aContext,
--- a/Tests/Platform/Soak/ProxyLink.cpp
+++ b/Tests/Platform/Soak/ProxyLink.cpp
@@ -15,7 +15,7 @@
 using tcp = asio::ip::tcp;
 
 // Interval at which held-back bytes check whether the fault has ended.
-constexpr Duration kHeldCheck = milliseconds(20);
+constexpr Duration kHoldCheckInterval = milliseconds(20);
 
 } // namespace
 
@@ -27,90 +27,90 @@
   aSocket.close(ignored);
 }
 
-ProxyLink::ProxyLink(asio::io_context& aContext, LoopbackProxy& aProxy, tcp::socket aCaller)
+ProxyLink::ProxyLink(asio::io_context& aContext, LoopbackProxy& aProxy, tcp::socket aClient)
   : proxy_(&aProxy)
-  , forth_(aContext)
-  , back_(aContext)
+  , toTarget_(aContext)
+  , toClient_(aContext)
 {
-  forth_.from_ = std::make_shared<tcp::socket>(std::move(aCaller));
-  back_.from_ = std::make_shared<tcp::socket>(aContext);
-  forth_.to_ = back_.from_;
-  back_.to_ = forth_.from_;
-  back_.isBack_ = true;
+  toTarget_.from_ = std::make_shared<tcp::socket>(std::move(aClient));
+  toClient_.from_ = std::make_shared<tcp::socket>(aContext);
+  toTarget_.to_ = toClient_.from_;
+  toClient_.to_ = toTarget_.from_;
+  toClient_.isToClient_ = true;
 }
 
 void
 ProxyLink::Start(const tcp::endpoint& aTarget)
 {
-  back_.from_->async_connect(aTarget, [self = shared_from_this()](error_code aError) {
+  toClient_.from_->async_connect(aTarget, [self = shared_from_this()](error_code aError) {
     if (aError) {
       self->End();
       return;
     }
     error_code ignored;
-    self->forth_.from_->set_option(tcp::no_delay(true), ignored);
-    self->back_.from_->set_option(tcp::no_delay(true), ignored);
-    self->Read(self->forth_);
-    self->Read(self->back_);
+    self->toTarget_.from_->set_option(tcp::no_delay(true), ignored);
+    self->toClient_.from_->set_option(tcp::no_delay(true), ignored);
+    self->Read(self->toTarget_);
+    self->Read(self->toClient_);
   });
 }
 
 void
-ProxyLink::Orphan()
+ProxyLink::Detach()
 {
   proxy_ = nullptr;
   ResetBoth();
 }
 
 void
-ProxyLink::Read(Direction& aWay)
+ProxyLink::Read(Direction& aDirection)
 {
-  aWay.from_->async_read_some(
-    asio::buffer(aWay.buffer_),
-    [self = shared_from_this(), &aWay](error_code aError, std::size_t aSize) {
+  aDirection.from_->async_read_some(
+    asio::buffer(aDirection.buffer_),
+    [self = shared_from_this(), &aDirection](error_code aError, std::size_t aSize) {
       if (aError && aError != asio::error::eof) {
         self->End();
         return;
       }
-      aWay.size_ = aSize;
-      aWay.isEnd_ = aError == asio::error::eof;
-      self->Hold(aWay, self->Delay());
+      aDirection.size_ = aSize;
+      aDirection.isEnd_ = aError == asio::error::eof;
+      self->WriteWhenAllowed(aDirection, self->Delay());
     });
 }
 
 void
-ProxyLink::Hold(Direction& aWay, Duration aDelay)
+ProxyLink::WriteWhenAllowed(Direction& aDirection, Duration aDelay)
 {
-  if (aDelay == Duration(0) && !IsHeld(aWay)) {
-    Write(aWay);
+  if (aDelay == Duration(0) && !IsHeldBack(aDirection)) {
+    Write(aDirection);
     return;
   }
-  aWay.timer_.expires_after(std::max(aDelay, kHeldCheck));
-  aWay.timer_.async_wait([self = shared_from_this(), &aWay](error_code aError) {
+  aDirection.timer_.expires_after(std::max(aDelay, kHoldCheckInterval));
+  aDirection.timer_.async_wait([self = shared_from_this(), &aDirection](error_code aError) {
     if (!aError) {
-      self->Hold(aWay, Duration(0));
+      self->WriteWhenAllowed(aDirection, Duration(0));
     }
   });
 }
 
 void
-ProxyLink::Write(Direction& aWay)
+ProxyLink::Write(Direction& aDirection)
 {
-  if (aWay.isEnd_) {
+  if (aDirection.isEnd_) {
     error_code ignored;
-    aWay.to_->shutdown(tcp::socket::shutdown_send, ignored);
-    if (std::exchange(hasEndedOneWay_, true)) {
+    aDirection.to_->shutdown(tcp::socket::shutdown_send, ignored);
+    if (std::exchange(hasClosedOneDirection_, true)) {
       End();
     }
     return;
   }
-  asio::async_write(*aWay.to_,
-                    asio::buffer(aWay.buffer_.data(), aWay.size_),
-                    [self = shared_from_this(), &aWay](error_code aError, std::size_t) {
+  asio::async_write(*aDirection.to_,
+                    asio::buffer(aDirection.buffer_.data(), aDirection.size_),
+                    [self = shared_from_this(), &aDirection](error_code aError, std::size_t) {
                       if (aError) {
                         self->End();
                       } else {
-                        self->Read(aWay);
+                        self->Read(aDirection);
                       }
                     });
 }
@@ -123,32 +123,32 @@
 }
 
 bool
-ProxyLink::IsHeld(const Direction& aWay) const
+ProxyLink::IsHeldBack(const Direction& aDirection) const
 {
   const auto fault = proxy_ == nullptr ? LinkFault::None : proxy_->Fault();
-  return fault == LinkFault::Silent ||
-         fault == (aWay.isBack_ ? LinkFault::CutBack : LinkFault::CutForth);
+  return fault == LinkFault::BlackHole ||
+         fault == (aDirection.isToClient_ ? LinkFault::HeldToClient : LinkFault::HeldToTarget);
 }
 
 void
 ProxyLink::ResetBoth()
 {
-  Reset(*forth_.from_);
-  Reset(*back_.from_);
+  Reset(*toTarget_.from_);
+  Reset(*toClient_.from_);
 }
 
 void
 ProxyLink::End()
 {
-  if (hasEndedOneWay_) {
+  if (hasClosedOneDirection_) {
     error_code ignored;
-    forth_.from_->close(ignored);
-    back_.from_->close(ignored);
+    toTarget_.from_->close(ignored);
+    toClient_.from_->close(ignored);
   } else {
     ResetBoth();
   }
   if (auto* proxy = std::exchange(proxy_, nullptr)) {
-    proxy->Forget(this);
+    proxy->OnLinkEnded(this);
   }
 }
 
--- a/Tests/Platform/Soak/ProxyLink.h
+++ b/Tests/Platform/Soak/ProxyLink.h
@@ -23,13 +23,13 @@
 public:
   ProxyLink(boost::asio::io_context& aContext,
             LoopbackProxy& aProxy,
-            boost::asio::ip::tcp::socket aCaller);
+            boost::asio::ip::tcp::socket aClient);
 
   // Connects to the target and forwards bytes in both directions from then on.
   void Start(const boost::asio::ip::tcp::endpoint& aTarget);
   // Detaches the link from its proxy, which is being destroyed or drops the link, and resets both
   // connections.
-  void Orphan();
+  void Detach();
 
 private:
   struct Direction
@@ -45,26 +45,26 @@
     std::array<char, 16384> buffer_{};
     std::size_t size_ = 0;
     // From the target to the client.
-    bool isBack_ = false;
+    bool isToClient_ = false;
     // End of stream was read in this direction.
     bool isEnd_ = false;
   };
 
-  void Read(Direction& aWay);
+  void Read(Direction& aDirection);
   // Writes the bytes read, after aDelay and once no fault holds them back.
-  void Hold(Direction& aWay, Duration aDelay);
-  void Write(Direction& aWay);
+  void WriteWhenAllowed(Direction& aDirection, Duration aDelay);
+  void Write(Direction& aDirection);
   Duration Delay() const;
-  bool IsHeld(const Direction& aWay) const;
+  bool IsHeldBack(const Direction& aDirection) const;
   void ResetBoth();
   // Ends the link. If one connection failed, both are reset.
   void End();
 
   // Null once the proxy has dropped this link.
   LoopbackProxy* proxy_;
-  Direction forth_;
-  Direction back_;
-  bool hasEndedOneWay_ = false;
+  Direction toTarget_;
+  Direction toClient_;
+  bool hasClosedOneDirection_ = false;
 };
 
 } // namespace latchslip::platform
--- a/Tests/Platform/Soak/RecoveryChecks.cpp
+++ b/Tests/Platform/Soak/RecoveryChecks.cpp
@@ -10,17 +10,17 @@
 
 // Time until everything is served again after all faults were removed. A grant that a server
 // accepted late, just before it became unreachable, may stay valid for long.
-constexpr Duration kRecovery = seconds(20);
+constexpr Duration kRecoveryTimeout = seconds(20);
 // Time in which a change of the configuration, or a server's shutdown announcement, takes effect on
 // all instances.
-constexpr Duration kInForce = milliseconds(2500);
+constexpr Duration kTimeToTakeEffect = milliseconds(2500);
 // Period in which no request may reach the former target.
-constexpr Duration kWatched = seconds(1);
+constexpr Duration kObservationTime = seconds(1);
 // Time limit of a graceful shutdown, including the grace period.
-constexpr Duration kStopped = seconds(6);
+constexpr Duration kShutdownTimeout = seconds(6);
 // A request that crossed the close of its connection fails within this time, many times the round
 // trip on loopback.
-constexpr Duration kCrossing = milliseconds(50);
+constexpr Duration kMaxCrossingTime = milliseconds(50);
 // Interval between graceful shutdowns, and their number.
 constexpr Duration kStopGap = seconds(1);
 constexpr std::size_t kStops = 2;
@@ -39,34 +39,34 @@
 void
 RecoveryChecks::CheckRecovery()
 {
-  if (!world_.RunUntil([this] { return world_.IsAllServed(); }, kRecovery)) {
-    world_.Kept().Break("RECOVER not everything is served after all faults");
+  if (!environment_.RunUntil([this] { return environment_.IsAllServed(); }, kRecoveryTimeout)) {
+    environment_.Guarantees().ReportViolation("RECOVER not everything is served after all faults");
   }
 }
 
 void
 RecoveryChecks::CheckConfiguration()
 {
-  const auto former = world_.BookingService();
-  world_.SwitchBookingService();
-  world_.Run(kInForce);
+  const auto former = environment_.BookingService();
+  environment_.SwitchBookingService();
+  environment_.Run(kTimeToTakeEffect);
   const auto before = ArrivalsAt(former);
-  world_.Run(kWatched);
+  environment_.Run(kObservationTime);
   if (ArrivalsAt(former) != before) {
-    world_.Kept().Break("CONFIG the former service still gets requests");
+    environment_.Guarantees().ReportViolation("CONFIG the former service still gets requests");
   }
 }
 
 void
 RecoveryChecks::CheckDrain()
 {
-  auto& server = *world_.Servers().front().backend_;
+  auto& server = *environment_.Servers().front().backend_;
   server.Leave();
-  world_.Run(kInForce);
-  const auto before = world_.Kept().ArrivalsOf(server.Id());
-  world_.Run(kWatched);
-  if (world_.Kept().ArrivalsOf(server.Id()) != before) {
-    world_.Kept().Break("DRAIN " + server.Id() + " still gets requests");
+  environment_.Run(kTimeToTakeEffect);
+  const auto before = environment_.Guarantees().ArrivalsOf(server.Id());
+  environment_.Run(kObservationTime);
+  if (environment_.Guarantees().ArrivalsOf(server.Id()) != before) {
+    environment_.Guarantees().ReportViolation("DRAIN " + server.Id() + " still gets requests");
   }
   // The server stays in shutdown; the following checks need only the others.
 }
@@ -74,19 +74,19 @@
 void
 RecoveryChecks::CheckStops()
 {
-  const auto before = world_.Broken().size();
-  auto& instances = world_.Instances();
+  const auto before = environment_.BrokenRequests().size();
+  auto& instances = environment_.Instances();
   const auto stops = std::min(kStops, instances.size());
   for (std::size_t index = 0; index < stops; ++index) {
-    instances[index].isExpected_ = false;
+    instances[index].shouldRun_ = false;
     instances[index].process_->Signal(SIGTERM);
-    world_.Run(kStopGap);
+    environment_.Run(kStopGap);
   }
   for (std::size_t index = 0; index < stops; ++index) {
     CheckStop(instances[index]);
   }
-  for (std::size_t index = before; index < world_.Broken().size(); ++index) {
-    CheckCut(world_.Broken()[index]);
+  for (std::size_t index = before; index < environment_.BrokenRequests().size(); ++index) {
+    CheckFailedRequest(environment_.BrokenRequests()[index]);
   }
 }
 
@@ -94,21 +94,22 @@
 RecoveryChecks::CheckStop(SoakEnvironment::Instance& aInstance)
 {
   auto& process = *aInstance.process_;
-  if (!world_.RunUntil([&] { return process.HasEnded(); }, kStopped)) {
-    world_.Kept().Break("STOP " + aInstance.name_ + " still runs after its grace");
+  if (!environment_.RunUntil([&] { return process.HasEnded(); }, kShutdownTimeout)) {
+    environment_.Guarantees().ReportViolation("STOP " + aInstance.name_ +
+                                              " still runs after its grace");
     process.Signal(SIGKILL);
   } else if (process.Wait() != 0) {
-    world_.Kept().Break("STOP " + aInstance.name_ + " ended with a failure");
+    environment_.Guarantees().ReportViolation("STOP " + aInstance.name_ + " ended with a failure");
   }
 }
 
 void
-RecoveryChecks::CheckCut(const SoakEnvironment::BrokenRequest& aRequest)
+RecoveryChecks::CheckFailedRequest(const SoakEnvironment::BrokenRequest& aRequest)
 {
-  if (world_.Kept().HasArrived(aRequest.id_) || aRequest.age_ > kCrossing) {
-    world_.Kept().Break("LOST by a planned stop: " + aRequest.story_);
+  if (environment_.Guarantees().HasArrived(aRequest.id_) || aRequest.age_ > kMaxCrossingTime) {
+    environment_.Guarantees().ReportViolation("LOST by a planned stop: " + aRequest.description_);
   } else {
-    std::cout << "crossed a close: " << aRequest.story_ << '\n';
+    std::cout << "crossed a close: " << aRequest.description_ << '\n';
   }
 }
 
@@ -116,9 +117,9 @@
 RecoveryChecks::ArrivalsAt(const std::string& aService)
 {
   std::size_t arrivals = 0;
-  for (auto& server : world_.Servers()) {
+  for (auto& server : environment_.Servers()) {
     if (server.backend_->Service() == aService) {
-      arrivals += world_.Kept().ArrivalsOf(server.backend_->Id());
+      arrivals += environment_.Guarantees().ArrivalsOf(server.backend_->Id());
     }
   }
   return arrivals;
--- a/Tests/Platform/Soak/RecoveryChecks.h
+++ b/Tests/Platform/Soak/RecoveryChecks.h
@@ -11,8 +11,8 @@
 class RecoveryChecks
 {
 public:
-  explicit RecoveryChecks(SoakEnvironment& aWorld)
-    : world_(aWorld)
+  explicit RecoveryChecks(SoakEnvironment& aEnvironment)
+    : environment_(aEnvironment)
   {
   }
 
@@ -32,12 +32,12 @@
   // Checks a request that failed during a graceful shutdown. Only a request that crossed the close
   // of its connection may fail: it fails at once and reached no server, so the client can safely
   // retry it.
-  void CheckCut(const SoakEnvironment::BrokenRequest& aRequest);
+  void CheckFailedRequest(const SoakEnvironment::BrokenRequest& aRequest);
   void CheckStop(SoakEnvironment::Instance& aInstance);
   // Number of requests that have reached servers of the service.
   std::size_t ArrivalsAt(const std::string& aService);
 
-  SoakEnvironment& world_;
+  SoakEnvironment& environment_;
 };
 
 } // namespace latchslip::platform
--- a/Tests/Platform/Soak/SoakEnvironment.cpp
+++ b/Tests/Platform/Soak/SoakEnvironment.cpp
@@ -15,10 +15,10 @@
 // Offsets from the first port of the soak.
 constexpr int kStorePort = 0;
 constexpr int kInstancePorts = 10;
-constexpr int kPortsAnInstance = 5;
+constexpr int kPortsPerInstance = 5;
 constexpr int kServerPorts = 600;
 // One port for the server and one for the proxy in front of it.
-constexpr int kPortsAServer = 2;
+constexpr int kPortsPerServer = 2;
 // Offset of an instance's store proxy from the instance's first port; MakeSettings uses the ports
 // before it.
 constexpr int kStoreLinkPort = 3;
@@ -30,14 +30,14 @@
 // Interval at which processes are checked and due requests are sent.
 constexpr Duration kStep = milliseconds(5);
 // Timeout of a client's request, and how much longer the harness waits for its end.
-constexpr Duration kClientTime = milliseconds(1500);
+constexpr Duration kClientTimeout = milliseconds(1500);
 constexpr Duration kClientSlack = seconds(3);
 // Commands that arrive within this time after a link or a process recovered were delayed by the
 // fault.
-constexpr Duration kHealed = milliseconds(300);
+constexpr Duration kDelayedCommandTime = milliseconds(300);
 // Time limit for the fleet to serve everything after its start.
-constexpr Duration kStartTime = seconds(20);
-constexpr std::size_t kMostConnections = 64;
+constexpr Duration kStartTimeout = seconds(20);
+constexpr std::size_t kMaxConnections = 64;
 constexpr unsigned kOk = 200;
 constexpr unsigned kUnavailable = 503;
 
@@ -45,14 +45,14 @@
 
 SoakEnvironment::SoakEnvironment(SoakSettings aSettings)
   : settings_(std::move(aSettings))
-  , promises_([this] {
+  , guarantees_([this] {
     std::vector<StandInBackend*> backends;
     for (const auto& server : servers_) {
       backends.push_back(server.backend_.get());
     }
     return backends;
   })
-  , client_(HttpClient::Create(context_, kMostConnections))
+  , client_(HttpClient::Create(context_, kMaxConnections))
 {
 }
 
@@ -74,10 +74,10 @@
   for (int number = 0; number < settings_.instances_; ++number) {
     BOOST_OUTCOME_TRY(AddInstance(number));
   }
-  if (!RunUntil([this] { return IsAllServed(); }, kStartTime)) {
+  if (!RunUntil([this] { return IsAllServed(); }, kStartTimeout)) {
     return FieldError{ "soak", "the fleet does not serve within its time to start" };
   }
-  isLoaded_ = true;
+  isLoadOn_ = true;
   return outcome::success();
 }
 
@@ -85,13 +85,13 @@
 SoakEnvironment::AddServers()
 {
   int port = settings_.firstPort_ + kServerPorts;
-  for (int number = 0; number < settings_.servers_; ++number, port += kPortsAServer) {
+  for (int number = 0; number < settings_.servers_; ++number, port += kPortsPerServer) {
     BOOST_OUTCOME_TRY(AddServer("k" + std::to_string(number), kRates, port));
   }
-  for (int number = 0; number < settings_.servers_; ++number, port += kPortsAServer) {
+  for (int number = 0; number < settings_.servers_; ++number, port += kPortsPerServer) {
     BOOST_OUTCOME_TRY(AddServer("b" + std::to_string(number), kBookings, port));
   }
-  for (int number = 0; number < kOtherServers; ++number, port += kPortsAServer) {
+  for (int number = 0; number < kOtherServers; ++number, port += kPortsPerServer) {
     BOOST_OUTCOME_TRY(AddServer("o" + std::to_string(number), kOthers, port));
   }
   return outcome::success();
@@ -106,7 +106,7 @@
   settings.address_ = Loopback(aPort);
   settings.recordAddress_ = Loopback(aPort + 1);
   settings.isKeyed_ = aService == kRates;
-  settings.observer_ = &promises_;
+  settings.observer_ = &guarantees_;
   Server server;
   BOOST_OUTCOME_TRY(server.link_,
                     LoopbackProxy::Create(context_, settings.recordAddress_, settings.address_));
@@ -120,7 +120,7 @@
 {
   Instance instance;
   instance.name_ = "edge-" + std::to_string(settings_.firstPort_) + "-" + std::to_string(aNumber);
-  instance.port_ = settings_.firstPort_ + kInstancePorts + kPortsAnInstance * aNumber;
+  instance.port_ = settings_.firstPort_ + kInstancePorts + kPortsPerInstance * aNumber;
   BOOST_OUTCOME_TRY(instance.storeLink_,
                     LoopbackProxy::Create(context_,
                                           Loopback(instance.port_ + kStoreLinkPort),
@@ -142,7 +142,7 @@
     MakeSettings(
       aInstance.name_, aInstance.port_, seed, Loopback(aInstance.port_ + kStoreLinkPort)),
     log);
-  aInstance.isExpected_ = true;
+  aInstance.shouldRun_ = true;
   aInstance.isPaused_ = false;
   ++aInstance.runs_;
 }
@@ -150,16 +150,16 @@
 void
 SoakEnvironment::KillInstance(Instance& aInstance)
 {
-  aInstance.isExpected_ = false;
+  aInstance.shouldRun_ = false;
   aInstance.isPaused_ = false;
   aInstance.process_->Signal(SIGKILL);
   aInstance.process_->Wait();
 }
 
 void
-SoakEnvironment::NoteHealed()
+SoakEnvironment::OnRecovered()
 {
-  healedAt_ = MonotonicNow();
+  recoveredAt_ = MonotonicNow();
 }
 
 void
@@ -172,27 +172,27 @@
 void
 SoakEnvironment::PutConfiguration()
 {
-  configuration_ += 2;
+  configurationVersion_ += 2;
   WriteConfiguration();
 }
 
 void
 SoakEnvironment::WriteConfiguration()
 {
-  store_->Put("op", "config", MakeManifest(configuration_, bookingService_));
+  store_->Put("op", "config", MakeManifest(configurationVersion_, bookingService_));
 }
 
 void
 SoakEnvironment::RepeatWrites()
 {
   WriteConfiguration();
-  std::set<std::string> lives;
+  std::set<std::string> runningIds;
   for (const auto& server : servers_) {
-    lives.insert(server.backend_->Id());
+    runningIds.insert(server.backend_->Id());
     server.backend_->RepeatRecordWrite();
   }
   for (const auto& id : store_->KeysOf("servers")) {
-    if (!lives.contains(id)) {
+    if (!runningIds.contains(id)) {
       store_->Remove("servers", id);
     }
   }
@@ -205,16 +205,16 @@
 }
 
 bool
-SoakEnvironment::RunUntil(const std::function<bool()>& aIsDone, Duration aMost)
+SoakEnvironment::RunUntil(const std::function<bool()>& aIsDone, Duration aTimeout)
 {
-  const auto end = MonotonicNow() + aMost;
+  const auto end = MonotonicNow() + aTimeout;
   while (MonotonicNow() < end) {
     context_.run_for(kStep);
     context_.restart();
-    LookAtProcesses();
+    CheckProcesses();
     const auto now = MonotonicNow();
     for (auto& server : servers_) {
-      server.backend_->SetCommandsDelayed(now - healedAt_ < kHealed);
+      server.backend_->SetCommandsDelayed(now - recoveredAt_ < kDelayedCommandTime);
     }
     SendDue(now);
     if (aIsDone()) {
@@ -227,18 +227,19 @@
 void
 SoakEnvironment::SendDue(Instant aNow)
 {
-  while (isLoaded_ && nextRequest_ <= aNow) {
-    nextRequest_ = std::max(nextRequest_ + settings_.pace_, aNow - kStep);
+  while (isLoadOn_ && nextRequest_ <= aNow) {
+    nextRequest_ = std::max(nextRequest_ + settings_.requestInterval_, aNow - kStep);
     std::uniform_int_distribution<std::size_t> draw(0, instances_.size() - 1);
-    Ask(instances_[draw(random_)], asked_ % 2 == 0);
+    SendRequest(instances_[draw(random_)], sentCount_ % 2 == 0);
   }
 }
 
 void
 SoakEnvironment::Quiesce()
 {
-  isLoaded_ = false;
-  RunUntil([this] { return ended_ == asked_; }, kClientTime + kClientSlack + seconds(1));
+  isLoadOn_ = false;
+  RunUntil([this] { return endedCount_ == sentCount_; },
+           kClientTimeout + kClientSlack + seconds(1));
 }
 
 void
@@ -253,36 +254,36 @@
 }
 
 void
-SoakEnvironment::LookAtProcesses()
+SoakEnvironment::CheckProcesses()
 {
   for (auto& instance : instances_) {
-    if (instance.isExpected_ && instance.process_->HasEnded()) {
-      instance.isExpected_ = false;
-      promises_.Break("ENDED " + instance.name_ + " with status " +
-                      std::to_string(instance.process_->Wait()));
+    if (instance.shouldRun_ && instance.process_->HasEnded()) {
+      instance.shouldRun_ = false;
+      guarantees_.ReportViolation("ENDED " + instance.name_ + " with status " +
+                                  std::to_string(instance.process_->Wait()));
     }
   }
 }
 
 void
-SoakEnvironment::Ask(Instance& aInstance,
-                     bool aIsBooking,
-                     const std::function<void(unsigned)>& aDone)
+SoakEnvironment::SendRequest(Instance& aInstance,
+                             bool aIsBooking,
+                             const std::function<void(unsigned)>& aDone)
 {
-  const auto id = "q" + std::to_string(++asked_);
+  const auto id = "q" + std::to_string(++sentCount_);
   HttpRequest request;
   request.method_ = aIsBooking ? "POST" : "GET";
   request.target_ = aIsBooking ? "/book/1" : "/rates/1";
   request.headers_ = {
     { "Host", "a.example" },
     { "X-Request-Id", id },
-    { "X-Deadline-Ms", std::to_string(duration_cast<milliseconds>(kClientTime).count()) },
+    { "X-Deadline-Ms", std::to_string(duration_cast<milliseconds>(kClientTimeout).count()) },
     { "X-Shard-Key", std::to_string(std::uniform_int_distribution<int>(0, kLastKey)(random_)) }
   };
-  promises_.OnAsked(id, aIsBooking, aInstance.Run());
+  guarantees_.OnRequestSent(id, aIsBooking, aInstance.RunId());
   client_->Send(Loopback(aInstance.port_),
                 std::move(request),
-                kClientTime + kClientSlack,
+                kClientTimeout + kClientSlack,
                 [this, id, aDone, name = aInstance.name_, sentAt = MonotonicNow()](
                   const HttpExchange& aExchange) {
                   const auto status = OnAnswered(id, name, sentAt, aExchange);
@@ -298,28 +299,28 @@
                             Instant aSentAt,
                             const HttpExchange& aExchange)
 {
-  ++ended_;
+  ++endedCount_;
   if (aExchange.end_ == ExchangeEnd::Broken) {
-    broken_.push_back({ aRequest,
-                        aRequest + " at " + aInstance + ": " + aExchange.problem_,
-                        MonotonicNow() - aSentAt });
+    brokenRequests_.push_back({ aRequest,
+                                aRequest + " at " + aInstance + ": " + aExchange.problem_,
+                                MonotonicNow() - aSentAt });
   }
   if (aExchange.end_ != ExchangeEnd::Complete) {
     return 0;
   }
   const auto& answer = aExchange.response_;
   if (!answer.Header("Server-Leaving").empty()) {
-    promises_.OnLeavingPassedOn(aRequest);
+    guarantees_.OnLeavingPassedOn(aRequest);
   }
   if (!answer.Header("Server-Limit").empty()) {
-    promises_.OnRateLimitPassedOn(aRequest);
+    guarantees_.OnRateLimitPassedOn(aRequest);
   }
   if (answer.status_ == kOk) {
-    ++answered_;
-    promises_.OnSuccess(
+    ++answeredCount_;
+    guarantees_.OnSuccess(
       aRequest, *answer.body_, std::string(answer.Header("X-Response-Signature")));
   } else if (answer.status_ == kUnavailable) {
-    promises_.OnRefused(aRequest);
+    guarantees_.OnRefused(aRequest);
   }
   return answer.status_;
 }
@@ -327,21 +328,21 @@
 bool
 SoakEnvironment::IsAllServed()
 {
-  const bool wasLoaded = std::exchange(isLoaded_, false);
-  constexpr int kEach = 6;
-  const auto wanted = instances_.size() * kEach;
+  const bool wasLoadOn = std::exchange(isLoadOn_, false);
+  constexpr int kRequestsPerInstance = 6;
+  const auto expected = instances_.size() * kRequestsPerInstance;
   const auto results = std::make_shared<std::pair<std::size_t, std::size_t>>();
   for (auto& instance : instances_) {
-    for (int number = 0; number < kEach; ++number) {
-      Ask(instance, number % 2 == 0, [results](unsigned aStatus) {
+    for (int number = 0; number < kRequestsPerInstance; ++number) {
+      SendRequest(instance, number % 2 == 0, [results](unsigned aStatus) {
         ++results->first;
         results->second += aStatus == kOk ? 1 : 0;
       });
     }
   }
-  RunUntil([&] { return results->first == wanted; }, kClientTime + kClientSlack);
-  isLoaded_ = wasLoaded;
-  return results->second == wanted;
+  RunUntil([&] { return results->first == expected; }, kClientTimeout + kClientSlack);
+  isLoadOn_ = wasLoadOn;
+  return results->second == expected;
 }
 
 } // namespace latchslip::platform
--- a/Tests/Platform/Soak/SoakEnvironment.h
+++ b/Tests/Platform/Soak/SoakEnvironment.h
@@ -29,7 +29,7 @@
   // Number of servers of the keyed service, and of the booking service. The third service has two.
   int servers_ = 5;
   // Interval between requests.
-  Duration pace_ = milliseconds(6);
+  Duration requestInterval_ = milliseconds(6);
 };
 
 // The environment of the soak test: a fleet of real processes with test doubles of the store and of
@@ -46,12 +46,12 @@
     std::unique_ptr<LoopbackProxy> storeLink_;
     std::unique_ptr<EntryProcess> process_;
     // Whether the process should be running, so that its exit is a violation.
-    bool isExpected_ = false;
+    bool shouldRun_ = false;
     bool isPaused_ = false;
     std::size_t runs_ = 0;
 
     // Identifies this run of the instance.
-    std::string Run() const { return name_ + "#" + std::to_string(runs_); }
+    std::string RunId() const { return name_ + "#" + std::to_string(runs_); }
   };
 
   // A backend server and the proxy in front of it.
@@ -59,7 +59,7 @@
   {
     std::unique_ptr<LoopbackProxy> link_;
     std::unique_ptr<StandInBackend> backend_;
-    std::size_t lives_ = 1;
+    std::size_t incarnations_ = 1;
   };
 
   explicit SoakEnvironment(SoakSettings aSettings);
@@ -70,8 +70,8 @@
 
   // Runs the load for at least aTime.
   void Run(Duration aTime);
-  // Runs the load until aIsDone returns true; returns false if it does not within aMost.
-  bool RunUntil(const std::function<bool()>& aIsDone, Duration aMost);
+  // Runs the load until aIsDone returns true; returns false if it does not within aTimeout.
+  bool RunUntil(const std::function<bool()>& aIsDone, Duration aTimeout);
   // Stops the load and waits for the requests in flight.
   void Quiesce();
   // Calls aWhat once after aTime, while the world runs.
@@ -81,7 +81,7 @@
   // Kills the process (SIGKILL) and waits for its exit.
   void KillInstance(Instance& aInstance);
   // Called when a link or a process recovers, because delayed commands arrive then.
-  void NoteHealed();
+  void OnRecovered();
   // Routes bookings to the other of two services from now on.
   void SwitchBookingService();
   // Operators and servers repeat the writes that a restored store may have lost; records of former
@@ -92,22 +92,22 @@
   std::vector<Instance>& Instances() { return instances_; }
   std::vector<Server>& Servers() { return servers_; }
   StandInStore& Store() { return *store_; }
-  GuaranteeChecker& Kept() { return promises_; }
+  GuaranteeChecker& Guarantees() { return guarantees_; }
   // A request that was sent and ended without a complete answer.
   struct BrokenRequest
   {
     std::string id_;
     // The instance, and how the request ended.
-    std::string story_;
+    std::string description_;
     Duration age_{ 0 };
   };
 
   // All such requests so far.
-  const std::vector<BrokenRequest>& Broken() const { return broken_; }
+  const std::vector<BrokenRequest>& BrokenRequests() const { return brokenRequests_; }
   // Whether each instance serves keyed requests and bookings now.
   bool IsAllServed();
-  std::size_t Asked() const { return asked_; }
-  std::size_t Answered() const { return answered_; }
+  std::size_t SentCount() const { return sentCount_; }
+  std::size_t AnsweredCount() const { return answeredCount_; }
 
 private:
   FieldResult<void> AddServers();
@@ -120,31 +120,33 @@
   // Sends the load's requests that are due.
   void SendDue(Instant aNow);
   // aDone receives the status of the answer, or 0 if there was no complete one.
-  void Ask(Instance& aInstance, bool aIsBooking, const std::function<void(unsigned)>& aDone = {});
+  void SendRequest(Instance& aInstance,
+                   bool aIsBooking,
+                   const std::function<void(unsigned)>& aDone = {});
   // Evaluates the end of a request and returns the status, or 0, as for aDone.
   unsigned OnAnswered(const std::string& aRequest,
                       const std::string& aInstance,
                       Instant aSentAt,
                       const HttpExchange& aExchange);
   // Reports instances whose process exited by itself.
-  void LookAtProcesses();
+  void CheckProcesses();
 
   SoakSettings settings_;
   boost::asio::io_context context_{ 1 };
-  GuaranteeChecker promises_;
+  GuaranteeChecker guarantees_;
   std::unique_ptr<StandInStore> store_;
   std::vector<Instance> instances_;
   std::vector<Server> servers_;
   std::unique_ptr<HttpClient> client_;
   std::minstd_rand random_{ 1 };
   std::string bookingService_ = "bookings";
-  int configuration_ = 1;
-  std::size_t asked_ = 0;
-  std::size_t ended_ = 0;
-  std::vector<BrokenRequest> broken_;
-  std::size_t answered_ = 0;
-  bool isLoaded_ = false;
-  Instant healedAt_{ 0 };
+  int configurationVersion_ = 1;
+  std::size_t sentCount_ = 0;
+  std::size_t endedCount_ = 0;
+  std::vector<BrokenRequest> brokenRequests_;
+  std::size_t answeredCount_ = 0;
+  bool isLoadOn_ = false;
+  Instant recoveredAt_{ 0 };
   Instant nextRequest_{ 0 };
 };
 
--- a/Tests/Platform/Soak/main.cpp
+++ b/Tests/Platform/Soak/main.cpp
@@ -29,43 +29,44 @@
 
 constexpr int kExitUsage = 2;
 // Time after the last fault until all guarantees with a time limit hold again.
-constexpr Duration kSettle = seconds(4);
+constexpr Duration kSettleTime = seconds(4);
 
 // Injects faults, removes them all, and checks the guarantees.
 void
-RunFaults(SoakEnvironment& aWorld, FaultInjector& aPlan, Duration aTime)
+RunFaults(SoakEnvironment& aEnvironment, FaultInjector& aInjector, Duration aTime)
 {
   const auto begin = MonotonicNow();
-  aPlan.Run(aTime);
-  aPlan.HealAll();
-  aWorld.Run(kSettle);
-  RecoveryChecks(aWorld).Run();
-  aWorld.Quiesce();
-  aWorld.Kept().CheckRetries(ToSeconds(MonotonicNow() - begin));
+  aInjector.Run(aTime);
+  aInjector.HealAll();
+  aEnvironment.Run(kSettleTime);
+  RecoveryChecks(aEnvironment).Run();
+  aEnvironment.Quiesce();
+  aEnvironment.Guarantees().CheckRetries(ToSeconds(MonotonicNow() - begin));
 }
 
 // Returns whether all guarantees held.
 bool
 RunSeed(const SoakSettings& aSettings, unsigned aSeed, Duration aTime)
 {
-  SoakEnvironment world(aSettings);
-  const auto started = world.Start();
+  SoakEnvironment environment(aSettings);
+  const auto started = environment.Start();
   if (!started) {
     std::cout << "seed " << aSeed << " cannot start: " << started.error().Describe() << '\n';
     return false;
   }
-  FaultInjector plan(
-    world,
+  FaultInjector injector(
+    environment,
     aSeed,
     { absl::GetFlag(FLAGS_returns), absl::GetFlag(FLAGS_tells), absl::GetFlag(FLAGS_limits) });
-  RunFaults(world, plan, aTime);
-  const auto broken = world.Kept().Broken().size();
-  std::cout << "seed " << aSeed << ": " << world.Asked() << " requests, " << world.Answered()
-            << " answered, " << broken << " promises broken" << std::endl;
-  if (broken > 0) {
-    std::cout << plan.Story();
+  RunFaults(environment, injector, aTime);
+  const auto violations = environment.Guarantees().Violations().size();
+  std::cout << "seed " << aSeed << ": " << environment.SentCount() << " requests, "
+            << environment.AnsweredCount() << " answered, " << violations << " promises broken"
+            << std::endl;
+  if (violations > 0) {
+    std::cout << injector.FaultLog();
   }
-  return broken == 0;
+  return violations == 0;
 }
 
 SoakSettings
