--- a/Tests/Platform/Soak/AnnouncementChecker.cpp
+++ b/Tests/Platform/Soak/AnnouncementChecker.cpp
@@ -62,8 +62,8 @@
 AnnouncementChecker::OnRateLimitNamed(const std::string& aServer, std::optional<double> aLimit)
 {
   limits_.erase(aServer);
-  for (auto& [description, state] : states_) {
-    if (description.second == aServer) {
+  for (auto& [instanceAndServer, state] : states_) {
+    if (instanceAndServer.second == aServer) {
       state.limitPassedOn_.reset();
     }
   }
@@ -109,8 +109,8 @@
     return "DRAIN " + description + ", which it had passed on as leaving";
   }
   if (const auto limit = limits_.find(aServer); limit != limits_.end()) {
-    if (auto broken = CountAtLimit(limit->second, state, aServer)) {
-      return broken;
+    if (auto violation = CountAtLimit(limit->second, state, aServer)) {
+      return violation;
     }
   }
   const auto now = MonotonicNow();
--- a/Tests/Platform/Soak/AnnouncementChecker.h
+++ b/Tests/Platform/Soak/AnnouncementChecker.h
@@ -26,10 +26,12 @@
   void OnRateLimitPassedOn(const std::string& aRequest);
   // The server names this rate limit in all further answers; no value for none.
   void OnRateLimitNamed(const std::string& aServer, std::optional<double> aLimit);
+  // The server executes the request.
   void OnRun(const std::string& aServer, const std::string& aRequest);
   // Returns a description of the violated guarantee when a request reaches a server; no value if
   // none is violated.
   std::optional<std::string> OnArrival(const std::string& aServer, const std::string& aRequest);
+  // The server rejected the request and asked its instance to back off for aBackoff.
   void OnRejected(const std::string& aServer, const std::string& aRequest, Duration aBackoff);
   // The instance was suspended, so earlier announcements no longer have to be respected.
   void DiscardAnnouncementsTo(const std::string& aInstance);
@@ -67,6 +69,7 @@
                                           const AnnouncementState& aState,
                                           const std::string& aServer);
 
+  // The instance and run that a client sent a request to, and the server that executed it last.
   struct SentRequest
   {
     std::string instance_;
--- a/Tests/Platform/Soak/GuaranteeChecker.h
+++ b/Tests/Platform/Soak/GuaranteeChecker.h
@@ -45,6 +45,7 @@
                  const std::string& aBody,
                  const std::string& aSignature);
 
+  // Events of the servers, see BackendObserver.
   void OnArrival(const StandInBackend& aBackend, const std::string& aRequest) override;
   void OnRun(const StandInBackend& aBackend, const std::string& aRequest) override;
   void OnRejected(const StandInBackend& aBackend,
@@ -58,7 +59,7 @@
   // Reports a violation.
   void ReportViolation(const std::string& aWhat);
   const std::vector<std::string>& Violations() const { return violations_; }
-  // Checks that no more requests reached several servers than the retry budget of aSeconds allows.
+  // Checks that repeated arrivals of requests stay within the retry budget of aSeconds.
   void CheckRetries(double aSeconds);
   std::size_t ArrivalsOf(const std::string& aServer) const;
   // Whether the request has reached a server.
--- a/Tests/Platform/Soak/RecoveryChecks.h
+++ b/Tests/Platform/Soak/RecoveryChecks.h
@@ -7,7 +7,7 @@
 namespace latchslip::platform {
 
 // Checks the guarantees with time limits once all faults have been removed. Violations are reported
-// to the world's guarantee checker.
+// to the environment's GuaranteeChecker.
 class RecoveryChecks
 {
 public:
@@ -16,7 +16,7 @@
   {
   }
 
-  // Runs all checks in order. The first instances of the world are stopped afterwards.
+  // Runs all checks in order. The first instances of the environment are stopped afterwards.
   void Run();
 
 private:
--- a/Tests/Platform/Soak/SoakEnvironment.h
+++ b/Tests/Platform/Soak/SoakEnvironment.h
@@ -74,7 +74,7 @@
   bool RunUntil(const std::function<bool()>& aIsDone, Duration aTimeout);
   // Stops the load and waits for the requests in flight.
   void Quiesce();
-  // Calls aWhat once after aTime, while the world runs.
+  // Calls aWhat once after aTime, while Run() or RunUntil() runs.
   void After(Duration aTime, std::function<void()> aWhat);
 
   void StartInstance(Instance& aInstance);
