--- a/Tests/Platform/Soak/AnnouncementChecker.cpp
+++ b/Tests/Platform/Soak/AnnouncementChecker.cpp
@@ -91,8 +91,8 @@
   if (static_cast<double>(arrivals.size()) <= allowed) {
     return std::nullopt;
   }
-  return "LIMIT " + std::to_string(arrivals.size()) + " requests at " + aServer + ", which takes " +
-         std::to_string(aLimit.limit_) + " a second";
+  return "LIMIT " + std::to_string(arrivals.size()) + " requests at " + aServer +
+         " with a limit of " + std::to_string(aLimit.limit_) + " a second";
 }
 
 std::optional<std::string>
@@ -106,7 +106,7 @@
   auto& state = found->second;
   const auto description = aRequest + " of " + request.instance_ + " at " + aServer;
   if (state.leavingPassedOn_ && request.sentAt_ > *state.leavingPassedOn_ + kDrainBound) {
-    return "DRAIN " + description + ", which it had passed on as leaving";
+    return "DRAIN " + description + ", whose shutdown announcement the instance had passed on";
   }
   if (const auto limit = limits_.find(aServer); limit != limits_.end()) {
     if (auto violation = CountAtLimit(limit->second, state, aServer)) {
@@ -116,7 +116,7 @@
   const auto now = MonotonicNow();
   state.arrivals_ += now > state.backoffFrom_ + kInFlightTime && now < state.backoffUntil_ ? 1 : 0;
   return state.arrivals_ > kMaxRequestsInBackoff
-           ? std::optional("BUDGET " + description + ", which wants nothing from it")
+           ? std::optional("BUDGET " + description + " during its backoff")
            : std::nullopt;
 }
 
--- a/Tests/Platform/Soak/GuaranteeChecker.cpp
+++ b/Tests/Platform/Soak/GuaranteeChecker.cpp
@@ -38,7 +38,7 @@
   auto& request = requests_[aRequest];
   request.isRefused_ = true;
   if (request.isBooking_ && request.runs_ > 0) {
-    ReportViolation("REFUSED " + aRequest + " was said not to have run, and has");
+    ReportViolation("REFUSED " + aRequest + " was executed before it was reported as not executed");
   }
 }
 
@@ -48,7 +48,7 @@
                             const std::string& aSignature)
 {
   if (aBody != "answer to " + aRequest || aSignature != "signed-" + aRequest) {
-    ReportViolation("MIXED " + aRequest + " got the answer: " + aBody);
+    ReportViolation("MIXED " + aRequest + " got a wrong body or signature: " + aBody);
   }
 }
 
@@ -78,7 +78,8 @@
     ReportViolation("TWICE " + aRequest + " at " + aBackend.Id());
   }
   if (request.isRefused_) {
-    ReportViolation("REFUSED " + aRequest + " runs at " + aBackend.Id() + " after its refusal");
+    ReportViolation("REFUSED " + aRequest + " is executed at " + aBackend.Id() +
+                    " after it was reported as not executed");
   }
 }
 
--- a/Tests/Platform/Soak/RecoveryChecks.cpp
+++ b/Tests/Platform/Soak/RecoveryChecks.cpp
@@ -40,7 +40,8 @@
 RecoveryChecks::CheckRecovery()
 {
   if (!environment_.RunUntil([this] { return environment_.IsAllServed(); }, kRecoveryTimeout)) {
-    environment_.Guarantees().ReportViolation("RECOVER not everything is served after all faults");
+    environment_.Guarantees().ReportViolation(
+      "RECOVER not all requests are served after all faults were removed");
   }
 }
 
@@ -96,10 +97,10 @@
   auto& process = *aInstance.process_;
   if (!environment_.RunUntil([&] { return process.HasEnded(); }, kShutdownTimeout)) {
     environment_.Guarantees().ReportViolation("STOP " + aInstance.name_ +
-                                              " still runs after its grace");
+                                              " still runs after the grace period");
     process.Signal(SIGKILL);
   } else if (process.Wait() != 0) {
-    environment_.Guarantees().ReportViolation("STOP " + aInstance.name_ + " ended with a failure");
+    environment_.Guarantees().ReportViolation("STOP " + aInstance.name_ + " exited with a failure");
   }
 }
 
@@ -107,9 +108,10 @@
 RecoveryChecks::CheckFailedRequest(const SoakEnvironment::BrokenRequest& aRequest)
 {
   if (environment_.Guarantees().HasArrived(aRequest.id_) || aRequest.age_ > kMaxCrossingTime) {
-    environment_.Guarantees().ReportViolation("LOST by a planned stop: " + aRequest.description_);
+    environment_.Guarantees().ReportViolation("LOST during a graceful shutdown: " +
+                                              aRequest.description_);
   } else {
-    std::cout << "crossed a close: " << aRequest.description_ << '\n';
+    std::cout << "request crossed the close of its connection: " << aRequest.description_ << '\n';
   }
 }
 
--- a/Tests/Platform/Soak/SoakEnvironment.cpp
+++ b/Tests/Platform/Soak/SoakEnvironment.cpp
@@ -75,7 +75,7 @@
     BOOST_OUTCOME_TRY(AddInstance(number));
   }
   if (!RunUntil([this] { return IsAllServed(); }, kStartTimeout)) {
-    return FieldError{ "soak", "the fleet does not serve within its time to start" };
+    return FieldError{ "soak", "the fleet did not serve all requests within the start timeout" };
   }
   isLoadOn_ = true;
   return outcome::success();
--- a/Tests/Platform/Soak/main.cpp
+++ b/Tests/Platform/Soak/main.cpp
@@ -61,7 +61,7 @@
   RunFaults(environment, injector, aTime);
   const auto violations = environment.Guarantees().Violations().size();
   std::cout << "seed " << aSeed << ": " << environment.SentCount() << " requests, "
-            << environment.AnsweredCount() << " answered, " << violations << " promises broken"
+            << environment.AnsweredCount() << " answered, " << violations << " violations"
             << std::endl;
   if (violations > 0) {
     std::cout << injector.FaultLog();
@@ -94,7 +94,7 @@
     const auto seed = absl::GetFlag(FLAGS_seed) + number;
     failed += RunSeed(settings, seed, seconds(absl::GetFlag(FLAGS_seconds))) ? 0 : 1;
   }
-  std::cout << absl::GetFlag(FLAGS_seeds) - failed << " seeds held, " << failed << " did not\n";
+  std::cout << absl::GetFlag(FLAGS_seeds) - failed << " seeds passed, " << failed << " failed\n";
   return failed == 0 ? 0 : 1;
 }
 
