--- a/Tests/Platform/FleetDocuments.cpp
+++ b/Tests/Platform/FleetDocuments.cpp
@@ -11,7 +11,7 @@
 std::string
 ControlAddress(int aPort)
 {
-  // Instances are at least five ports apart. 127.0.0.1 is left to the other listeners.
+  // Instances are at least five ports apart. All other listeners use 127.0.0.1.
   constexpr int kPortsPerInstance = 5;
   constexpr int kFirstHost = 2;
   constexpr int kHosts = 250;
--- a/Tests/Platform/TestEntryProcesses.cpp
+++ b/Tests/Platform/TestEntryProcesses.cpp
@@ -354,7 +354,7 @@
   ExpectNothingRanTwice();
 }
 
-TEST_F(FleetOfThreeProcesses, ServerLeaves_GetsNothingNewAndItsKeysAreServed)
+TEST_F(FleetOfThreeProcesses, ServerLeaves_GetsNoNewRequestsAndItsKeysAreServed)
 {
   backends_["k0"]->Leave();
   backends_["b0"]->Leave();
@@ -420,12 +420,12 @@
 TEST_F(FleetOfThreeProcesses, ServersNameARateLimit_GetNoMoreThanThatFromAllTogether)
 {
   constexpr double kLimit = 6;
-  constexpr Duration kUntilKept = seconds(3);
+  constexpr Duration kTimeToTakeEffect = seconds(3);
   constexpr Duration kWindow = seconds(4);
   // Half as many again, and five, are allowed, because instances learn of the limit one after
   // another.
   const auto allowed = static_cast<std::size_t>(1.5 * kLimit * ToSeconds(kWindow)) + 5;
-  auto since = MonotonicNow() + kUntilKept;
+  auto since = MonotonicNow() + kTimeToTakeEffect;
   for (const auto* id : { "b0", "b1", "k0" }) {
     backends_[id]->SetRateLimit(kLimit);
   }
@@ -436,7 +436,7 @@
   // Another server can handle these requests.
   EXPECT_EQ(bookingStatuses_.size(), 1U);
   backends_["b2"]->SetRateLimit(kLimit);
-  since = MonotonicNow() + kUntilKept;
+  since = MonotonicNow() + kTimeToTakeEffect;
   RunLoad(seconds(8), { 1, 2, 3 });
   for (const auto* id : { "b0", "b1", "b2" }) {
     const auto maxArrivals = MaxArrivalsIn(id, since, kWindow);
@@ -484,7 +484,7 @@
   EXPECT_GT(backends_["o0"]->Runs().size(), before);
 }
 
-TEST_F(FleetOfThreeProcesses, StoreIsAwayForLongerThanAGrantHolds_AllIsServed)
+TEST_F(FleetOfThreeProcesses, StoreIsDownLongerThanALease_AllRequestsAreServed)
 {
   store_->SetDown(true);
   RunLoad(seconds(7), { 1, 2, 3 });
@@ -549,10 +549,10 @@
 constexpr const char* kTwoGroups =
   R"([{"name":"yefi","apiKeys":["key-1"]},)"
   R"({"name":"wuno","apiKeys":["key-2"],"ratePerS":20,"burst":20}])";
-constexpr const char* kOneKeyLess = R"([{"name":"yefi","apiKeys":[]},)"
+constexpr const char* kKeyRevoked = R"([{"name":"yefi","apiKeys":[]},)"
                                     R"({"name":"wuno","apiKeys":["key-2"]}])";
 
-TEST_F(FleetOfThreeProcesses, ConfigurationHasGroups_ServersAreToldTheGroupAndNoKey)
+TEST_F(FleetOfThreeProcesses, ConfigurationHasGroups_ServersReceiveTheGroupAndNoApiKey)
 {
   store_->Put("op", "config", MakeManifest(5, "bookings", kTwoGroups));
   apiKey_ = "key-1";
@@ -600,7 +600,7 @@
   store_->Put("op", "config", MakeManifest(5, "bookings", kTwoGroups));
   apiKey_ = "key-1";
   ASSERT_TRUE(RunUntil([&] { return CountServed() == instances_; }, seconds(5)));
-  store_->Put("op", "config", MakeManifest(7, "bookings", kOneKeyLess));
+  store_->Put("op", "config", MakeManifest(7, "bookings", kKeyRevoked));
   RunLoad(seconds(2), { 1, 2, 3 });
   const auto before = Runs();
   statuses_.clear();
@@ -625,7 +625,7 @@
   EXPECT_GT(statuses_[429], 0);
 }
 
-TEST_F(FleetOfThreeProcesses, SettingsAreReadAgainOnSignal_ProcessGoesOn)
+TEST_F(FleetOfThreeProcesses, SettingsAreReloadedOnSignal_ProcessKeepsRunning)
 {
   processes_[0]->Signal(SIGHUP);
   statuses_.clear();
@@ -641,7 +641,7 @@
   EXPECT_LT(store_->Calls(), 100U);
 }
 
-TEST_F(FleetOfTwentyProcesses, SomeAreKilledAndARouteMoves_AllOthersKnowInTwoSeconds)
+TEST_F(FleetOfTwentyProcesses, SomeAreKilledAndARouteMoves_AllOthersApplyItInTwoSeconds)
 {
   RunUntil([] { return false; }, seconds(2));
   for (int number = 0; number < 6; ++number) {
@@ -675,7 +675,7 @@
   EXPECT_TRUE(RunUntil([&] { return CountServed() == instances_; }, seconds(10)));
 }
 
-TEST(EntryProcess, SettingsAreMalformed_EndsWithItsOwnStatus)
+TEST(EntryProcess, SettingsAreMalformed_ExitsWithItsOwnStatus)
 {
   EntryProcess process(LATCHSLIP_ENTRY, "malformed", R"({"nodeId":"edge-9"})");
   const auto status = process.Wait();
--- a/Tests/Platform/TestPlatformStore.cpp
+++ b/Tests/Platform/TestPlatformStore.cpp
@@ -41,7 +41,7 @@
   std::unique_ptr<FleetStore> client_ = CreatePlatformStore(context_, Loopback(kPort), events_);
 };
 
-TEST_F(ClientOfAStore, StoreReturnsFromAnOlderCopy_VersionsOfItsWritesComeAfterAllEarlierOnes)
+TEST_F(ClientOfAStore, StoreIsRestored_NewVersionsComeAfterAllEarlierOnes)
 {
   store_->SaveCopy();
   const auto before = Write("a", 0, "1");
@@ -55,7 +55,7 @@
 
 // Guards against a condition that matches by number only: after a restore the store reuses the
 // number of a lost version for another writer's change.
-TEST_F(ClientOfAStore, ConditionNamesALostVersionWhoseNumberIsUsedAgain_WriteIsRefused)
+TEST_F(ClientOfAStore, LostVersionsNumberIsReused_ConditionalWriteIsRefused)
 {
   store_->SaveCopy();
   const auto lost = Write("a", 0, "ours").rows_.front().version_;
@@ -68,7 +68,7 @@
 }
 
 // An instance may learn of the restore from other instances before it calls the store itself.
-TEST_F(ClientOfAStore, ConditionIsOfALaterEpochThanTheLastAnswer_WriteIsCarriedOut)
+TEST_F(ClientOfAStore, ConditionIsOfALaterEpochThanTheLastAnswer_WriteIsCommitted)
 {
   ASSERT_EQ(Write("b", 0, "x").status_, StoreStatus::Done);
   store_->SaveCopy();
@@ -135,7 +135,7 @@
   int views_ = 0;
 };
 
-TEST_F(ClientOfAStore, RowOfManyPartsShrinks_IsReadAsItStands)
+TEST_F(ClientOfAStore, SplitRowShrinks_IsReadCompletely)
 {
   const auto longer = SerializeOwnership(OwnersOf(10000));
   const auto shorter = SerializeOwnership(OwnersOf(300));
--- a/Tests/Platform/TestTablePoller.cpp
+++ b/Tests/Platform/TestTablePoller.cpp
@@ -82,7 +82,7 @@
   TablePoller poller_{ context_, store_, FleetTable::Servers };
 };
 
-TEST_F(FollowerOfServers, TableIsRead_ChangesAfterItAreAskedFor)
+TEST_F(FollowerOfServers, TableIsRead_LaterChangesAreRequested)
 {
   ASSERT_EQ(store_.views_.size(), 1U);
   EXPECT_TRUE(store_.views_[0].isWhole_);
@@ -98,7 +98,7 @@
   EXPECT_EQ(LastRequestedVersion(), "90");
 }
 
-TEST_F(FollowerOfServers, NothingChangesForSomeTime_OldVersionIsTakenForGranted)
+TEST_F(FollowerOfServers, NothingChangesForSomeTime_OldVersionIsConfirmed)
 {
   store_.Answer(200, R"({"rows":[],"ver":100})");
   RunUntilRequest();
@@ -114,7 +114,7 @@
   EXPECT_EQ(LastRequestedVersion(), "110");
 }
 
-TEST_F(FollowerOfServers, PlacerRelays_NothingMoreIsAsked)
+TEST_F(FollowerOfServers, PlacerSendsUpdates_PollingStops)
 {
   poller_.SetPollMode(Following::Relayed, 95);
   EXPECT_FALSE(store_.callback_);
@@ -141,7 +141,7 @@
   EXPECT_NE(store.targets_.back().find("after=80&waitMs=4000"), std::string::npos);
 }
 
-TEST_F(FollowerOfServers, StoreFailsAndAnotherAwaitsItsReturn_NothingIsAskedUntilThen)
+TEST_F(FollowerOfServers, StoreFailsAndAnotherPollerProbesIt_PausesUntilRecovery)
 {
   store_.isRecoveryPolledElsewhere_ = true;
   const auto requests = store_.targets_.size();
@@ -161,7 +161,7 @@
   EXPECT_EQ(store_.rereadAfter_, 90U);
 }
 
-TEST_F(FollowerOfServers, AnswerToAQuestionIsOfTheNextEpoch_TableIsReadAgainAndCountsAsNewer)
+TEST_F(FollowerOfServers, AnswerIsOfTheNextEpoch_TableIsReadAgainAndCountsAsNewer)
 {
   store_.Answer(200, R"({"rows":[{"key":"s1","value":"Yg==","ver":91}],"ver":95})", "2");
   ASSERT_NE(store_.targets_.back().find("/api/rows-get"), std::string::npos);
@@ -175,7 +175,7 @@
   EXPECT_EQ(LastRequestedVersion(), "60");
 }
 
-TEST_F(FollowerOfServers, AnswerOfAFormerEpochComesLate_IsLeftOutAndAskedForAgain)
+TEST_F(FollowerOfServers, LateAnswerOfAFormerEpoch_IsIgnoredAndRequestedAgain)
 {
   store_.Answer(410, "", "2");
   store_.Answer(200, R"({"rows":[],"ver":60})", "2");
@@ -188,7 +188,7 @@
   EXPECT_EQ(LastRequestedVersion(), "60");
 }
 
-TEST_F(FollowerOfServers, HistoryIsGoneSinceTheStoreReturned_WhatIsReadCountsAsNewer)
+TEST_F(FollowerOfServers, HistoryIsGoneAfterARestore_RereadRowsCountAsNewer)
 {
   store_.Answer(410, "", "2");
   store_.Answer(200, R"({"rows":[],"ver":60})", "2");
@@ -197,7 +197,7 @@
   EXPECT_GT(store_.views_[1].version_, store_.views_[0].version_);
 }
 
-TEST_F(FollowerOfServers, RowsChange_ViewBeginsAtWhatWasAsked)
+TEST_F(FollowerOfServers, RowsChange_ViewBeginsAtTheRequestedVersion)
 {
   store_.Answer(200, R"({"rows":[{"key":"s1","ver":95,"removed":true}],"ver":99})");
   ASSERT_EQ(store_.views_.size(), 2U);
@@ -206,7 +206,7 @@
   EXPECT_TRUE(store_.views_[1].rows_[0].isRemoved_);
 }
 
-TEST_F(FollowerOfServers, AnswerCannotBeRead_IsCountedAndAskedAgain)
+TEST_F(FollowerOfServers, MalformedAnswer_IsReportedAndRequestedAgain)
 {
   store_.Answer(200, "garbage");
   EXPECT_EQ(store_.malformed_, 1);
