--- a/Libraries/LibFleet/ConfigurationDuty.cpp
+++ b/Libraries/LibFleet/ConfigurationDuty.cpp
@@ -1,7 +1,8 @@
-// The part of FleetMember that knows how fresh the configuration is. An API key that was
-// taken away must not be honoured after a bound, by nobody: so keys are honoured for a time
-// after each proof that the configuration here is the latest, and no longer. Whoever reads
-// the store for others asks it; all others hear it with the answers to what they ask anyway.
+// Freshness of the configuration in FleetMember. A revoked API key must be rejected by every
+// instance within a bound. Therefore API keys are accepted only for a limited time after each proof
+// that the local configuration is the latest, like under a lease. Instances that poll the store on
+// behalf of others read proofs from it; all others get them with the responses to their reports and
+// fetches.
 
 #include "LibFleet/FleetMember.h"
 #include "LibStore/StoreEpoch.h"
@@ -12,14 +13,14 @@
 
 namespace {
 
-// Between two questions to the store. Two that are lost and the way to the others by their
-// reports still fit into a bound of some seconds.
+// Interval between reads of a proof. Two lost reads and the way to the others by their reports
+// still fit into a bound of some seconds.
 constexpr Duration kProofInterval = milliseconds(500);
-// The part of the bound for which a proof holds; clocks may run slow by a hundredth or two.
+// Share of the bound for which a proof is valid; clocks may run slow by a hundredth or two.
 constexpr double kProofPart = 0.95;
-// A proof that holds for less than this part of the bound is looked for at once.
+// A proof whose remaining validity is less than this share of the bound is renewed at once.
 constexpr double kLowPart = 0.4;
-// Between two reports that only look for one.
+// Interval between reports that are sent only to get a proof.
 constexpr Duration kProofReportInterval = milliseconds(200);
 
 } // namespace
--- a/Libraries/LibFleet/ConfigurationProof.cpp
+++ b/Libraries/LibFleet/ConfigurationProof.cpp
@@ -40,7 +40,7 @@
   provenIn_ = EpochOf(known_);
 }
 
-// A proof from before the store's return says nothing to whoever knows its copy only.
+// A proof from before a restore of the store says nothing about the restored copy.
 std::optional<ConfigurationProof>
 ConfigurationWatch::Tell(Instant aNow) const
 {
--- a/Libraries/LibFleet/ConfigurationProof.h
+++ b/Libraries/LibFleet/ConfigurationProof.h
@@ -7,7 +7,8 @@
 
 namespace latchslip {
 
-// So long ago the store held no later configuration than that row.
+// Evidence that a configuration is fresh: age_ ago, the store held no configuration later than
+// version_. Sent between instances.
 struct ConfigurationProof
 {
   RowVersion version_ = 0;
@@ -16,34 +17,37 @@
   bool operator==(const ConfigurationProof&) const = default;
 };
 
-// Follows until when an instance knew for certain that its configuration was the latest:
-// the store says so to those that read it, and they to the others. Who hears neither cannot
-// know whether an API key was taken away since. It does no I/O.
+// Tracks the last time at which this instance's configuration was proven to be the latest one in
+// the store. Readers of the store obtain proofs by reading it; all others receive them from those.
+// An instance without a fresh proof cannot know whether an API key has been revoked since. It does
+// no I/O.
 class ConfigurationWatch
 {
 public:
-  // The latest configuration that is known here.
+  // Sets the version of the latest configuration that this instance has.
   void OnKnown(RowVersion aVersion);
-  // At that time the store held no later one than aVersion.
+  // Records that at aAsOf the store held no configuration later than aVersion. If this instance
+  // doesn't have aVersion yet, the proof takes effect once OnKnown reports it.
   void OnProof(Instant aAsOf, RowVersion aVersion);
 
   RowVersion Known() const { return known_; }
-  // Instant::min() before any proof.
+  // Time of the latest proof; Instant::min() before the first one.
   Instant ProvenAt() const { return provenAt_; }
-  // What others are told; no value when nothing is proven here.
+  // The proof to send to other instances; no value if there is none for the store's current epoch.
   std::optional<ConfigurationProof> Tell(Instant aNow) const;
 
 private:
-  // Whether what is known here is no older than that version. Those of another epoch of
-  // the store cannot be compared: its copy may lack what had been known.
+  // Whether the known version is at least as new as aVersion. Versions of different store epochs
+  // cannot be compared: the copy that a store was restored from may lack writes that were
+  // acknowledged before.
   bool Covers(RowVersion aVersion) const;
   void Prove(Instant aAsOf);
 
   RowVersion known_ = 0;
   Instant provenAt_ = Instant::min();
-  // The store's epoch in which that was.
+  // Store epoch of the configuration that the latest proof covers.
   StoreEpoch provenIn_ = 0;
-  // The last proof of a version that is not known here yet.
+  // The latest proof of a version that this instance doesn't have yet; 0 if there is none.
   RowVersion awaitedVersion_ = 0;
   Instant awaitedAsOf_ = Instant::min();
 };
--- a/Libraries/LibFleet/FleetMember.cpp
+++ b/Libraries/LibFleet/FleetMember.cpp
@@ -9,14 +9,14 @@
 
 namespace {
 
-// Between two questions for news while the store is out of reach.
+// Interval between fetches of updates while the store is out of reach.
 constexpr Duration kFetchInterval = milliseconds(500);
-// A placer that answered within this time also tells what changes: two reports.
+// A placer that answered within this time, two report intervals, still sends updates.
 constexpr Duration kNewsBound = milliseconds(1800);
-// The instances of a fleet are all known to its placer two reports after the first.
+// All instances of a fleet are known to its placer two reports after the first one.
 constexpr Duration kRosterSettle = milliseconds(1600);
-// With this part of a processor an instance is strong enough to be the placer of a
-// large fleet: a tenth took seconds to answer the reports of 90 instances.
+// With this share of a processor an instance is strong enough to be the placer of a large fleet: a
+// tenth took seconds to answer the reports of 90 instances.
 constexpr double kStrongShare = 0.5;
 
 } // namespace
@@ -30,8 +30,8 @@
   , events_(aEvents)
   , view_(aDecoder, *this, aEvents)
   , random_(settings_.seed_)
-  // How strong the others are is told by the first placer; until then, by what is
-  // enough for anything.
+  // The first placer reports the largest processor share; until then, compare with the share that
+  // is enough for a large fleet.
   , election_(settings_.self_,
               std::uniform_real_distribution<double>(0, 1)(random_),
               WeaknessBeside(settings_.processorShare_, kStrongShare))
@@ -66,14 +66,14 @@
     return;
   }
   auto changes = view_.ChangesSince(aView.table_, version);
-  // In a small fleet the configuration is followed by everybody.
+  // In a small fleet every instance polls the configuration.
   const bool isFollowedByAll = aView.table_ == FleetTable::Configuration && !roster_.HasReaders();
   if (changes.rows_.empty() || isFollowedByAll) {
     return;
   }
   FleetNews news;
   news.views_.push_back(std::move(changes));
-  // The others have heard of the last change, not of the quiet since.
+  // The others have the last change, but not the later versions without changes.
   news.views_.back().base_ = lastChange;
   if (election_.IsPlacer()) {
     Spread(news);
@@ -124,7 +124,7 @@
   for (const auto& doubt : aNews.doubts_) {
     NoteDoubt(aNow, doubt);
   }
-  // What the store itself tells goes first on the tables that others write.
+  // What this instance reads from the store takes precedence for the tables that others write.
   const bool isFollowing = following_ == Following::Alone || following_ == Following::Closely;
   const bool ownRowsOnly = isFollowing && !isStoreLost_;
   if (!aNews.views_.empty() && !ownRowsOnly) {
@@ -133,7 +133,7 @@
                      " following=" + std::string(kFollowingNames.NameOf(following_)));
   }
   if (!view_.Take(aNow, aNews, ownRowsOnly)) {
-    // Some were missed; the store has them all.
+    // Some updates were missed; read the changes from the store.
     relay_.OnFailure(RelayEnd::NewsMissed);
     ChooseFollowing(aNow);
   }
@@ -242,8 +242,8 @@
   ChooseFollowing(aNow);
   NoteStaleness(aNow);
   AskReaders(aNow);
-  // Readers alone are asked by those that they guide: two that are told by others would
-  // keep each other from the store.
+  // While readers stand in for the placer, only readers are asked: two instances that both depend
+  // on others would keep each other from polling the store.
   if (isStoreLost_ && following_ != Following::Told && aNow >= nextFetch_) {
     FetchFromPeers(aNow);
   }
@@ -268,8 +268,8 @@
     guide_.OnRelayEnded(aNow);
     return guide_.IsGuided(aNow) ? Following::Told : Following::Alone;
   }
-  // What a reader says is relied on: a long question would hide for seconds that the store
-  // turns it away.
+  // Other instances rely on a reader: a poll with a long wait would hide for seconds that the store
+  // rejects it.
   return roster_.HasReaders() ? Following::Closely : Following::Alone;
 }
 
@@ -279,7 +279,7 @@
   if (roster_.HasReaders()) {
     return roster_.IsReader(settings_.self_.address_);
   }
-  // The first answers of a placer name only those that it has heard so far.
+  // The first answers of a placer list only the instances that have reported so far.
   const bool isSettled = rosterSince_ && aNow - *rosterSince_ >= kRosterSettle;
   return isSettled || view_.Size() == FleetSize::Small;
 }
@@ -356,7 +356,7 @@
 FleetMember::FetchFromPeers(Instant aNow)
 {
   nextFetch_ = aNow + kFetchInterval;
-  // In a large fleet the others only know what its readers tell them.
+  // In a large fleet, the others only have what its readers send them.
   const bool hasReaders = roster_.HasReaders();
   auto addresses = hasReaders ? std::vector<std::string>() : settings_.seeds_;
   for (const auto& [address, peer] : roster_.Peers()) {
--- a/Libraries/LibFleet/FleetMember.h
+++ b/Libraries/LibFleet/FleetMember.h
@@ -23,68 +23,79 @@
 
 namespace latchslip {
 
-// Carries out what a member of the fleet decides, and hears what it learns.
+// The side effects that a FleetMember requests: calls to the store, to other instances and to
+// servers, and notifications to the gateway of this instance.
 class FleetActions
 {
 public:
   virtual ~FleetActions() = default;
 
-  // The answer goes to OnTransactEnded.
+  // Sends a transaction to the store; the result is passed to OnTransactEnded.
   virtual void Transact(const Transaction& aTransaction) = 0;
-  // How the store is to be followed from now on.
+  // Changes how the store's tables are polled; aKnown holds the version of each table that this
+  // instance has.
   virtual void Follow(Following aHow, const TableVersions& aKnown) = 0;
-  // The answer goes to OnOrderEnded.
+  // Sends a key command to a server; the result is passed to OnOrderEnded.
   virtual void Order(const std::string& aService, const KeyOrder& aOrder) = 0;
-  // The answer goes to OnReportAnswered.
+  // Sends a report to the placer at aAddress; the result is passed to OnReportAnswered.
   virtual void SendReport(const std::string& aAddress, const InstanceReport& aReport) = 0;
-  // Tells other instances what they have not asked for.
+  // Pushes an update to other instances along the branches of an update tree.
   virtual void SendNews(const std::vector<NewsBranch>& aBranches, const FleetNews& aNews) = 0;
-  // The answer goes to OnNewsFetched.
+  // Requests everything newer than aVersions from the instance at aAddress; the result is passed to
+  // OnNewsFetched.
   virtual void FetchNews(const std::string& aAddress, const TableVersions& aVersions) = 0;
-  // Asks the store for the version of the configuration; the answer goes to
+  // Reads the version of the configuration from the store; the result is passed to
   // OnConfigurationRead.
   virtual void ReadConfigurationVersion() = 0;
-  // Tells the keeper of the groups' limits; the answer goes to OnUsesAnswered.
+  // Sends this instance's usage of the groups' limits to the limit coordinator; the result is
+  // passed to OnUsesAnswered.
   virtual void SendUses(const std::string& aAddress, const UseReport& aReport) = 0;
 
+  // A new configuration is in force.
   virtual void OnRoutes(std::shared_ptr<const RouteTable> aRoutes) = 0;
+  // Server records were added, changed or removed.
   virtual void OnDirectoryChanged() = 0;
+  // The owners of a service's keys changed.
   virtual void OnOwnership(const KeyOwnership& aOwnership) = 0;
-  // Until when API keys may be honoured by the present routes.
+  // API keys of the current routes may be accepted until aUntil; called whenever that time changes.
   virtual void OnApiKeysProven(Instant aUntil) = 0;
-  // Which instances there are, by address.
+  // The instances of the fleet, by address; called on every change of the roster.
   virtual void OnInstances(const std::map<std::string, FleetPeer>& aPeers) = 0;
-  // Whether neither the store nor a placer tells what changes.
+  // Called when the data becomes stale, which means that neither the store nor the placer can be
+  // reached, and when it no longer is.
   virtual void OnNewsStale(bool aIsStale) = 0;
-  // What a server did for this instance since the last call.
+  // Returns and resets the counters of the work that aServer did for this instance.
   virtual ServerWork TakeWorkOf(const std::string& aServer) = 0;
 };
 
-// What an instance is told of itself and of the fleet when it starts.
+// Static parameters of a FleetMember.
 struct FleetMemberSettings
 {
-  // What the placer's row says while this instance is the placer.
+  // The contents of the placer row while this instance is the placer.
   PlacerRow self_;
-  // Addresses where other instances may be found at the start.
+  // Peer addresses to contact at startup, as long as no roster is known.
   std::vector<std::string> seeds_;
-  // What part of a processor this instance has: the strong become placers first.
+  // Processors available to this instance, as a fraction of one. Instances with more of it are
+  // preferred as placer.
   double processorShare_ = 1;
   OwnershipPlacerSettings placer_;
   std::uint32_t seed_ = 1;
   // The data hall of this instance.
   std::string hall_;
-  // No API key is honoured any more this long after the store took the configuration that
-  // takes it away, whoever can be reached meanwhile; no value when that is not promised.
+  // A revoked API key is rejected at the latest this long after the store accepted the
+  // configuration that revokes it, whatever can be reached meanwhile; no value if there is no such
+  // guarantee.
   std::optional<Duration> apiKeyBound_{};
-  // The span in which the requests of a group are counted against its limit.
+  // Window over which the requests of a group are counted against its limit.
   Duration limitWindow_ = seconds(5);
 };
 
-// One instance's part in the fleet. The placer follows the store's tables and
-// tells the others what changes; the others report to it, and follow the store
-// themselves only while no placer tells them. In a large fleet a few of each data hall,
-// its readers, do that for the others of their hall. Whoever the row names is the
-// placer. It does no I/O.
+// The control plane of one instance. One instance of the fleet is the placer, elected through a row
+// in the store (see PlacerElection). It polls the store's tables closely, pushes changes to the
+// others, places keys on servers and coordinates the groups' limits. The other instances report to
+// the placer, and poll the store themselves only while they cannot rely on the placer for updates.
+// In a large fleet two instances of each data hall, the readers, poll the store on behalf of their
+// hall. It does no I/O: FleetActions carries out its decisions.
 class FleetMember : private FleetViewListener
 {
 public:
@@ -94,115 +105,137 @@
               EventSink& aEvents);
   ~FleetMember() override;
 
+  // The store returned a table or the changes of one.
   void OnView(Instant aNow, const TableView& aView);
+  // Calls to the store fail from now on.
   void OnStoreLost(Instant aNow);
+  // The store answers again.
   void OnStoreRegained(Instant aNow);
+  // Result of FleetActions::Transact. Transactions are sent one at a time.
   void OnTransactEnded(Instant aNow, const StoreReply& aReply);
+  // Result of FleetActions::Order.
   void OnOrderEnded(Instant aNow,
                     const std::string& aService,
                     OrderNumber aOrder,
                     const OrderOutcome& aOutcome);
-  // An answer of that life of a server says that it is about to end.
+  // A response of that incarnation of a server announced that the server is about to shut down.
   void OnToldLeaving(Instant aNow, const std::string& aServer, std::uint64_t aLife);
+  // Handles a report of another instance and returns the response to it.
   ReportAnswer OnReport(Instant aNow, const InstanceReport& aReport);
-  // No value when no answer came. aRoundTrip is how long it took.
+  // Result of FleetActions::SendReport; no value if no response arrived. aRoundTrip is the time
+  // from sending the report to the response.
   void OnReportAnswered(Instant aNow,
                         const std::optional<ReportAnswer>& aAnswer,
                         Duration aRoundTrip = Duration(0));
-  // What another instance is told that has these versions.
+  // Returns everything newer than aVersions, for an instance that has those.
   FleetNews NewsSince(Instant aNow, const TableVersions& aVersions) const;
-  // News from another instance that were not asked for.
+  // Handles an update pushed by another instance.
   void OnNews(Instant aNow, const FleetNews& aNews);
-  // News that were asked for; no value when none came.
-  // aFrom is the address that was asked, aRoundTrip how long that took.
+  // Result of FleetActions::FetchNews; no value if no response arrived. aFrom is the address that
+  // was asked, aRoundTrip the time from the request to the response.
   void OnNewsFetched(Instant aNow,
                      const std::optional<FleetNews>& aNews,
                      Duration aRoundTrip = Duration(0),
                      const std::string& aFrom = {});
-  // No value when the store did not answer. aAskedAt is when it was asked.
+  // Result of FleetActions::ReadConfigurationVersion; no value if the store did not answer.
+  // aAskedAt is the time at which the read was sent.
   void OnConfigurationRead(Instant aNow, Instant aAskedAt, std::optional<RowVersion> aVersion);
-  // What another instance has met of the groups with limits; the answer is for it. No value
-  // when this instance is not the placer, who is their keeper.
+  // Handles another instance's usage of the groups' limits and returns the admitted shares of those
+  // groups. No value if this instance is not the placer, which is the limit coordinator.
   std::optional<GroupParts> OnUses(Instant aNow, const UseReport& aReport);
-  // No value when no answer came.
+  // Result of FleetActions::SendUses; no value if no response arrived.
   void OnUsesAnswered(Instant aNow, const std::optional<GroupParts>& aParts);
+  // Counts a request for a key of a keyed service, for the load reports.
   void CountKey(const std::string& aService, KeyNumber aKey);
+  // Runs all periodic work; the caller calls it every few tens of milliseconds.
   void OnTime(Instant aNow);
 
   const ServerDirectory& Directory() const { return view_.Directory(); }
   bool IsPlacer() const { return election_.IsPlacer(); }
-  // Whether enough is known to serve.
+  // Whether the routes and the servers are known.
   bool IsReady() const { return view_.Routes() && view_.IsKnown(FleetTable::Servers); }
-  // Whether callers may be sent here: as above, and API keys, if they show any, can be
-  // honoured.
+  // Whether callers may be sent to this instance: it is ready, and if the routes have groups, API
+  // keys can be accepted.
   bool IsServing(Instant aNow) const;
-  // Holds the groups' requests to their limits.
+  // Admission control by the groups' limits.
   GroupGate& Gate() { return limits_; }
 
 private:
   class ServicePlacer;
 
-  // A write of the placer; they go to the store one after the other.
+  // A pending write to the store. Writes are sent strictly one after the other.
   struct WaitingWrite
   {
-    // What it says, when it is about the owners of keys.
+    // The owners that the write stores; no value for the other rows.
     std::optional<KeyOwnership> ownership_;
-    // What it follows on, if anything.
+    // The owners that the write replaces; no value if there were none.
     std::optional<FleetView::OwnedService> former_;
     Transaction transaction_;
     bool isUnderWay_ = false;
-    // This instance is no longer the placer that wanted it.
+    // This instance lost the placer role after the write was sent; its result is ignored.
     bool isAbandoned_ = false;
     Instant retryAt_ = Instant::min();
 
     const std::string& Key() const { return transaction_.writes_.front().key_; }
   };
 
-  // What the view hears.
+  // FleetViewListener.
   void OnRoutes(Instant aNow, std::shared_ptr<const RouteTable> aRoutes) override;
   void OnDirectoryChanged() override { actions_.OnDirectoryChanged(); }
   void OnOwnership(const KeyOwnership& aOwnership) override { actions_.OnOwnership(aOwnership); }
   void OnPlacer(Instant aNow, const std::optional<PlacerRow>& aPlacer) override;
 
+  // Applies the poll mode that HowToFollow returns.
   void ChooseFollowing(Instant aNow);
+  // Decides how this instance polls the store at present.
   Following HowToFollow(Instant aNow);
-  // Whether this instance follows the store for others as well, or for itself in a fleet
-  // that is too small to share that.
+  // Whether this instance polls the store for the configuration although the placer sends updates:
+  // it is a reader, or the fleet is too small to have readers.
   bool IsReading(Instant aNow) const;
-  // Whether others follow the store for this instance.
+  // Whether readers poll the store on behalf of this instance.
   bool IsReadFor() const;
   FleetPeer SelfAsPeer() const;
-  // What those of its hall learn from a reader.
+  // Pushes an update to the instances of this instance's data hall.
   void TellHall(const FleetNews& aNews);
+  // Requests updates from a reader while the placer cannot be relied on.
   void AskReaders(Instant aNow);
+  // Reports a change of whether this instance's data is stale.
   void NoteStaleness(Instant aNow);
+  // Requests updates from a random instance while the store is out of reach.
   void FetchFromPeers(Instant aNow);
 
-  // What concerns how fresh the configuration is, in ConfigurationDuty.cpp.
-  // Whether API keys are only honoured while the configuration is proven to be the latest.
+  // Freshness of the configuration; see the comment in ConfigurationDuty.cpp.
+
+  // Whether API keys are accepted only while the configuration is proven to be the latest.
   bool NeedsProofs() const;
-  // Whether this instance asks the store for proofs.
+  // Whether this instance reads proofs from the store itself.
   bool AsksForProofs() const;
+  // Reads a proof when one is due, and brings the next report forward when the last proof is about
+  // to expire.
   void FollowProofs(Instant aNow);
-  // A proof that another instance told, which was asked that long ago.
+  // Handles a proof received from another instance, aRoundTrip after it was requested.
   void TakeProof(Instant aNow,
                  const std::optional<ConfigurationProof>& aProof,
                  Duration aRoundTrip);
-  // At the time of aAsOf the store held no later configuration than that version.
+  // Records that at aAsOf the store held no configuration later than aVersion.
   void AddProof(Instant aNow, Instant aAsOf, RowVersion aVersion);
+  // Reports a change of the time until which API keys may be accepted.
   void NoteProof(Instant aNow);
 
-  // What concerns the groups' limits, in LimitDuty.cpp.
+  // The groups' limits; see LimitDuty.cpp.
+
   void FollowLimits(Instant aNow);
   void StartKeeper(Instant aNow);
 
-  // The placer's part, in PlacerDuty.cpp.
+  // The placer role; see PlacerDuty.cpp.
+
+  // Queues a write that makes this instance the placer.
   void Claim();
   void StartPlacers(Instant aNow);
   void StopPlacers();
   void RunPlacers(Instant aNow);
   void QueueWrite(const KeyOwnership& aOwnership);
-  // Writes down how large the fleet is, once that is known and differs.
+  // Stores the fleet's size class once it is known and differs from the stored one.
   void NoteFleetSize(Instant aNow);
   void SendWrites(Instant aNow);
   void OnClaimed(Instant aNow, const Row& aRow);
@@ -210,33 +243,37 @@
   void OnWriteDone(Instant aNow, const WaitingWrite& aWrite, const StoreReply& aReply);
   void OnWriteConflict(Instant aNow, const WaitingWrite& aWrite, const StoreReply& aReply);
   std::vector<KeyServer> KeyServersOf(Instant aNow, const std::string& aService) const;
-  // The median time of work of a service's servers; no value when none is known.
+  // Median service time of a service's servers; no value when none is known.
   std::optional<Duration> TypicalWorkTimeOf(const std::string& aService) const;
-  // How fast a server is compared with the typical one.
+  // Speed of a server relative to the median of its service, clamped to a factor of kMostSpeed in
+  // both directions.
   double SpeedOf(const ServerRecord& aServer, Duration aTypical) const;
-  // Tells the others at once what this placer has learnt or written.
+  // Pushes an update to all instances.
   void Spread(const FleetNews& aNews);
-  // Notes the doubt and tells the others of it.
+  // Records an uncertain lease here and on all other instances.
   void SpreadDoubt(Instant aNow, const HoldDoubt& aDoubt);
-  // Whoever becomes the placer counts with it, the present one included: it may lose its
-  // claim and make it again.
+  // Records an uncertain lease. Every instance keeps them in case it becomes the placer, the
+  // current placer included: it may lose its claim and make it again.
   void NoteDoubt(Instant aNow, const HoldDoubt& aDoubt);
-  // Tells the tables to instances that have started.
+  // Sends the tables to instances that reported that they have just started.
   void SpreadTables(Instant aNow);
-  // Whether this placer may still give orders, as far as it can know.
+  // Whether this instance may still send key commands as the placer.
   bool MayOrder(Instant aNow) const;
 
-  // The part of the reports, in ReportDuty.cpp.
-  // What this instance has seen since it last reported.
+  // Reports to the placer; see ReportDuty.cpp.
+
+  // Returns this instance's report and resets the counters in it.
   InstanceReport TakeReport();
+  // Sends a report to the placer, or handles it directly if this instance is the placer.
   void Report(Instant aNow);
-  // What the placer's answer tells of the other instances.
+  // Applies the roster and the largest processor share from the placer's response.
   void LearnInstances(Instant aNow, const ReportAnswer& aAnswer);
   ReportAnswer MakeReportAnswer(Instant aNow, const InstanceReport& aReport) const;
+  // Records that the sender of a report is alive.
   void NoteInstances(Instant aNow, const InstanceReport& aReport);
-  // Drops the instances that have not reported for long.
+  // Removes the instances whose reports have ceased.
   void ForgetSilent(Instant aNow);
-  // What the placer learns from a report.
+  // Passes the load and the server statistics of a report to the placers.
   void TakeIn(Instant aNow, const InstanceReport& aReport);
   void LearnSpeeds(Instant aNow, const std::map<std::string, ServerWork>& aWork);
 
@@ -253,49 +290,53 @@
   std::map<std::string, std::unique_ptr<ServicePlacer>> placers_;
   std::vector<WaitingWrite> writes_;
   std::map<std::string, KeyCounter> counters_;
-  // Of the servers of keyed services, as the placer knows them.
+  // Speeds of the servers of keyed services; kept on the placer only.
   ServerSpeeds speeds_;
-  // What an instance was like when it reported here last.
+  // State of an instance that sends reports to this one.
   struct HeardInstance
   {
     Instant heardAt_{ 0 };
     double processorShare_ = 0;
-    // When it was told the tables.
+    // When the tables were last sent to it.
     Instant tablesToldAt_ = Instant::min();
   };
-  // By address.
+  // Instances that report here, by address.
   std::map<std::string, HeardInstance> heardInstances_;
-  // The largest part of a processor that any of them has.
+  // The largest processor share among them.
   double strongestShare_ = 0;
   Instant nextForget_ = Instant::min();
-  // The instances that report to the placer, as it last said.
+  // The instances of the fleet: on the placer those that report to it, elsewhere those in its last
+  // response.
   FleetRoster roster_;
-  // Since when any are known.
+  // When the roster first had an entry.
   std::optional<Instant> rosterSince_;
-  // Addresses of instances that report to this placer and lack the tables.
+  // Addresses of reporting instances that still need the tables.
   std::set<std::string> lacking_;
-  // How many other instances reported here while the store was heard.
+  // How many other instances reported here when the store was last reachable.
   std::size_t othersWithStore_ = 0;
   ConfigurationWatch configuration_;
-  // Until when API keys may be honoured, as was last told.
+  // The time last passed to OnApiKeysProven.
   Instant apiKeysUntil_ = Instant::min();
   bool areApiKeysProven_ = false;
   bool isProofAskedFor_ = false;
   Instant nextProof_ = Instant::min();
-  // Proofs from before are none: the store may show an older copy.
+  // Proofs requested before this time are ignored: after a restore, the store may still serve an
+  // older copy.
   Instant proofsFrom_ = Instant::min();
   StoreEpoch proofEpoch_ = 0;
   Instant reportedAt_ = Instant::min();
   LimitMember limits_;
-  // Counts only while this instance is the placer.
+  // Used only while this instance is the placer.
   LimitKeeper keeper_;
-  // Until when servers may hold keys by orders that they take late.
+  // Uncertain leases: until when each server may hold keys because of a command whose outcome is
+  // unknown.
   std::map<std::string, Instant> doubts_;
-  // The instance that was the placer before this one.
+  // The instance that was the placer before this one; empty if there is none, or once it is known
+  // to have stopped.
   std::string formerPlacer_;
   bool isStoreLost_ = false;
   bool isNewsStale_ = false;
-  // When the placer answered last, whether it reaches the store or not.
+  // When the placer last answered a report, whether or not it reached the store.
   Instant placerHeardAt_ = Instant(0);
   Instant storeHeardAt_{ 0 };
   Instant nextReport_ = Instant::min();
--- a/Libraries/LibFleet/FleetNews.cpp
+++ b/Libraries/LibFleet/FleetNews.cpp
@@ -179,7 +179,7 @@
   constexpr double kMostAge = 9e15;
   ConfigurationProof proof;
   BOOST_OUTCOME_TRY(proof.version_, ReadVersion(member->as_object(), "version"));
-  // Without an age it would pass for fresh.
+  // A proof without an age must not count as fresh.
   BOOST_OUTCOME_TRY(const auto age, reader.NumberOr("age_us", kMostAge, 0, kMostAge));
   proof.age_ = Duration(static_cast<Duration::rep>(age));
   return std::optional(proof);
--- a/Libraries/LibFleet/FleetNews.h
+++ b/Libraries/LibFleet/FleetNews.h
@@ -16,51 +16,53 @@
 
 namespace latchslip {
 
-// Who owns the keys of one service, or what changed in it.
+// The owners of one service's keys, or the changes of them.
 struct OwnershipNews
 {
-  // The row's version before the changes; 0 when the ownership is whole.
+  // Version of the row that the changes apply to; 0 if ownership_ is complete.
   RowVersion base_ = 0;
   RowVersion version_ = 0;
   KeyOwnership ownership_;
 };
 
-// A server that may hold keys for some time by an order that it takes late.
+// An uncertain lease: a server may hold keys for that time from now, because a grant that it has
+// not acknowledged may still reach it.
 struct HoldDoubt
 {
   std::string server_;
   Duration holds_{ 0 };
 };
 
-// What the sender of news sees of the store itself.
+// Whether the sender of an update reaches the store.
 enum class StoreSight
 {
-  // Others tell it what changes.
+  // The sender doesn't poll the store; it receives updates from other instances.
   None,
-  // It follows the store, but cannot reach it.
+  // The sender polls the store without success.
   Lost,
+  // The sender polls the store, and the store answers.
   Heard,
 };
 
 inline constexpr NameTable<StoreSight, 3> kStoreSightNames{ { "none", "lost", "heard" } };
 
-// What one instance tells another of the store's tables.
+// An update: changes of the store's tables that one instance sends to another. Serialized as JSON.
 struct FleetNews
 {
-  // The sender is the placer but cannot reach the store: it will not tell what
-  // changes from now on.
+  // The sender is the placer and cannot reach the store: it sends no updates until it reaches the
+  // store again.
   bool isLastForNow_ = false;
-  // Only told to those who ask.
+  // Set only in responses to a fetch.
   StoreSight sight_ = StoreSight::None;
-  // Of the tables that others write.
+  // Changes of the configuration and of the server records.
   std::vector<TableView> views_;
-  // The row that names the placer.
+  // The placer row, if it changed.
   std::optional<Row> placer_;
   std::vector<OwnershipNews> owners_;
   std::vector<HoldDoubt> doubts_;
-  // Only told to those who ask, who know how old it is then.
+  // Set only in responses to a fetch, whose receiver can tell how old it is on arrival.
   std::optional<ConfigurationProof> proof_;
-  // Of the groups that ask for more than their limits.
+  // Admitted shares of the groups that exceed their limits.
   GroupParts parts_;
 };
 
@@ -74,13 +76,13 @@
 FieldResult<TableVersions>
 ParseVersions(std::string_view aText);
 
-// A proof as a member of a larger document; no value when it has none.
+// A proof as a member of a larger JSON document; no value if the document has none.
 void
 PutProof(const std::optional<ConfigurationProof>& aProof, boost::json::object& aDocument);
 FieldResult<std::optional<ConfigurationProof>>
 ProofFromJson(const boost::json::object& aDocument);
 
-// The versions as a member of a larger document.
+// Table versions as a member of a larger JSON document.
 boost::json::array
 VersionsToJson(const TableVersions& aVersions);
 FieldResult<TableVersions>
--- a/Libraries/LibFleet/FleetReport.cpp
+++ b/Libraries/LibFleet/FleetReport.cpp
@@ -25,7 +25,7 @@
   return number;
 }
 
-// Digests take all bits, more than a JSON number is sure to keep.
+// Digests are sent as text, since a JSON number is not certain to keep all 64 bits.
 FieldResult<std::uint64_t>
 ParseDigest(const JsonReader& aReader)
 {
@@ -39,7 +39,7 @@
   return digest;
 }
 
-// An instance is listed as its address, its hall and its part of a processor.
+// An instance is encoded as a list of its address, its hall and its processor share.
 boost::json::array
 PeerToJson(const FleetPeer& aPeer)
 {
@@ -86,7 +86,7 @@
   return change;
 }
 
-// Counts are listed flat: key, count, key, count.
+// Counts are encoded as a flat list: key, count, key, count.
 FieldResult<std::vector<KeyCount>>
 ParseCounts(const boost::json::value& aValue)
 {
@@ -103,7 +103,8 @@
   return counts;
 }
 
-// Answers, the microseconds that they took together, and the rate limit if there is one.
+// A list of the number of answers, the sum of their times in microseconds, and the rate limit if
+// there is one.
 FieldResult<ServerWork>
 ParseWork(const boost::json::value& aValue)
 {
--- a/Libraries/LibFleet/FleetReport.h
+++ b/Libraries/LibFleet/FleetReport.h
@@ -15,39 +15,38 @@
 
 namespace latchslip {
 
-// What an instance tells the placer once a second.
+// A periodic report of an instance to the placer; it serves as a heartbeat as well.
 struct InstanceReport
 {
   std::string instance_;
-  // Where the other instances reach it.
+  // Peer address of the sender, IP number and port.
   std::string address_;
-  // How often each key of each keyed service was asked for since the last report.
+  // Requests for each key of each keyed service since the last report, by service.
   std::map<std::string, std::vector<KeyCount>> keyCounts_;
-  // What the servers of keyed services did for this instance since the last report.
+  // Work that the servers of keyed services did for this instance since the last report, by server.
   std::map<std::string, ServerWork> work_;
-  // What part of a processor this instance has; 0 when it is not told.
+  // Processors available to the sender, as a fraction of one; 0 if not stated.
   double processorShare_ = 0;
-  // Its data hall.
+  // Data hall of the sender.
   std::string hall_;
-  // Which instances it knows of, by the digest of its roster.
+  // Digest of the sender's roster, so that the response can carry only the difference.
   std::uint64_t rosterDigest_ = 0;
-  // It has started and must be told the configuration and the servers.
+  // The sender has started and needs the configuration and the server records.
   bool lacksTables_ = false;
 };
 
-// What the placer answers.
+// The placer's response to a report.
 struct ReportAnswer
 {
-  // Whether it is the placer and reaches the store.
+  // Whether the responder is the placer and reaches the store.
   bool isWorking_ = false;
-  // Of the instances that it has heard lately, itself included, those that the reporter
-  // does not know of.
+  // Changes of the roster since the one whose digest the report named.
   RosterChange roster_;
-  // The last change of each table that it knows.
+  // Version of the last change of each table that the placer has.
   TableVersions lastChanges_{};
-  // The largest part of a processor that any of them has; 0 when it is not told.
+  // The largest processor share of all instances; 0 if not stated.
   double strongestShare_ = 0;
-  // How lately it knew that its configuration was the latest; no value when it never did.
+  // Proof that the placer's configuration is the latest; no value if it never had one.
   std::optional<ConfigurationProof> proof_{};
 };
 
--- a/Libraries/LibFleet/FleetRoster.cpp
+++ b/Libraries/LibFleet/FleetRoster.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-// Readers of each data hall: one may be cut off or slowed without the hall noticing.
+// Two, so that a hall still has one while the other is cut off or slow.
 constexpr std::size_t kReadersAHall = 2;
-// Up to this many instances each reads the store itself. A question of each in 8 s is
-// 2 a second, and none depends on another then.
+// Up to this size each instance polls the store itself, so that none depends on another. At one
+// poll in 8 s each, the store gets 2 a second.
 constexpr std::size_t kFewInstances = 16;
-// Changes that are remembered: twice as many as instances join when a large fleet starts.
+// Length of the change log; a large fleet that starts needs half of it.
 constexpr std::size_t kMostSteps = 1024;
 
 } // namespace
@@ -61,8 +61,8 @@
   return true;
 }
 
-// Changes are undone by the same word, so that the order in which instances came and went
-// does not matter.
+// Joining and leaving combine the same hash by XOR, so that the digest doesn't depend on the order
+// in which instances joined and left.
 void
 FleetRoster::Note(const FleetPeer& aPeer, bool aHasLeft)
 {
@@ -155,7 +155,8 @@
   return readers;
 }
 
-// The strongest of each hall; of equal ones, those that all rosters order alike.
+// Chooses the instances with the largest processor share in each hall, and by address among equal
+// ones, so that all rosters give the same result.
 void
 FleetRoster::ChooseReaders()
 {
--- a/Libraries/LibFleet/FleetRoster.h
+++ b/Libraries/LibFleet/FleetRoster.h
@@ -11,48 +11,51 @@
 
 namespace latchslip {
 
-// What changed in a roster.
+// The difference between two rosters.
 struct RosterChange
 {
-  // joined_ are all instances that there are.
+  // joined_ lists the whole roster.
   bool isWhole_ = false;
   std::vector<FleetPeer> joined_;
-  // Addresses.
+  // Addresses of instances that left.
   std::vector<std::string> left_;
 
   bool IsEmpty() const { return !isWhole_ && joined_.empty() && left_.empty(); }
   bool operator==(const RosterChange&) const = default;
 };
 
-// The instances of a fleet, as its placer hears them and the others are told. Two rosters
-// of the same instances have the same digest, so that whoever reports gets only what
-// changed since its own: at 295 instances the whole list in each answer comes to some 17
-// Mbit a second from the placer alone (estimate: 20 bytes an address, 370 answers a second).
-// It does no I/O.
+// The instances of a fleet. The placer builds it from the reports it receives; the others get it
+// with the responses. Rosters of the same instances have the same digest, so that a response to a
+// report carries only the difference from the reporter's roster: with 295 instances, the whole list
+// in each response would come to some 17 Mbit a second from the placer alone (estimate: 20 bytes an
+// address, 370 answers a second). It also chooses the readers of a large fleet. It does no I/O.
 class FleetRoster
 {
 public:
-  // Adds an instance, or what it is like now.
+  // Adds or updates an instance.
   void Put(FleetPeer aPeer);
   void Remove(const std::string& aAddress);
   void Apply(const RosterChange& aChange);
 
-  // Tells rosters of different instances apart.
+  // Digest of the set of addresses, independent of the order of changes.
   std::uint64_t Digest() const { return digest_; }
-  // What somebody lacks whose roster has that digest; all when it is not known from when.
+  // The changes since the roster with that digest; the whole roster if that digest is not in the
+  // change log.
   RosterChange ChangesSince(std::uint64_t aDigest) const;
 
   const std::map<std::string, FleetPeer>& Peers() const { return peers_; }
   std::size_t Size() const { return peers_.size(); }
 
-  // Whether the fleet is so large that a few of it read the store for all.
+  // Whether the fleet is large enough to have readers, which poll the store on behalf of the
+  // others.
   bool HasReaders() const;
-  // Whether that instance is one of them.
+  // Whether the instance at that address is a reader.
   bool IsReader(const std::string& aAddress) const;
-  // All of them, those of that hall first.
+  // All readers, those of aHall first.
   std::vector<FleetPeer> ReadersFrom(const std::string& aHall) const;
 
 private:
+  // An entry of the change log.
   struct Step
   {
     std::uint64_t before_ = 0;
@@ -60,7 +63,7 @@
     bool hasLeft_ = false;
   };
 
-  // Whether the roster changed.
+  // Add and Drop return whether the roster changed.
   bool Add(FleetPeer aPeer);
   bool Drop(const std::string& aAddress);
   void Note(const FleetPeer& aPeer, bool aHasLeft);
@@ -68,7 +71,7 @@
 
   std::map<std::string, FleetPeer> peers_;
   std::uint64_t digest_ = 0;
-  // The latest changes, the oldest first.
+  // The change log, oldest entry first.
   std::deque<Step> steps_;
   std::set<std::string> readers_;
 };
--- a/Libraries/LibFleet/FleetStore.h
+++ b/Libraries/LibFleet/FleetStore.h
@@ -10,33 +10,32 @@
 
 namespace latchslip {
 
-// Hears what the store says.
+// Receives tables and the availability of the store.
 class FleetStoreListener
 {
 public:
   virtual ~FleetStoreListener() = default;
 
   virtual void OnView(const TableView& aView) = 0;
-  // Calls fail, or long ones are not answered in time.
+  // Calls to the store fail, or long polls are not answered in time.
   virtual void OnStoreLost() = 0;
   virtual void OnStoreRegained() = 0;
 };
 
-// How closely the tables are followed.
+// How the store's tables are polled. All polls of changes are long polls: the store delays its
+// answer until there is a change, up to a bound.
 enum class Following
 {
-  // This instance has just started: the store is asked for the fleet's own rows only,
-  // which name the placer that will tell the rest.
+  // After startup: only the fleet table is read, which names the placer that will send the others.
   Starting,
-  // Other instances tell all that changes; the store is asked for nothing.
+  // No polling: other instances send all changes.
   Told,
-  // Another instance tells what changes; the store is asked for the configuration
-  // only.
+  // Only the configuration is polled; the placer sends all other changes.
   Relayed,
-  // The store is asked, with long waits.
+  // All tables are polled, with long waits.
   Alone,
-  // Others rely on this instance, the placer or a reader without one: an outage must show at
-  // once.
+  // All tables are polled, with short waits so that an outage is detected quickly: other instances
+  // rely on this one, which is the placer, or a reader while there is no reliable placer.
   Closely,
 };
 
@@ -44,14 +43,14 @@
   { "starting", "told", "relayed", "alone", "closely" }
 };
 
-// The version of each table that somebody has.
+// A version of each table, indexed by FleetTable.
 using TableVersions = std::array<RowVersion, kFleetTables>;
 
-// What the store is asked for.
+// Kinds of calls to the store, for metrics.
 enum class StoreCallKind
 {
   Read,
-  // A question for changes, which waits for some.
+  // A long poll for changes.
   Follow,
   Transact,
 };
@@ -60,44 +59,45 @@
   { "read", "follow", "transact" }
 };
 
-// What came of a call.
+// Outcomes of calls to the store, for metrics.
 enum class StoreCallEnd
 {
   Answered,
-  // The store turned the call away, or its conditions did not hold.
+  // The store rejected the call, or the conditions of a transaction did not hold.
   Refused,
-  // No whole answer came.
+  // No complete answer arrived.
   Lost,
 };
 
 inline constexpr NameTable<StoreCallEnd, 3> kStoreCallEndNames{ { "answered", "refused", "lost" } };
 
-// How many calls of each kind ended how.
+// Number of calls, by outcome and kind.
 using StoreCallCounts = std::array<std::array<std::uint64_t, kStoreCallEndNames.names_.size()>,
                                    kStoreCallKindNames.names_.size()>;
 
-// The platform's store, as an instance uses it.
+// An instance's client of the platform's store.
 class FleetStore
 {
 public:
   using TransactCallback = std::function<void(const StoreReply&)>;
-  // No value when the store did not say.
+  // No value if the store did not answer.
   using VersionCallback = std::function<void(std::optional<RowVersion>)>;
 
   virtual ~FleetStore() = default;
 
-  // Begins as Following::Starting.
+  // Starts polling as Following::Starting.
   virtual void Start(FleetStoreListener& aListener) = 0;
-  // Goes on in another way, from the versions that are known by now; tables that are
-  // not known are read.
+  // Changes how tables are polled. aKnown holds the versions that are known by now; tables that are
+  // not known are read whole.
   virtual void Follow(Following aHow, const TableVersions& aKnown) = 0;
   virtual void Stop() = 0;
-  // Writes rows of FleetTable::Fleet. After a conflict the reply holds the rows
-  // of the conditions as they stand.
+  // Conditionally writes rows of FleetTable::Fleet. After a conflict, the reply holds the current
+  // rows of the conditions.
   virtual void Transact(const Transaction& aTransaction, TransactCallback aCallback) = 0;
-  // Reads which version of the configuration stands in the store. Unlike an answer without
-  // changes, a read shows all that was acknowledged before it was asked for.
+  // Reads the current version of the configuration. Unlike a poll without changes, a read reflects
+  // every write that was acknowledged before the read was sent.
   virtual void ReadConfigurationVersion(VersionCallback aCallback) = 0;
+  // Call counters since Start, for metrics.
   virtual const StoreCallCounts& Calls() const = 0;
 };
 
--- a/Libraries/LibFleet/FleetView.cpp
+++ b/Libraries/LibFleet/FleetView.cpp
@@ -151,8 +151,8 @@
   }
   const bool isLaterEpoch = !isFirst && EpochOf(aVersion) > EpochOf(owned.version_);
   if (isLaterEpoch && !aOwnership.IsLaterThan(owned.ownership_)) {
-    // The row is that of a copy. Keys may have passed on by writes that it lacks, and
-    // servers have seen the fences of these.
+    // The row comes from a restored copy. Writes that it lacks may have moved keys, and servers
+    // have seen the fences of those writes.
     owned.version_ = aVersion;
     events_.Record(Event::OwnersKept,
                    "service=" + aOwnership.service_ + " row_version=" + DescribeVersion(aVersion) +
@@ -232,7 +232,7 @@
   }
   auto record = DecodeServer(aChange.row_);
   if (!record) {
-    // It names no server to use, whatever it said before.
+    // A server whose record cannot be decoded is not used, even if an earlier record was valid.
     directory_.Remove(aNow, aChange.row_.key_);
     events_.Record(Event::RecordRejected,
                    "server=" + aChange.row_.key_ + " reason=\"" + record.error().Describe() + "\"");
@@ -246,8 +246,8 @@
   directory_.Put(aNow, std::move(record).value());
 }
 
-// A record of an earlier life than the known one was written late, or by a clock that was
-// set back: who would use it might give keys to one that has them from somebody else.
+// A record of an earlier incarnation than the known one was written late, or by a clock that was
+// set back. Using it might grant keys to a server that has them from another grant.
 FieldResult<ServerRecord>
 FleetView::DecodeServer(const Row& aRow) const
 {
@@ -270,7 +270,7 @@
     events_.Record(Event::RecordRejected, "row=placer reason=\"" + row.error().Describe() + "\"");
     return;
   }
-  // The same claim as it stands after the store's return.
+  // Whether this is the same claim, with the version that it has after a restore of the store.
   const bool isSame = placer_ && placer_->value_ == aRow.value_;
   placer_ = aRow;
   if (!isSame) {
--- a/Libraries/LibFleet/FleetView.h
+++ b/Libraries/LibFleet/FleetView.h
@@ -16,44 +16,44 @@
 
 namespace latchslip {
 
-// The key of the row that names the placer.
+// Key of the row that names the placer.
 inline constexpr std::string_view kPlacerKey = "placer";
-// The key of the row that says how large the fleet is.
+// Key of the row with the fleet's size class.
 inline constexpr std::string_view kSizeKey = "size";
-// The keys of the rows that say who owns the keys of a service begin so.
+// Key prefix of the rows with the owners of a service's keys.
 inline constexpr std::string_view kOwnershipPrefix = "ownership/";
 
-// How large a fleet is, for whoever starts and knows nobody yet.
+// The fleet's size class, stored for instances that start and don't have a roster yet.
 enum class FleetSize
 {
   // Each instance reads the store itself.
   Small,
-  // A few read it for all.
+  // Readers poll the store on behalf of the others.
   Large,
 };
 
 inline constexpr NameTable<FleetSize, 2> kFleetSizeNames{ { "small", "large" } };
 
-// The key of the row that says who owns the keys of a service.
+// Key of the row with the owners of that service's keys.
 std::string
 OwnershipKey(const std::string& aService);
 
-// Turns the text of rows that others write into types.
+// Decodes rows whose format the platform defines.
 class RowDecoder
 {
 public:
   virtual ~RowDecoder() = default;
 
-  // No value for rows of that table that hold no configuration.
+  // No value if that row of the configuration table is not a configuration.
   virtual FieldResult<std::optional<RoutingConfiguration>> DecodeConfiguration(
     const Row& aRow) const = 0;
   virtual FieldResult<ServerRecord> DecodeServer(const Row& aRow) const = 0;
-  // The data hall that is being drained while a row of that key stands in the table of
-  // the configuration; no value for other keys.
+  // The data hall that is drained as long as the configuration table has a row of that key; no
+  // value for other keys.
   virtual std::optional<std::string> DecodeDrainedHall(std::string_view aKey) const = 0;
 };
 
-// Hears what changes in a view.
+// Receives the changes of a FleetView.
 class FleetViewListener
 {
 public:
@@ -65,70 +65,70 @@
   virtual void OnPlacer(Instant aNow, const std::optional<PlacerRow>& aPlacer) = 0;
 };
 
-// What an instance knows of the store's tables: the routes, the servers, the
-// owners of keys and the placer. It takes the store's word and that of other
-// instances, and only gets newer. Rows that cannot be read are logged, and the
-// last that could be read stay in force. When the store comes back from an older
-// copy, its rows are newer in order and may be older in what they say: a
-// configuration in force stays, what takes back that a server leaves waits, and of
-// the owners of keys the later ones stay, to be written again.
+// An instance's copy of the store's tables: routes, servers, owners of keys and placer. It merges
+// what the store and other instances send, and never goes back to an older version. Rows that
+// cannot be decoded are logged, and the last good configuration stays in force. If the store is
+// restored from an older copy, its rows have higher versions (a later epoch) but may be older in
+// content. In that case the configuration in force stays, the withdrawal of a server's leaving
+// state is delayed, and the later key owners are kept until the placer writes them again.
 class FleetView
 {
 public:
   struct OwnedService
   {
-    // Of the row in the store; 0 when there is none.
+    // Version of the row in the store; 0 if there is none.
     RowVersion version_ = 0;
-    // What is known of the owners, which may be more than stands in that row.
+    // The owners, which may be later than those in that row.
     KeyOwnership ownership_;
-    // The row is from before the store's last return, and nothing here tells what it may
-    // lack.
+    // The row was written before the store's last restore, and this instance has no information on
+    // writes that it may lack.
     bool isFromCopyOnly_ = false;
   };
 
   FleetView(const RowDecoder& aDecoder, FleetViewListener& aListener, EventSink& aEvents);
 
-  // Takes a view of the store; false when it begins after what is known.
+  // Applies a table or changes read from the store; false if the changes begin after the known
+  // version.
   bool Take(Instant aNow, const TableView& aView);
-  // Takes news of another instance; false when some of them begin after what is
-  // known. With aOwnRowsOnly, tables that are not the fleet's own are left out.
+  // Applies an update of another instance; false if some changes in it begin after the known
+  // version. With aOwnRowsOnly, only the fleet's own rows are applied.
   bool Take(Instant aNow, const FleetNews& aNews, bool aOwnRowsOnly);
-  // A row of the fleet as it stands in the store.
+  // Applies a row of the fleet table.
   void TakeFleetRow(Instant aNow, const Row& aRow);
-  // What this instance has written itself.
+  // Applies owners that this instance wrote, or received, as version aVersion of their row.
   void TakeOwnership(RowVersion aVersion, const KeyOwnership& aOwnership);
-  // What of a table somebody lacks who has it as of that version.
+  // The changes of a table since aVersion.
   TableView ChangesSince(FleetTable aTable, RowVersion aVersion) const
   {
     return mirror_.Since(aTable, aVersion);
   }
-  // All that somebody who has these versions lacks.
+  // All changes since aVersions.
   FleetNews NewsSince(const TableVersions& aVersions) const;
 
-  // The version of the configuration's row in the store; 0 when there is none, or one that
-  // could not be read.
+  // Version of the configuration's row in the store; 0 if there is none, or it could not be
+  // decoded.
   RowVersion ConfigurationVersion() const;
-  // The latest epoch of the store that is known.
+  // The latest known epoch of the store.
   StoreEpoch Epoch() const { return epoch_.value_or(0); }
-  // As of which version of the store each table is known.
+  // The version up to which each table is known.
   TableVersions Versions() const;
-  // The last change of each table that is known.
+  // Version of the last known change of each table.
   TableVersions LastChanges() const;
   bool IsKnown(FleetTable aTable) const { return mirror_.IsKnown(aTable); }
   const std::shared_ptr<const RouteTable>& Routes() const { return routes_; }
   ServerDirectory& Directory() { return directory_; }
   const ServerDirectory& Directory() const { return directory_; }
-  // Null when nobody was ever named owner of that service's keys.
+  // Owners of that service's keys; null if it never had any.
   const OwnedService* OwnersOf(const std::string& aService) const;
-  // The version of the row that names the placer; 0 when there is none.
+  // Version of the placer row; 0 if there is none.
   RowVersion PlacerVersion() const { return placer_ ? placer_->version_ : 0; }
-  // No value when it does not stand in the store.
+  // The stored size class; no value if there is none.
   std::optional<FleetSize> Size() const;
-  // The version of the row that says it; 0 when there is none.
+  // Version of the size row; 0 if there is none.
   RowVersion SizeVersion() const { return size_ ? size_->version_ : 0; }
-  // The services of the configuration that are divided by key.
+  // The keyed services of the configuration.
   std::vector<std::string> KeyedServices() const;
-  // The services of whose keys somebody was ever named owner.
+  // The services whose keys have or had owners.
   std::vector<std::string> OwnedServices() const;
 
 private:
@@ -139,21 +139,22 @@
   void OnPlacerRow(Instant aNow, const Row& aRow);
   void OnOwnershipRow(const Row& aRow);
   bool TakeOwners(const OwnershipNews& aNews);
+  // Detects that the store was restored, by the epoch of a version.
   void NoteEpoch(Instant aNow, RowVersion aVersion);
   void TakeFleetRows(Instant aNow, const TableView& aView);
-  // Forgets the own rows that a view of the whole table in a later epoch lacks.
+  // Drops the rows of the fleet that a whole table of a later epoch lacks.
   void ForgetLostRows(Instant aNow, const TableView& aView);
 
   const RowDecoder& decoder_;
   FleetViewListener& listener_;
   EventSink& events_;
-  // The tables that others write.
+  // The configuration and the server records.
   RowMirror mirror_;
   ServerDirectory directory_;
-  // No value before any version is known.
+  // No value before the first version is known.
   std::optional<StoreEpoch> epoch_;
   std::shared_ptr<const RouteTable> routes_;
-  // The key of the last row that was a configuration; empty when it could not be read.
+  // Key of the last configuration row; empty if that row could not be decoded.
   std::string configurationKey_;
   std::optional<Row> placer_;
   std::optional<Row> size_;
--- a/Libraries/LibFleet/LimitDuty.cpp
+++ b/Libraries/LibFleet/LimitDuty.cpp
@@ -1,6 +1,6 @@
-// The part of FleetMember that holds groups to their limits: each instance tells the placer,
-// who is the keeper of the limits, what it meets, and the placer tells all which groups ask
-// for more than they may have.
+// The groups' limits in FleetMember: each instance reports its usage to the placer, which is the
+// limit coordinator, and the placer sends all instances the admitted shares of the groups that
+// exceed their limits.
 
 #include "LibFleet/FleetMember.h"
 
--- a/Libraries/LibFleet/NewsTree.cpp
+++ b/Libraries/LibFleet/NewsTree.cpp
@@ -7,12 +7,12 @@
 
 namespace {
 
-// Up to this many are told at once, as a tree would only delay them.
+// Up to this many receivers get the message directly; a tree would only add latency.
 constexpr std::size_t kFewReceivers = 16;
-// To how many an instance passes news on: a hall of 60 is reached in two steps, and one
-// of the weakest links (20 Mbit/s) carries eight messages of 1 KB in 3 ms.
+// Number of instances to which one instance forwards a message: a hall of 60 is reached in two
+// steps, and one of the slowest links (20 Mbit/s) carries eight messages of 1 KB in 3 ms.
 constexpr std::size_t kFanOut = 8;
-// Ends the list of those to whom a message is passed on.
+// Ends the list of addresses to forward a message to.
 constexpr char kListEnd = '\n';
 constexpr char kSeparator = ',';
 
@@ -101,7 +101,7 @@
 {
   const auto end = aText.find(kListEnd);
   if (end == std::string_view::npos) {
-    return FieldError{ "news", "must begin with a line of those to whom they are passed on" };
+    return FieldError{ "news", "must begin with a line of addresses to forward it to" };
   }
   NewsMessage message;
   message.news_ = std::string(aText.substr(end + 1));
--- a/Libraries/LibFleet/NewsTree.h
+++ b/Libraries/LibFleet/NewsTree.h
@@ -8,46 +8,48 @@
 
 namespace latchslip {
 
-// An instance of the fleet, as the others know it.
+// An instance of the fleet as other instances see it.
 struct FleetPeer
 {
-  // Where the others reach it, IP number and port.
+  // Peer address, IP number and port.
   std::string address_;
   // Its data hall.
+  // Data hall.
   std::string hall_;
-  // What part of a processor it has; 0 when it is not told.
+  // Processors available to it, as a fraction of one; 0 if not stated.
   double processorShare_ = 0;
 
   bool operator==(const FleetPeer&) const = default;
 };
 
-// The order in which instances pass news on: the strong first, and the same on all.
+// Orders instances by descending processor share, then by address, so that the order is the same on
+// all instances.
 bool
 StrongerFirst(const FleetPeer& aLeft, const FleetPeer& aRight);
 
-// One message of news: to whom it goes, and to whom that one passes it on.
+// One message of an update tree: its receiver and the instances that the receiver forwards it to.
 struct NewsBranch
 {
   std::string to_;
-  // Addresses, those that pass it on themselves first.
+  // Addresses; the first ones forward the message in turn.
   std::vector<std::string> onward_;
 
   bool operator==(const NewsBranch&) const = default;
 };
 
-// How news reach all of these but aSelf: few receivers get them at once. In a larger
-// fleet one message goes to each other hall, and on from there within it, so that what
-// one instance sends, and what crosses halls, does not grow with the fleet. It does no
-// I/O.
+// Plans the distribution of an update from aSelf to aReceivers. Few receivers get it directly. In a
+// larger fleet one message is sent to each other hall and is forwarded within it, so that the
+// number of messages one instance sends, and the number that cross halls, do not grow with the
+// fleet. It does no I/O.
 std::vector<NewsBranch>
 PlanNewsTree(std::vector<FleetPeer> aReceivers, const FleetPeer& aSelf);
 
-// How one that got news passes them on. Whoever finds that a receiver does not take its
-// message sends the message to those that it should have passed it on to.
+// Plans how a receiver of an update forwards it. A sender whose message is not accepted by a
+// receiver sends it to the addresses in that receiver's branch itself.
 std::vector<NewsBranch>
 SplitOnward(const std::vector<std::string>& aOnward);
 
-// News as one instance sends them to another, which may pass them on unread.
+// An update in transit; the receiver can forward it without decoding it.
 struct NewsMessage
 {
   std::vector<std::string> onward_;
--- a/Libraries/LibFleet/PlacerDuty.cpp
+++ b/Libraries/LibFleet/PlacerDuty.cpp
@@ -1,4 +1,5 @@
-// The part of FleetMember that is the placer.
+// The placer role of FleetMember: claims the role, runs the placers of the keyed services, writes
+// their results to the store and pushes updates to the other instances.
 
 #include "LibFleet/FleetMember.h"
 #include "LibFleet/ServicePlacer.h"
@@ -10,26 +11,27 @@
 
 namespace {
 
-// An instance that reported within this time takes the receiver for the placer.
+// An instance that reported within this time regards the receiver as the placer.
 constexpr Duration kReportingBound = seconds(2);
-// Tables that were told are not told again for so long: whoever starts reads them itself
-// before.
+// Tables are not sent to the same instance again within this time; an instance that didn't receive
+// them reads them itself before that.
 constexpr Duration kTablesAgain = seconds(2);
-// A write that failed is sent again after this time.
+// Delay before a failed write is retried.
 constexpr Duration kWritePause = milliseconds(200);
-// All instances of a fleet report to its placer within this time.
+// All instances of a fleet have reported to its placer within this time.
 constexpr Duration kSizeSettle = seconds(2);
-// Servers are taken to differ in speed by this factor from the typical at most,
-// so that a noisy mean cannot empty or flood one. Keys that a server has to load first
-// take it several times as long.
+// Bound on the factor between a server's speed and the median, so that a noisy mean cannot remove
+// all keys from a server or flood it. Keys that a server has to load first take it several times as
+// long.
 constexpr double kMostSpeed = 4;
-// The part of its rate limit that a server is counted on for. Requests that come unevenly wait
-// for a slot, but those that a limit leaves no room for are mostly refused.
+// The share of a server's rate limit that placement counts on. Requests that arrive in bursts wait
+// for a slot, but those beyond a rate limit are mostly refused.
 constexpr double kCountedOnLimit = 0.6;
 
 } // namespace
 
-// A claim names the owners' rows too: orders must not go out from older ones.
+// A claim is conditional on the owners' rows too, so that no commands are sent on the basis of
+// older ones.
 void
 FleetMember::Claim()
 {
@@ -37,7 +39,7 @@
   auto& conditions = write.transaction_.conditions_;
   const std::string key(kPlacerKey);
   conditions.push_back({ key, view_.PlacerVersion() });
-  // The configuration may not be known yet: it is read by the placer first.
+  // The configuration may not be known yet: the placer is the first to read it.
   std::set<std::string> services;
   for (const auto& names : { view_.KeyedServices(), view_.OwnedServices() }) {
     services.insert(names.begin(), names.end());
@@ -79,7 +81,7 @@
 FleetMember::StopPlacers()
 {
   placers_.clear();
-  // The answer to a write under way must not be taken for that of a later one.
+  // Keep the write in flight, so that its result is not taken for that of a later one.
   std::erase_if(writes_, [](const WaitingWrite& aWrite) { return !aWrite.isUnderWay_; });
   for (auto& write : writes_) {
     write.isAbandoned_ = true;
@@ -104,9 +106,9 @@
   }
 }
 
-// Another instance may be the placer by now, and counts on this one's silence. As
-// long as most of the others report here that did when the store was last heard,
-// none can be.
+// Another instance may be the placer by now, and relies on this one having stopped. That is
+// impossible as long as most of the other instances that reported here when the store was last
+// reachable still do.
 bool
 FleetMember::MayOrder(Instant aNow) const
 {
@@ -193,8 +195,8 @@
   writes_.push_back(std::move(write));
 }
 
-// Whoever starts in a small fleet reads the tables at once, as each instance does there;
-// in a large one it waits to be told.
+// An instance that starts reads the tables from the store at once in a small fleet, where every
+// instance does, and waits for the placer's tables in a large one.
 void
 FleetMember::NoteFleetSize(Instant aNow)
 {
@@ -240,7 +242,7 @@
       events_.Record(Event::StoreUnsure, "row=" + write.transaction_.writes_.front().key_);
       [[fallthrough]];
     case StoreStatus::Unavailable:
-      // The same write again is safe: at most one of the two meets its conditions.
+      // Retrying the same write is safe: the conditions hold for at most one of the two.
       write.retryAt_ = aNow + kWritePause;
       return;
     case StoreStatus::Done:
@@ -281,7 +283,7 @@
   events_.Record(Event::PlacerClaimed, "row_version=" + DescribeVersion(aRow.version_));
   view_.TakeFleetRow(aNow, aRow);
   rosterSince_ = aNow;
-  // Those that reported to the former placer will report here.
+  // Instances that reported to the former placer will report here.
   for (const auto& [address, peer] : roster_.Peers()) {
     heardInstances_.try_emplace(address, HeardInstance{ aNow, peer.processorShare_ });
   }
@@ -292,14 +294,14 @@
   RunPlacers(aNow);
 }
 
-// What the others have is what the write followed on. This instance may have read
-// its own write from the store before the write was answered.
+// The other instances have the owners that the write replaced. This instance may have read its own
+// write from the store before the write was acknowledged, so its current view is not the base.
 void
 FleetMember::OnOwnershipWritten(Instant aNow, RowVersion aVersion, const WaitingWrite& aWrite)
 {
   const auto& ownership = *aWrite.ownership_;
   FleetNews news;
-  // After the store's return the others may know the owners as of other versions.
+  // After a restore of the store, the other instances may have the owners as of other versions.
   const bool isFirstOfEpoch =
     aWrite.former_ && aWrite.former_->ownership_.epoch_ < ownership.epoch_;
   if (aWrite.former_ && !isFirstOfEpoch) {
--- a/Libraries/LibFleet/PlacerElection.cpp
+++ b/Libraries/LibFleet/PlacerElection.cpp
@@ -8,15 +8,15 @@
 
 namespace {
 
-// A placer that has not answered for this long is taken for lost. Two reports
-// are sent in it; grants hold several times as long.
+// A placer that has not answered for this long counts as failed. Two reports are sent in this time;
+// grants are valid several times as long.
 constexpr Duration kSilenceLimit = milliseconds(1800);
-// Equally strong instances claim within this time of each other.
+// Maximum jitter between claims of instances with equal processor shares.
 constexpr Duration kSpread = milliseconds(160);
-// The weakest wait so much longer: the time between two reports, since one may have
+// Additional delay of the weakest instance. It is a report interval, since one instance may have
 // missed the placer's last answer by that much earlier than another.
 constexpr Duration kWeakWait = milliseconds(900);
-// After a failed claim the row is read before the next.
+// Delay after a failed claim, in which the row is read again.
 constexpr Duration kClaimPause = milliseconds(500);
 
 } // namespace
@@ -99,7 +99,7 @@
   if (!row_) {
     return aNow - rowSince_ >= spread_;
   }
-  // An earlier run of this instance was the placer; it is certainly gone.
+  // If the row names an earlier run of this instance, that run has certainly ended.
   return row_->instance_ == self_.instance_ || IsPlacerSilent(aNow);
 }
 
--- a/Libraries/LibFleet/PlacerElection.h
+++ b/Libraries/LibFleet/PlacerElection.h
@@ -11,13 +11,13 @@
 
 namespace latchslip {
 
-// The row that names the placer of the fleet.
+// The row in the store that names the placer of the fleet.
 struct PlacerRow
 {
   std::string instance_;
-  // Differs between two runs of one instance.
+  // Differs between two runs of the same instance.
   std::string run_;
-  // Where the other instances reach it, IP number and port.
+  // Peer address, IP number and port.
   std::string address_;
 
   bool operator==(const PlacerRow&) const = default;
@@ -28,35 +28,35 @@
 FieldResult<PlacerRow>
 ParsePlacerRow(std::string_view aText);
 
-// How weak an instance is beside the strongest, by their parts of a processor: 0 for
-// one that has as much, up to 1 for one that has hardly any.
+// How much less processor an instance has than the largest one, from 0 for one that has as much to
+// 1 for one that has hardly any.
 double
 WeaknessBeside(double aShare, double aStrongestShare);
 
-// Decides when this instance should make itself the placer. The placer is
-// whoever the row names; every write of a placer is conditional on that row, so
-// that two that believe it cannot both write. It does no I/O.
+// Leader election: decides when this instance claims the placer role. The placer is the instance
+// named by the row in the store. Every write of a placer is conditional on the version of that row,
+// so that of two instances that both act as placer only one can write. It does no I/O.
 class PlacerElection
 {
 public:
-  // aChance, 0 to 1, differs between instances, so that they do not all claim at
-  // the same moment. aWeakness is 0 for an instance that has as much processor as
-  // any, up to 1 for one that has hardly any: the strong claim first.
+  // aChance, 0 to 1, is this instance's jitter, so that instances do not all claim at the same
+  // moment. aWeakness, 0 to 1 as from WeaknessBeside, delays claims of instances with little
+  // processor, so that larger ones claim first.
   PlacerElection(PlacerRow aSelf, double aChance, double aWeakness);
 
-  // The same, once more is known of the others.
+  // Updates the delay once the largest processor share of the fleet is known.
   void SetWeakness(double aWeakness);
 
-  // The row as it stands; nothing when there is none.
+  // Sets the current row; no value if there is none.
   void OnRow(Instant aNow, std::optional<PlacerRow> aRow);
-  // The placer answered a report and can do its work.
+  // The placer answered a report and reaches the store.
   void OnPlacerHeard(Instant aNow);
-  // A claim ended without success.
+  // The write of a claim failed.
   void OnClaimFailed(Instant aNow);
 
   bool IsPlacer() const { return row_ == self_; }
   bool ShouldClaim(Instant aNow) const;
-  // The placer is another instance and has not been heard for a while.
+  // Whether another instance is the placer and has not answered within the silence limit.
   bool IsPlacerSilent(Instant aNow) const;
   const std::optional<PlacerRow>& Current() const { return row_; }
   const PlacerRow& Self() const { return self_; }
@@ -64,11 +64,11 @@
 private:
   PlacerRow self_;
   double chance_;
-  // How much longer than the strongest instance could this one waits to claim.
+  // Delay of this instance's claims beyond the silence limit.
   Duration spread_{ 0 };
   std::optional<PlacerRow> row_;
   bool isRowKnown_ = false;
-  // Since when the row stands as it does.
+  // When the row last changed.
   Instant rowSince_{ 0 };
   Instant heardAt_{ 0 };
   Instant notBefore_ = Instant::min();
--- a/Libraries/LibFleet/ReaderGuide.cpp
+++ b/Libraries/LibFleet/ReaderGuide.cpp
@@ -6,17 +6,19 @@
 
 namespace {
 
-// How long the first readers are waited for: three questions. With the time after
-// which a silent placer is not relied on it lies within the two seconds after which a
-// leaving server must get no new work.
+// Time allowed for the first answer, enough for three requests. Together with the time after which
+// a silent placer is not relied on, it is within the two seconds after which a leaving server must
+// get no new work.
 constexpr Duration kFirstBound = milliseconds(700);
-// How long an answer of a reader is good for; as of a placer.
+// How long an answer of a reader is relied on; the same as for an answer of the placer.
 constexpr Duration kAnswerBound = milliseconds(1500);
-// Between two questions. As often as a placer that follows the store closely asks it.
+// Interval between requests; as often as a placer polls the store.
 constexpr Duration kAskInterval = milliseconds(500);
-// The same after one that was not heard.
+// Interval after a request without an answer, or an answer of a reader that does not reach the
+// store.
 constexpr Duration kAskAgain = milliseconds(200);
-// After so many in a row without the store it is taken to be away from all.
+// After more consecutive answers than this from readers that cannot reach the store, the store
+// counts as down for all instances, and requests return to the usual interval.
 constexpr unsigned kMostWithoutStore = 6;
 
 } // namespace
@@ -68,7 +70,7 @@
   if (isThere) {
     return heard_;
   }
-  // Nobody is asked twice before all were asked once; the nearest come first.
+  // Every reader is asked once before any is asked again, those of the own hall first.
   std::vector<const FleetPeer*> choices;
   const auto isLeft = [this](const FleetPeer& aReader) {
     return !inVain_.contains(aReader.address_);
--- a/Libraries/LibFleet/ReaderGuide.h
+++ b/Libraries/LibFleet/ReaderGuide.h
@@ -12,38 +12,38 @@
 
 namespace latchslip {
 
-// Decides for an instance of a large fleet whose placer cannot be relied on whether it may
-// go on without the store: it asks the instances that read the store for all, one after
-// the other. Without it all 295 instances of a fleet ask the store about three times a
-// second at the moment when the placer, or the store, is in trouble; with it two of each
-// hall do. It does no I/O.
+// Polls the readers of a large fleet on behalf of an instance whose placer cannot be relied on, and
+// decides whether that instance can do without polling the store itself. Without it all 295
+// instances of a fleet ask the store about three times a second at the moment when the placer, or
+// the store, is in trouble; with it two of each hall do. It does no I/O.
 class ReaderGuide
 {
 public:
-  // The placer can be relied on again; nobody needs to be asked.
+  // The placer can be relied on again; polling ends.
   void OnRelayed() { isAsking_ = false; }
-  // The placer cannot be relied on.
+  // The placer cannot be relied on; polling starts, unless it is under way.
   void OnRelayEnded(Instant aNow);
-  // A reader told what it knows, and what it sees of the store; None when it was not heard.
+  // A reader answered with an update and whether it reaches the store; None also stands for a
+  // request without an answer.
   void OnAnswer(Instant aNow, const std::string& aReader, StoreSight aSight);
 
-  // Whether the readers can be relied on.
+  // Whether the readers can be relied on at present.
   bool IsGuided(Instant aNow) const { return isAsking_ && aNow < guidedUntil_; }
-  // Whether a reader is to be asked now.
+  // Whether a request to a reader is due.
   bool IsDue(Instant aNow) const { return isAsking_ && aNow >= nextAsk_; }
-  // Which one, of aReaders, the first of which are the nearest; no value for none.
+  // The address of the reader to ask; no value if no request is due or there is no reader. aReaders
+  // lists those of the own hall first.
   std::optional<std::string> Next(Instant aNow,
                                   const std::vector<FleetPeer>& aReaders,
                                   std::minstd_rand& aRandom);
 
 private:
   bool isAsking_ = false;
-  // The reader that last told what the store says, which is asked on; empty when there is
-  // none.
+  // The last reader that reached the store, which is asked again; empty if there is none.
   std::string heard_;
-  // Those that were asked since and did not.
+  // Readers that were asked since and did not reach the store, or did not answer.
   std::set<std::string> inVain_;
-  // Answers in a row of readers without the store.
+  // Consecutive answers of readers that could not reach the store.
   unsigned withoutStore_ = 0;
   Instant guidedUntil_ = Instant::min();
   Instant nextAsk_ = Instant::min();
--- a/Libraries/LibFleet/RelayWatch.cpp
+++ b/Libraries/LibFleet/RelayWatch.cpp
@@ -6,13 +6,13 @@
 
 namespace {
 
-// The longest time without an answer before the store is asked again. With the
-// time that a placer takes to notice an outage it lies within the two seconds
-// after which a leaving server must get no new work.
+// The longest time without an answer before the store is polled again. Together with the time that
+// a placer needs to detect an outage, it is within the two seconds after which a leaving server
+// must get no new work.
 constexpr Duration kAnswerBound = milliseconds(1500);
 
-// News and the answer to a report travel apart; for this long after an answer
-// the news that it mentions may still be on their way.
+// Updates and responses to reports are sent separately: for this long after a response, the updates
+// that it refers to may still be in transit.
 constexpr Duration kNewsTime = milliseconds(400);
 
 } // namespace
--- a/Libraries/LibFleet/RelayWatch.h
+++ b/Libraries/LibFleet/RelayWatch.h
@@ -8,18 +8,19 @@
 
 namespace latchslip {
 
-// Why the placer is not relied on.
+// Why the placer cannot be relied on for updates.
 enum class RelayEnd
 {
   None,
-  // It has not answered, or says that it is not the placer or has lost the store.
+  // The placer did not answer, is not the placer or cannot reach the store.
   NoAnswer,
+  // The placer's answer took too long.
   SlowAnswer,
-  // It said that it will tell nothing more for now.
+  // The placer announced that it pauses its updates.
   Announced,
-  // Some of its news did not arrive.
+  // Some of the placer's updates did not arrive.
   NewsMissed,
-  // Another instance is the placer now.
+  // Another instance has become the placer.
   PlacerChanged,
 };
 
@@ -27,37 +28,38 @@
   { "none", "no-answer", "slow-answer", "announced", "news-missed", "placer-changed" }
 };
 
-// Decides whether this instance can rely on the placer to tell it what changes
-// in the store's tables. It can while the placer answers each report in time,
-// says that it reaches the store, and has told all it knows, or what is missing
-// may still be on its way. It does no I/O.
+// Decides whether this instance can rely on the placer for changes of the store's tables, so that
+// it need not poll the store. It can while the placer answers each report in time, reaches the
+// store, and has no later changes than this instance, or those may still be in transit. It does no
+// I/O.
 class RelayWatch
 {
 public:
-  // An answer in time of a placer that reaches the store, with the last changes that
-  // it knows.
+  // A timely answer of a placer that reaches the store; aLastChanges are the last changes that the
+  // placer has, aKnown those of this instance.
   void OnAnswer(Instant aNow, const TableVersions& aLastChanges, const TableVersions& aKnown);
+  // The placer cannot be relied on until its next timely answer.
   void OnFailure(RelayEnd aReason);
 
-  // Whether the placer can be relied on by whoever has these versions.
+  // Whether an instance with these versions can rely on the placer.
   bool IsRelayed(Instant aNow, const TableVersions& aKnown) const;
 
-  // What decides, for the log: what the last answer named, its age, and whether it
-  // is still relied on.
+  // The reasons for the decision as a log text: the last fault, the age and the versions of the
+  // last answer, and the known versions.
   std::string Describe(Instant aNow, const TableVersions& aKnown) const;
 
 private:
   // Whether any table of aKnown is older than its last change.
   static bool IsBehind(const TableVersions& aKnown, const TableVersions& aLastChanges);
 
-  // For the log; None while isAnswered_.
+  // The last fault, for the log; None while isAnswered_.
   RelayEnd end_ = RelayEnd::NoAnswer;
-  // The last report was answered by a placer that reaches the store.
+  // Whether the last report was answered by a placer that reaches the store.
   bool isAnswered_ = false;
-  // The news had not all arrived at the last answer, though they had before.
+  // Whether updates were missing at the last answer, though none were missing before it.
   bool isCatchingUp_ = false;
   Instant answeredAt_{ 0 };
-  // The last changes that the placer knew when it answered.
+  // The last changes that the placer had when it answered.
   TableVersions lastChanges_{};
 };
 
--- a/Libraries/LibFleet/ReportDuty.cpp
+++ b/Libraries/LibFleet/ReportDuty.cpp
@@ -1,4 +1,5 @@
-// The part of FleetMember that reports to the placer, and takes reports as one.
+// Reports in FleetMember: sends them to the placer, and handles those that other instances send to
+// this one.
 
 #include "LibFleet/FleetMember.h"
 #include "LibFleet/ServicePlacer.h"
@@ -9,22 +10,22 @@
 
 namespace {
 
-// Between two reports to the placer: two fit into the time after which a silent
-// placer is replaced, and load is evened out from means over seconds.
+// Report interval: two reports fit into the time after which a silent placer is replaced, and load
+// is balanced by means over seconds.
 constexpr Duration kReportInterval = milliseconds(800);
-// The same for an instance that has started, until a placer answers: it serves nobody.
+// Report interval of a starting instance until a placer answers; it doesn't serve callers yet.
 constexpr Duration kStartReportInterval = milliseconds(100);
-// A placer that takes longer to answer is slowed itself: it hears of changes in
-// many steps, and each takes as long. Well above the way there and back within a
-// region with a busy processor.
+// A placer that takes longer than this to answer is overloaded or slowed, and will send changes
+// late, as each takes it many steps. It is well above a round trip within a region with a busy
+// processor.
 constexpr Duration kSlowAnswer = milliseconds(150);
-// The store was heard lately: it answers a placer more often than this. Less than
-// the time after which silent instances are forgotten, so that whoever is cut off
-// from all at once still knows how many they were.
+// The store counts as reachable for this time after its last answer; it answers a placer more
+// often. It is less than the time after which silent instances are removed, so that a placer that
+// loses all connections at once still has the number of the others.
 constexpr Duration kStoreLately = milliseconds(1500);
-// An instance that has not reported for this long is not counted any more.
+// An instance that has not reported for this long is removed from the roster.
 constexpr Duration kInstanceSilence = seconds(4);
-// Between two looks for such instances: one at each report would cost a placer of 295
+// Interval between searches for such instances: one at each report would cost a placer of 295
 // instances as many steps as their count squared every 0.8 s.
 constexpr Duration kForgetInterval = milliseconds(200);
 
@@ -144,7 +145,7 @@
 FleetMember::TakeIn(Instant aNow, const InstanceReport& aReport)
 {
   if (aReport.instance_ == formerPlacer_) {
-    // Whoever reports here knows that it is the placer no more.
+    // An instance that reports here regards this one as the placer, so it has stopped being it.
     for (const auto& [service, placer] : placers_) {
       placer->placer_.OnFormerPlacerStopped(aNow);
     }
@@ -178,8 +179,8 @@
     limits_.OnKeeperHeard(aNow);
     TakeProof(aNow, aAnswer->proof_, aRoundTrip);
   }
-  // A placer without the store is as good as any other while the store is away
-  // from here as well; to replace it at the store's return would help nobody.
+  // A placer that cannot reach the store is as good as any other while this instance cannot reach
+  // it either; replacing it when the store returns would have no benefit.
   if (aAnswer && (aAnswer->isWorking_ || isStoreLost_)) {
     election_.OnPlacerHeard(aNow);
   }
@@ -192,7 +193,7 @@
   }
   start_.OnPlacerAnswered(aNow);
   LearnInstances(aNow, *aAnswer);
-  // In a large fleet its readers see what a slowed placer sees late.
+  // In a large fleet the readers receive the changes that a slowed placer sends late.
   if (aRoundTrip > kSlowAnswer && !IsReadFor()) {
     relay_.OnFailure(RelayEnd::SlowAnswer);
   } else {
--- a/Libraries/LibFleet/RowMirror.cpp
+++ b/Libraries/LibFleet/RowMirror.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-// Changes that are remembered: as when each server of a large fleet writes itself in.
+// Number of changes that are remembered, enough for all servers of a large fleet that write their
+// records.
 constexpr std::size_t kMostChanges = 1024;
 
 } // namespace
@@ -61,7 +62,8 @@
   for (const auto& change : aView.rows_) {
     present.insert(change.row_.key_);
     auto& row = aTable.rows_[change.row_.key_];
-    // After the store's return from a copy most rows are as they were, in a later epoch.
+    // After a restore of the store from a copy, most rows are unchanged except for the epoch in
+    // their version.
     const bool isSameWrite =
       NumberOf(row.version_) == NumberOf(change.row_.version_) && row.value_ == change.row_.value_;
     if (!isSameWrite) {
@@ -74,7 +76,7 @@
       ++row;
       continue;
     }
-    // When it went is not known; it has by now.
+    // The version of the removal is not known; the version of the view is an upper bound.
     aChanges.push_back({ row->second, true });
     aChanges.back().row_.version_ = aView.version_;
     row = aTable.rows_.erase(row);
--- a/Libraries/LibFleet/RowMirror.h
+++ b/Libraries/LibFleet/RowMirror.h
@@ -14,14 +14,14 @@
 
 namespace latchslip {
 
-// The tables of the store that every instance follows.
+// The tables of the store that every instance keeps a copy of.
 enum class FleetTable
 {
   // The routing configuration, as the operators wrote it.
   Configuration,
   // The records of the backend servers.
   Servers,
-  // The rows of the instances: who owns which keys, and who is the placer.
+  // The instances' own rows: owners of keys, the placer and the size of the fleet.
   Fleet,
 };
 
@@ -31,43 +31,44 @@
 
 inline constexpr std::size_t kFleetTables = kFleetTableNames.names_.size();
 
-// A row that changed or, with isRemoved_, is there no more.
+// A row that was written or, with isRemoved_, removed.
 struct RowChange
 {
   Row row_;
   bool isRemoved_ = false;
 };
 
-// Rows of one table as of one version of the store.
+// A snapshot or a set of changes of one table.
 struct TableView
 {
   FleetTable table_ = FleetTable::Fleet;
-  // The store's version at which the view holds.
+  // The store's version as of which rows_ is complete.
   RowVersion version_ = 0;
-  // All rows of the table; else only what changed after base_.
+  // Whether rows_ is the whole table; else it holds only the changes after base_.
   bool isWhole_ = false;
   RowVersion base_ = 0;
   std::vector<RowChange> rows_;
 };
 
-// A copy of the tables that an instance follows, from the store or from other
-// instances. It only gets newer.
+// A copy of the store's tables, fed with snapshots and changes from the store or from other
+// instances. Versions never go back. It remembers the latest changes, so that it can pass them to
+// other instances.
 class RowMirror
 {
 public:
-  // Takes a view and returns what it changed; nothing when the copy is as new. No
-  // value when the view begins after what the copy has.
+  // Applies a view and returns the resulting changes; none if the copy is as new as the view. No
+  // value if the view's changes begin after the version of the copy.
   std::optional<std::vector<RowChange>> Apply(const TableView& aView);
 
   RowVersion VersionOf(FleetTable aTable) const { return Of(aTable).version_; }
-  // The version of the last change that is known; the table may be as of a later
-  // one that brought none.
+  // Version of the last known change. VersionOf may be later, as the store's version moves on
+  // without changes of this table.
   RowVersion LastChangeOf(FleetTable aTable) const { return Of(aTable).lastChange_; }
   bool IsKnown(FleetTable aTable) const { return Of(aTable).isKnown_; }
-  // The row of that key; null when there is none.
+  // The row of that key; null if there is none.
   const Row* Find(FleetTable aTable, const std::string& aKey) const;
-  // What somebody lacks who has the table as of that version, to be given to another
-  // instance: the changes, or the whole table when they are not remembered.
+  // The changes since aVersion, to be sent to another instance; the whole table if they are no
+  // longer remembered.
   TableView Since(FleetTable aTable, RowVersion aVersion) const;
 
 private:
@@ -77,7 +78,8 @@
     RowVersion lastChange_ = 0;
     bool isKnown_ = false;
     std::map<std::string, Row> rows_;
-    // The latest changes, as they came, and the version after which none is lacking.
+    // The latest changes in order of arrival; changesFrom_ is the version after which none is
+    // missing.
     std::deque<RowChange> changes_;
     RowVersion changesFrom_ = 0;
   };
--- a/Libraries/LibFleet/ServerSpeeds.cpp
+++ b/Libraries/LibFleet/ServerSpeeds.cpp
@@ -8,15 +8,16 @@
 
 namespace {
 
-// The time after which work counts half. A server turns slow, or gets keys that it has
-// to load first, from one moment to the next; shorter spans hold too few answers.
+// Half-life of the sums. A server can become slow, or get keys that it has to load first, from one
+// moment to the next; shorter half-lives leave too few answers.
 constexpr Duration kHalfLife = milliseconds(2000);
-// With fewer answers nothing is told: one of them may take several times the mean.
+// Below this weight of answers there is no estimate: a single answer may take several times the
+// mean.
 constexpr double kLeastAnswers = 4;
-// The first report of a server tells of about this time.
+// Time that the first report of a server covers, about.
 constexpr Duration kFirstSpan = milliseconds(800);
-// A server that has lost all its keys cannot tell the end of its limit. It gets some again
-// after this time.
+// A server that has lost all its keys gets no requests, so it cannot report that its rate limit
+// ended. After this time the limit is dropped, and the server gets some keys again.
 constexpr Duration kLimitMemory = seconds(15);
 
 } // namespace
@@ -53,7 +54,8 @@
   if (found == servers_.end() || found->second.answers_ < kLeastAnswers) {
     return std::nullopt;
   }
-  // No more than its slots work at the same time; the others waited for one.
+  // At most as many requests as slots are processed at the same time; the rest of the time was
+  // spent waiting for a slot.
   const auto& recent = found->second;
   const double most = recent.span_ * std::max(1U, aSlots);
   return Duration(static_cast<Duration::rep>(std::min(recent.busy_, most) / recent.answers_));
--- a/Libraries/LibFleet/ServerSpeeds.h
+++ b/Libraries/LibFleet/ServerSpeeds.h
@@ -10,27 +10,28 @@
 
 namespace latchslip {
 
-// How long each server works at one request lately, and how many it takes, told from what
-// all instances report. Each of them alone gets few answers of one server in a second.
+// Estimates each server's recent service time and rate limit from the reports of all instances. A
+// single instance receives too few answers of one server per second for an estimate.
 class ServerSpeeds
 {
 public:
+  // Adds the work that one instance reported of a server.
   void Add(Instant aNow, const std::string& aServer, const ServerWork& aWork);
-  // Forgets the servers for which aIsKept is false.
+  // Removes the servers for which aIsKept is false.
   void Keep(const std::function<bool(const std::string&)>& aIsKept);
-  // The time of work of one request at a server with that many slots, what it waited
-  // there for a slot left out; no value when too few are known.
+  // Service time of one request at a server with that many slots, without the wait for a slot; no
+  // value if too few answers are known.
   std::optional<Duration> WorkTimeOf(const std::string& aServer, unsigned aSlots) const;
-  // Requests a second that the server takes from all instances, as it lately named them;
-  // kNoRateLimit when it names no limit.
+  // Requests per second that the server accepts from all instances, as it last stated; kNoRateLimit
+  // if it stated none.
   double RateLimitOf(Instant aNow, const std::string& aServer) const;
 
 private:
-  // Sums in which earlier work counts less and less.
+  // Exponentially decaying sums.
   struct Recent
   {
     double answers_ = 0;
-    // In microseconds.
+    // Time in microseconds: busy_ of all requests, span_ of observation.
     double busy_ = 0;
     double span_ = 0;
     Instant updatedAt_{ 0 };
--- a/Libraries/LibFleet/ServicePlacer.h
+++ b/Libraries/LibFleet/ServicePlacer.h
@@ -4,7 +4,8 @@
 
 namespace latchslip {
 
-// The placer of one service, with the service's name on what it asks for.
+// Connects the OwnershipPlacer of one service to its FleetMember: adds the service's name to
+// commands and writes, and looks up servers in the directory.
 class FleetMember::ServicePlacer : public PlacerActions
 {
 public:
--- a/Libraries/LibFleet/SilentPeers.cpp
+++ b/Libraries/LibFleet/SilentPeers.cpp
@@ -4,8 +4,8 @@
 
 namespace {
 
-// For how long an instance that took no message is passed around. Half of the time after
-// which the placer forgets it, so that one that is back is used again soon.
+// How long an instance that did not accept a message is avoided. It is half of the time after which
+// the placer removes it, so that an instance that returns is used again soon.
 constexpr Duration kSilence = seconds(2);
 
 } // namespace
--- a/Libraries/LibFleet/SilentPeers.h
+++ b/Libraries/LibFleet/SilentPeers.h
@@ -7,18 +7,18 @@
 
 namespace latchslip {
 
-// Which instances did not take a message lately. News are passed around these at once: a
-// hall of 60 behind a frozen instance would otherwise get each change as much later as it
-// takes to give up on that one. It does no I/O.
+// Remembers which instances recently failed to accept a message, so that updates are routed around
+// them at once. Otherwise a hall of 60 behind a frozen instance would get each change late by the
+// time that a sender needs to give up on that instance. It does no I/O.
 class SilentPeers
 {
 public:
-  // The instance took a message, or did not.
+  // Records whether an instance accepted a message.
   void OnSent(Instant aNow, const std::string& aAddress, bool aIsTaken);
   bool IsSilent(Instant aNow, const std::string& aAddress) const;
 
 private:
-  // Until when each is passed around.
+  // Until when each address is avoided.
   std::map<std::string, Instant> until_;
 };
 
--- a/Libraries/LibFleet/StartWait.cpp
+++ b/Libraries/LibFleet/StartWait.cpp
@@ -6,16 +6,17 @@
 
 namespace {
 
-// For the first answer of the store: many times what one takes, and less than a client
-// waits for a connection.
+// For the first answer of the store: many times what one takes, and less than a client's connection
+// timeout.
 constexpr Duration kStoreTime = seconds(1);
-// For a placer that is named to answer. It may have been killed together with this
-// instance: it is back as soon, and claims its place with one write.
+// For the answer of the named placer. If it was killed together with this instance, it is back as
+// soon and claims the role again with one write.
 constexpr Duration kPlacerTime = milliseconds(400);
-// For a first placer: nobody was ever served, and the strong claim within a second.
+// For the first placer of a new fleet: no callers have been served yet, and the strong instances
+// claim within a second.
 constexpr Duration kFirstPlacerTime = seconds(3);
-// For the tables, once the placer has answered: some 250 KB for 1,081 servers before they are
-// deflated, which the weakest links (20 Mbit/s) carry to eight others in 0.8 s (estimates).
+// For the tables, once the placer has answered: about 250 KB for 1,081 servers before compression,
+// which the slowest links (20 Mbit/s) carry to eight other instances in 0.8 s (estimates).
 constexpr Duration kTablesTime = milliseconds(1500);
 
 } // namespace
--- a/Libraries/LibFleet/StartWait.h
+++ b/Libraries/LibFleet/StartWait.h
@@ -4,19 +4,20 @@
 
 namespace latchslip {
 
-// How long an instance that starts waits to be told the store's tables before it reads
-// them itself. When all 295 instances of a fleet started, reading alone cost 18 calls
-// each; told by the placer they make two or three. It does no I/O.
+// How long a starting instance waits for the placer to send the store's tables before it reads them
+// from the store itself. When all 295 instances of a fleet started, reading alone cost 18 calls
+// each; with tables from the placer they make two or three. It does no I/O.
 class StartWait
 {
 public:
-  // The instance has started; only the first call counts.
+  // The instance has started; only the first call has an effect.
   void OnStart(Instant aNow);
-  // The fleet's rows were read, and name a placer or none.
+  // The fleet's rows were read; aHasPlacer tells whether they name a placer.
   void OnFleetRead(Instant aNow, bool aHasPlacer);
-  // The placer answered a report and does its work, so that it will tell the tables.
+  // The placer answered a report and reaches the store, so that it will send the tables.
   void OnPlacerAnswered(Instant aNow);
 
+  // Whether the instance should read the tables itself.
   bool IsOver(Instant aNow) const { return hasStarted_ && aNow >= until_; }
 
 private:
--- a/Tests/LibFleet/FleetMemberFixture.h
+++ b/Tests/LibFleet/FleetMemberFixture.h
@@ -10,8 +10,8 @@
 
 namespace latchslip {
 
-// Rows in the simplest text: "version" for a configuration with one keyed
-// service, "leaving", "ready", "broken" or the number of its life for a server.
+// Decodes rows of a minimal format: the version number for a configuration with one keyed service;
+// "leaving", "ready", "broken" or the number of its incarnation for a server.
 class PlainDecoder : public RowDecoder
 {
 public:
@@ -48,11 +48,11 @@
                                      : std::nullopt;
   }
 
-  // In each configuration.
+  // The groups in each decoded configuration.
   std::vector<CallerGroup> groups_;
 };
 
-// Writes down what a member decides.
+// Records the actions that a member requests.
 class RecordedFleet : public FleetActions
 {
 public:
@@ -136,8 +136,8 @@
   return report;
 }
 
-// One member of a fleet on a hand-turned clock: the test shows it the store's tables, and
-// what it decides is written down.
+// A fleet member with a simulated clock. The test passes it the store's tables and checks the
+// recorded actions.
 class MemberOfAFleet : public testing::Test
 {
 protected:
@@ -199,7 +199,7 @@
     ASSERT_TRUE(member_.IsPlacer());
   }
 
-  // The store carried out the last transaction.
+  // Acknowledges the last transaction as version aVersion.
   void Done(RowVersion aVersion)
   {
     const auto& write = fleet_.transactions_.back().writes_.front();
--- a/Tests/LibFleet/TestConfigurationProof.cpp
+++ b/Tests/LibFleet/TestConfigurationProof.cpp
@@ -57,7 +57,7 @@
   EXPECT_EQ(watch_.ProvenAt(), Instant::min());
 }
 
-// The copy that it came back from may lack what was proven.
+// The copy that the store was restored from may lack the configuration that was proven.
 TEST_F(WatchOfAConfiguration, StoreComesBack_EarlierProofIsToldNoMore)
 {
   watch_.OnKnown(5);
@@ -67,9 +67,9 @@
   EXPECT_EQ(watch_.ProvenAt(), seconds(9));
 }
 
-// Instances that tell each other proofs over ways that take their time, with cuts, freezes
-// and changes in quick succession. Whatever happens, none may take its configuration for
-// proven at a moment at which the store held a later one.
+// A randomized model check: instances exchange proofs with random message delays, partitions,
+// freezes and configuration changes in quick succession. No instance may ever regard its
+// configuration as proven at a time at which the store held a later one.
 class WalkOfProofs : public testing::TestWithParam<unsigned>
 {
 protected:
@@ -85,7 +85,7 @@
   {
     Instant at_;
     std::size_t to_;
-    // News of a version, or the answer to a question of that time.
+    // An update with a version, or the response to a request sent at askedAt_.
     RowVersion news_ = 0;
     Instant askedAt_{ 0 };
     std::optional<ConfigurationProof> proof_;
@@ -128,7 +128,7 @@
     }
     const auto newest = static_cast<RowVersion>(changes_.size());
     if (instance.reachesStore_ && random_() % 2 == 0) {
-      // What the store reads it reads at some moment on the way.
+      // The store reads the version at some time between request and response.
       messages_.push_back({ Way(), aIndex, 0, now_, std::nullopt, newest });
       messages_.push_back({ Way(), aIndex, newest, now_, std::nullopt, std::nullopt });
     }
@@ -183,7 +183,7 @@
 
   Instant now_ = seconds(100);
   std::minstd_rand random_{ GetParam() };
-  // When each version was acknowledged, the first at the beginning.
+  // When each version was acknowledged; the first one is there at the start.
   std::vector<Instant> changes_{ seconds(100) };
   std::vector<Instance> instances_ = std::vector<Instance>(6);
   std::vector<Message> messages_;
@@ -308,7 +308,7 @@
   EXPECT_TRUE(member_.IsServing(now_));
 }
 
-// The copy may show keys that were taken away just before.
+// The copy may contain API keys that were revoked just before the restore.
 TEST_F(MemberWithApiKeys, StoreComesBackFromACopy_ItsReadsProveNothingAtFirst)
 {
   ShowTables();
--- a/Tests/LibFleet/TestFleetMember.cpp
+++ b/Tests/LibFleet/TestFleetMember.cpp
@@ -18,7 +18,7 @@
   EXPECT_NE(member_.Directory().Find("s1"), nullptr);
 }
 
-// Written late by the former life, or by one whose clock was set back.
+// Such a record was written late by the former incarnation, or by one whose clock was set back.
 TEST_F(MemberOfAFleet, ServerRecordIsOfAnEarlierLife_NamesNoServerBeforeALaterOneIsSeen)
 {
   Show(FleetTable::Servers, 6, { { "s1", 6, "200" } });
@@ -48,7 +48,7 @@
   EXPECT_EQ(events_.CountOf(Event::ServerToldLeaving), 2);
 }
 
-// Without its moves, the keys of such a server would have no owner to the end.
+// Unless its keys are moved, they have no owner until the server has shut down.
 TEST_F(MemberOfAFleet, PlacerIsToldByAnAnswerThatAServerLeaves_GivesItsKeysToOthers)
 {
   BecomePlacer();
@@ -67,8 +67,8 @@
   }
 }
 
-// Guards against an owner that takes few requests a second and keeps as many keys as others.
-// The pattern: all keys are asked for alike, and both owners could work equally fast.
+// Guards against an owner with a low rate limit that keeps as many keys as others. All keys are
+// requested equally often, and both owners are equally fast.
 TEST_F(MemberOfAFleet, OwnerNamesARateLimit_PlacerPassesMostOfItsKeysToOthers)
 {
   BecomePlacer();
@@ -282,7 +282,7 @@
       member_.OnOrderEnded(now_, "rates", fleet_.orders_[answered].number_, { OrderEnd::Done, "" });
     }
   }
-  // Sixty-four ranges, renewed every five thirds of a second for twenty.
+  // Sixty-four ranges, renewed every five thirds of a second for twenty seconds.
   EXPECT_GT(fleet_.orders_.size(), 600U);
 }
 
@@ -295,7 +295,7 @@
   news.placer_ = Row{ "placer", 30, Placer("i2", kOther) };
   member_.OnNews(now_, news);
   Pass(seconds(4));
-  // The other is silent, but nothing is claimed before the answer to that write.
+  // The other placer is silent, but no claim is sent before the result of the pending write.
   EXPECT_EQ(fleet_.transactions_.size(), 2U);
   member_.OnTransactEnded(now_, { StoreStatus::Done, { { "ownership/rates", 31, "" } } });
   EXPECT_FALSE(member_.IsPlacer());
@@ -375,7 +375,7 @@
   Show(FleetTable::Fleet, 7, { { "placer", 7, Placer("i2", kOther) } });
   AnswerReports(seconds(2), { 5, 6, 7 });
   member_.OnReportAnswered(now_, ReportAnswer{ true, kBoth, { 5, 6, 7 }, 10 });
-  // Later than an equal one would by more than the time between two reports.
+  // An instance with an equal share would claim earlier by more than a report interval.
   Pass(milliseconds(2550));
   EXPECT_TRUE(fleet_.transactions_.empty());
   Pass(milliseconds(400));
--- a/Tests/LibFleet/TestFleetRoster.cpp
+++ b/Tests/LibFleet/TestFleetRoster.cpp
@@ -15,8 +15,8 @@
            aNumber % 7 == 0 ? 0.5 : 0.1 };
 }
 
-// The instances of a fleet of several hundred, which the placer hears one after the other
-// and tells each that reports.
+// The roster of a placer of several hundred instances, and that of an instance that receives its
+// changes.
 class RosterOfALargeFleet : public testing::Test
 {
 protected:
--- a/Tests/LibFleet/TestLargeFleetMember.cpp
+++ b/Tests/LibFleet/TestLargeFleetMember.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-// An instance of a large fleet in two halls. The two strongest of each read the store.
+// An instance of a large fleet in two halls. The two strongest instances of each hall are its
+// readers.
 class MemberOfALargeFleet : public MemberOfAFleet
 {
 protected:
@@ -19,7 +20,8 @@
     return { AddressOf(aNumber), aNumber % 2 == 0 ? "hall" : "other", aNumber < 4 ? 2.0 : 0.5 };
   }
 
-  // Instances 0 and 2 are the readers of this one's hall, unless it is so itself.
+  // Instances 0 and 2 are the readers of this instance's hall, unless aOwnShare makes this instance
+  // a reader.
   explicit MemberOfALargeFleet(double aOwnShare = 1)
   {
     roster_.isWhole_ = true;
@@ -40,7 +42,7 @@
     member_.OnReportAnswered(now_, ReportAnswer{ true, roster_, aVersions });
   }
 
-  // The readers that are asked from now on say this.
+  // Answers every fetch within aTime with that reachability of the store.
   void AnswerFetches(Duration aTime, StoreSight aSight)
   {
     FleetNews news;
@@ -162,8 +164,8 @@
   EXPECT_TRUE(told.contains(AddressOf(4)));
 }
 
-// The others of its hall rely on it: a question that waits for seconds would hide that the
-// store turns it away.
+// The other instances of its hall rely on a reader: a poll that waits for seconds would hide that
+// the store rejects it.
 TEST_F(ReaderOfALargeFleet, PlacerAnswersSlowly_StoreIsFollowedClosely)
 {
   member_.OnReportAnswered(now_, ReportAnswer{ true, {}, { 5, 6, 7 } }, milliseconds(250));
--- a/Tests/LibFleet/TestNewsTree.cpp
+++ b/Tests/LibFleet/TestNewsTree.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-// News of a placer on their way through a fleet of several hundred instances in five
-// halls, some of which take nothing.
+// Simulates the distribution of a placer's update in a fleet of several hundred instances in five
+// halls, some of which accept no messages.
 class NewsInALargeFleet : public testing::Test
 {
 protected:
@@ -26,8 +26,8 @@
     }
   }
 
-  // Delivers a message, and what comes of it. A sender whose message is not taken sends it
-  // to those that it should have been passed on to.
+  // Delivers a message and those forwarded from it. A sender whose message is not accepted sends it
+  // to the addresses in the receiver's branch itself.
   void Deliver(const std::string& aFrom, const NewsBranch& aBranch, int aDepth)
   {
     ++sent_[aFrom];
--- a/Tests/LibFleet/TestReaderGuide.cpp
+++ b/Tests/LibFleet/TestReaderGuide.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-// An instance of a large fleet that has lost its placer, and the readers of two halls.
+// An instance of a large fleet that lost its placer, with the readers of two halls.
 class GuideByFourReaders : public testing::Test
 {
 protected:
-  // Asks whoever is due for some time; a reader answers at once or not at all.
+  // Sends all requests that become due within aTime. Readers answer at once, or not at all.
   void Pass(Duration aTime, bool aIsAnswered)
   {
     for (const auto end = now_ + aTime; now_ < end; now_ += milliseconds(50)) {
@@ -69,8 +69,8 @@
   EXPECT_TRUE(guide_.IsGuided(now_));
 }
 
-// The store turns some instances away, as it may for seconds, and the readers of this hall are
-// among them.
+// The store rejects calls of some instances, as it may for seconds, among them the readers of this
+// hall.
 TEST(ReaderGuide, ReadersOfTheOwnHallAreTurnedAwayByTheStore_OthersAreFoundWithinASecond)
 {
   const std::vector<FleetPeer> readers{
@@ -115,7 +115,7 @@
   EXPECT_FALSE(guide_.Next(now_, readers_, random_));
 }
 
-// An instance that has started at 100 s.
+// An instance that starts at 100 s.
 class WaitOfAStart : public testing::Test
 {
 protected:
--- a/Tests/LibFleet/TestServerSpeeds.cpp
+++ b/Tests/LibFleet/TestServerSpeeds.cpp
@@ -9,8 +9,7 @@
 class SpeedOfAServer : public testing::Test
 {
 protected:
-  // Reports of several instances for aTime, one every 100 ms of aAnswers with that
-  // latency.
+  // Adds a report every 100 ms for aTime, each with aAnswers requests of that latency.
   void Report(Duration aTime, std::uint64_t aAnswers, Duration aLatency)
   {
     for (Duration past{ 0 }; past < aTime; past += milliseconds(100)) {
@@ -42,7 +41,7 @@
   EXPECT_NEAR(WorkMilliseconds(4), 50, 1);
 }
 
-// Four slots that answer 40 requests in a second work 100 ms at each.
+// Four slots that answer 40 requests a second spend 100 ms on each.
 TEST_F(SpeedOfAServer, RequestsWaitForSlots_TheirWaitIsNoWork)
 {
   Report(seconds(20), 4, milliseconds(700));
--- a/Tests/LibFleet/TestStoreReturn.cpp
+++ b/Tests/LibFleet/TestStoreReturn.cpp
@@ -1,5 +1,6 @@
-// A member of a fleet whose store comes back from an older copy of itself: its versions go
-// back, and what it had acknowledged last is gone until its writers write it again.
+// Guards against wrong decisions of a fleet member after the store is restored from an older copy:
+// the versions go back, and the latest acknowledged writes are gone until their writers repeat
+// them.
 
 #include "FleetMemberFixture.h"
 #include "LibStore/StoreEpoch.h"
@@ -13,10 +14,10 @@
 class MemberWhoseStoreReturned : public MemberOfAFleet
 {
 protected:
-  // What the store's answers name after its return.
+  // A version of the epoch after the restore.
   static constexpr RowVersion After(std::uint64_t aNumber) { return VersionIn(1, aNumber); }
 
-  // The member placed all keys, and its write was acknowledged as version 11.
+  // The member places all keys, and its write is acknowledged as version 11.
   void PlaceKeys()
   {
     BecomePlacer();
@@ -44,7 +45,7 @@
                    false,
                    After(40),
                    { { { "config", After(41), "4" }, false } } });
-  // That of the copy is older than the one in force.
+  // The copy's configuration is older than the one in force.
   EXPECT_EQ(fleet_.versions_, (std::vector<std::uint64_t>{ 3, 4 }));
 }
 
@@ -61,7 +62,7 @@
                    { { { "s1", After(6), "leaving" }, false } } });
   EXPECT_FALSE(member_.Directory().Find("s1")->TakesWork());
   EXPECT_TRUE(member_.Directory().Find("s2")->TakesWork());
-  // The copy lacks this one, which has two seconds to write itself again.
+  // The copy lacks this server, which has two seconds to write its record again.
   EXPECT_NE(member_.Directory().Find("s3"), nullptr);
   Pass(seconds(3));
   EXPECT_EQ(member_.Directory().Find("s3"), nullptr);
@@ -107,7 +108,7 @@
     EXPECT_GT(again.ranges_[index].fence_, before.lastFence_);
   }
   Done(After(11));
-  // The others may have them as of any version of before.
+  // The other instances may have the owners as of any earlier version.
   EXPECT_EQ(fleet_.news_.back().second.owners_.front().base_, 0U);
   EXPECT_EQ(fleet_.ownership_, again);
 }
@@ -128,7 +129,7 @@
   EXPECT_EQ(LastTransaction().conditions_,
             (std::vector<RowStamp>{ { "placer", After(9) }, { "ownership/rates", After(10) } }));
   Done(After(11));
-  // Others have not read the row, and may know the owners as of any version of before.
+  // The other instances have not read the row, and may have the owners as of any earlier version.
   EXPECT_EQ(fleet_.news_.back().second.owners_.front().base_, 0U);
 }
 
@@ -186,8 +187,8 @@
   EXPECT_FALSE(fleet_.orders_.empty());
 }
 
-// A grant without an answer may be taken 12 s late and hold for 5.1 s from then. Whoever sent
-// it knows so also as the next placer.
+// An unacknowledged grant may be accepted 12 s late and be valid for 5.1 s from then. The instance
+// that sent it has to consider that as the next placer as well.
 TEST_F(MemberWhoseStoreReturned, ClaimWasLostAfterAGrantWithoutAnswer_ItsKeysWaitForThatGrant)
 {
   PlaceKeys();
