--- a/Libraries/LibDaemon/GatewayHost.cpp
+++ b/Libraries/LibDaemon/GatewayHost.cpp
@@ -231,11 +231,11 @@
   LeavingObserver NoteLeaving()
   {
     return [this](const std::string& aServer, std::uint64_t aLife) {
-      member_.OnToldLeaving(MonotonicNow(), aServer, aLife);
+      member_.OnServerReportedLeaving(MonotonicNow(), aServer, aLife);
     };
   }
 
-  void Order(const std::string& aService, const KeyOrder& aOrder) override
+  void SendCommand(const std::string& aService, const KeyOrder& aOrder) override
   {
     ExchangeOptions options;
     options.timeout_ = kOrderTimeout;
@@ -247,7 +247,7 @@
                   [this, aService, aOrder](const HttpExchange& aExchange) {
                     const auto outcome = codec_.DecodeOrder(aOrder, aExchange);
                     if (outcome.isLeaving_) {
-                      member_.OnToldLeaving(MonotonicNow(), aOrder.server_, aOrder.life_);
+                      member_.OnServerReportedLeaving(MonotonicNow(), aOrder.server_, aOrder.life_);
                     }
                     member_.OnOrderEnded(MonotonicNow(), aService, aOrder.number_, outcome);
                   });
@@ -258,16 +258,19 @@
     peers_.SendReport(aAddress, aReport);
   }
 
-  void Follow(Following aHow, const TableVersions& aKnown) override { store_.Follow(aHow, aKnown); }
+  void Follow(StorePollMode aHow, const TableVersions& aKnown) override
+  {
+    store_.Follow(aHow, aKnown);
+  }
 
-  void SendNews(const std::vector<NewsBranch>& aBranches, const FleetNews& aNews) override
+  void SendUpdate(const std::vector<UpdateBranch>& aBranches, const FleetUpdate& aNews) override
   {
-    peers_.SendNews(aBranches, aNews);
+    peers_.SendUpdate(aBranches, aNews);
   }
 
-  void FetchNews(const std::string& aAddress, const TableVersions& aVersions) override
+  void FetchUpdate(const std::string& aAddress, const TableVersions& aVersions) override
   {
-    peers_.FetchNews(aAddress, aVersions);
+    peers_.FetchUpdate(aAddress, aVersions);
   }
 
   void ReadConfigurationVersion() override
@@ -278,9 +281,9 @@
       });
   }
 
-  void SendUses(const std::string& aAddress, const UseReport& aReport) override
+  void SendUsage(const std::string& aAddress, const UseReport& aReport) override
   {
-    peers_.SendUses(aAddress, aReport);
+    peers_.SendUsage(aAddress, aReport);
   }
 
   void OnApiKeysProven(Instant aUntil) override { front_.Desk().SetApiKeysProvenUntil(aUntil); }
@@ -304,7 +307,7 @@
     front_.Desk().SetOwnership(MonotonicNow(), aOwnership);
   }
 
-  void OnNewsStale(bool aIsStale) override { front_.Desk().SetNewsStale(aIsStale); }
+  void OnStalenessChanged(bool aIsStale) override { front_.Desk().SetNewsStale(aIsStale); }
 
   void OnInstances(const std::map<std::string, FleetPeer>& aPeers) override
   {
--- a/Libraries/LibDaemon/PeerCalls.cpp
+++ b/Libraries/LibDaemon/PeerCalls.cpp
@@ -35,20 +35,20 @@
 
 // News are deflated when they are long. What is not begins with a brace.
 std::string
-PackNews(const FleetNews& aNews)
+PackNews(const FleetUpdate& aNews)
 {
-  auto text = SerializeNews(aNews);
+  auto text = SerializeUpdate(aNews);
   return text.size() < kLeastDeflated ? text : Deflate(text);
 }
 
-FieldResult<FleetNews>
+FieldResult<FleetUpdate>
 UnpackNews(std::string_view aBytes)
 {
   if (aBytes.starts_with('{')) {
-    return ParseNews(aBytes);
+    return ParseUpdate(aBytes);
   }
   BOOST_OUTCOME_TRY(const auto text, Inflate(aBytes, kMostNewsBytes));
-  return ParseNews(text);
+  return ParseUpdate(text);
 }
 
 HttpRequest
@@ -102,7 +102,7 @@
 }
 
 void
-PeerCalls::SendNews(const std::vector<NewsBranch>& aBranches, const FleetNews& aNews)
+PeerCalls::SendUpdate(const std::vector<UpdateBranch>& aBranches, const FleetUpdate& aNews)
 {
   if (!aBranches.empty()) {
     PassOn(aBranches, std::make_shared<const std::string>(PackNews(aNews)));
@@ -111,13 +111,13 @@
 
 // Whoever misses them learns from the next report's answer that it did.
 void
-PeerCalls::PassOn(const std::vector<NewsBranch>& aBranches,
+PeerCalls::PassOn(const std::vector<UpdateBranch>& aBranches,
                   const std::shared_ptr<const std::string>& aNews)
 {
   for (const auto& branch : aBranches) {
-    if (silent_.IsSilent(MonotonicNow(), branch.to_)) {
+    if (silent_.IsUnresponsive(MonotonicNow(), branch.to_)) {
       PassOnTo({ branch.to_, {} }, aNews);
-      PassOn(SplitOnward(branch.onward_), aNews);
+      PassOn(SplitForwarding(branch.forwardTo_), aNews);
     } else {
       PassOnTo(branch, aNews);
     }
@@ -125,23 +125,23 @@
 }
 
 void
-PeerCalls::PassOnTo(const NewsBranch& aBranch, const std::shared_ptr<const std::string>& aNews)
+PeerCalls::PassOnTo(const UpdateBranch& aBranch, const std::shared_ptr<const std::string>& aNews)
 {
   const auto timeout = aNews->size() > kBulkBytes ? kBulkTimeout : kPeerTimeout;
   client_->Send(aBranch.to_,
-                MakePost(kNewsPath, EncodeNewsMessage(aBranch.onward_, *aNews)),
+                MakePost(kNewsPath, EncodeUpdateMessage(aBranch.forwardTo_, *aNews)),
                 timeout,
                 [this, aBranch, aNews](const HttpExchange& aExchange) {
                   const bool isTaken = IsOk(aExchange);
                   silent_.OnSent(MonotonicNow(), aBranch.to_, isTaken);
                   if (!isTaken) {
-                    PassOn(SplitOnward(aBranch.onward_), aNews);
+                    PassOn(SplitForwarding(aBranch.forwardTo_), aNews);
                   }
                 });
 }
 
 void
-PeerCalls::FetchNews(const std::string& aAddress, const TableVersions& aVersions)
+PeerCalls::FetchUpdate(const std::string& aAddress, const TableVersions& aVersions)
 {
   client_->Send(aAddress,
                 MakePost(kSincePath, SerializeVersions(aVersions)),
@@ -149,18 +149,18 @@
                 [this, aAddress, sentAt = MonotonicNow()](const HttpExchange& aExchange) {
                   const auto news = ReadAnswer(aExchange, UnpackNews);
                   const auto now = MonotonicNow();
-                  member_.OnNewsFetched(now, news, now - sentAt, aAddress);
+                  member_.OnUpdateFetched(now, news, now - sentAt, aAddress);
                 });
 }
 
 void
-PeerCalls::SendUses(const std::string& aAddress, const UseReport& aReport)
+PeerCalls::SendUsage(const std::string& aAddress, const UseReport& aReport)
 {
   client_->Send(aAddress,
                 MakePost(kUsesPath, SerializeUseReport(aReport)),
                 kPeerTimeout,
                 [this](const HttpExchange& aExchange) {
-                  member_.OnUsesAnswered(MonotonicNow(), ReadAnswer(aExchange, ParseParts));
+                  member_.OnUsageAnswered(MonotonicNow(), ReadAnswer(aExchange, ParseParts));
                 });
 }
 
@@ -202,7 +202,7 @@
   if (!report) {
     return MakeHttpResponse(kBadRequest, report.error().Describe());
   }
-  const auto parts = member_.OnUses(MonotonicNow(), report.value());
+  const auto parts = member_.OnUsage(MonotonicNow(), report.value());
   return parts ? MakeHttpResponse(kOk, SerializeParts(*parts))
                : MakeHttpResponse(kConflict, "is not the placer\n");
 }
@@ -210,18 +210,18 @@
 HttpResponse
 PeerCalls::TakeNews(const HttpRequest& aRequest)
 {
-  auto message = DecodeNewsMessage(*aRequest.body_);
+  auto message = DecodeUpdateMessage(*aRequest.body_);
   if (!message) {
     return MakeHttpResponse(kBadRequest, message.error().Describe());
   }
-  const auto text = std::make_shared<const std::string>(std::move(message.value().news_));
+  const auto text = std::make_shared<const std::string>(std::move(message.value().update_));
   // Passed on before they are read, which takes a weak instance longer.
-  PassOn(SplitOnward(message.value().onward_), text);
+  PassOn(SplitForwarding(message.value().forwardTo_), text);
   const auto news = UnpackNews(*text);
   if (!news) {
     return MakeHttpResponse(kBadRequest, news.error().Describe());
   }
-  member_.OnNews(MonotonicNow(), news.value());
+  member_.OnUpdate(MonotonicNow(), news.value());
   return MakeHttpResponse(kOk, "");
 }
 
@@ -232,7 +232,7 @@
   if (!versions) {
     return MakeHttpResponse(kBadRequest, versions.error().Describe());
   }
-  return MakeHttpResponse(kOk, PackNews(member_.NewsSince(MonotonicNow(), versions.value())));
+  return MakeHttpResponse(kOk, PackNews(member_.UpdateSince(MonotonicNow(), versions.value())));
 }
 
 } // namespace latchslip
--- a/Libraries/LibDaemon/PeerCalls.h
+++ b/Libraries/LibDaemon/PeerCalls.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "LibFleet/FleetMember.h"
-#include "LibFleet/SilentPeers.h"
+#include "LibFleet/UnresponsivePeers.h"
 #include "LibNet/HttpClient.h"
 #include "LibNet/HttpServer.h"
 
@@ -22,18 +22,18 @@
   PeerCalls(boost::asio::io_context& aContext, FleetMember& aMember, MetricsPage aMetrics);
 
   void SendReport(const std::string& aAddress, const InstanceReport& aReport);
-  void SendNews(const std::vector<NewsBranch>& aBranches, const FleetNews& aNews);
-  void FetchNews(const std::string& aAddress, const TableVersions& aVersions);
-  void SendUses(const std::string& aAddress, const UseReport& aReport);
+  void SendUpdate(const std::vector<UpdateBranch>& aBranches, const FleetUpdate& aNews);
+  void FetchUpdate(const std::string& aAddress, const TableVersions& aVersions);
+  void SendUsage(const std::string& aAddress, const UseReport& aReport);
 
   void OnRequest(std::uint64_t aId, HttpRequest aRequest, HttpResponder aRespond) override;
   void OnGone(std::uint64_t) override {}
 
 private:
   // Sends news that are written down along these branches.
-  void PassOn(const std::vector<NewsBranch>& aBranches,
+  void PassOn(const std::vector<UpdateBranch>& aBranches,
               const std::shared_ptr<const std::string>& aNews);
-  void PassOnTo(const NewsBranch& aBranch, const std::shared_ptr<const std::string>& aNews);
+  void PassOnTo(const UpdateBranch& aBranch, const std::shared_ptr<const std::string>& aNews);
   HttpResponse AnswerReport(const HttpRequest& aRequest);
   HttpResponse AnswerUses(const HttpRequest& aRequest);
   HttpResponse TakeNews(const HttpRequest& aRequest);
@@ -42,7 +42,7 @@
   FleetMember& member_;
   MetricsPage metrics_;
   std::unique_ptr<HttpClient> client_;
-  SilentPeers silent_;
+  UnresponsivePeers silent_;
 };
 
 } // namespace latchslip
--- a/Libraries/LibFleet/ConfigurationProof.cpp
+++ b/Libraries/LibFleet/ConfigurationProof.cpp
@@ -7,13 +7,13 @@
 namespace latchslip {
 
 bool
-ConfigurationWatch::Covers(RowVersion aVersion) const
+ConfigurationFreshness::Covers(RowVersion aVersion) const
 {
   return known_ != 0 && EpochOf(known_) == EpochOf(aVersion) && known_ >= aVersion;
 }
 
 void
-ConfigurationWatch::OnKnown(RowVersion aVersion)
+ConfigurationFreshness::OnKnown(RowVersion aVersion)
 {
   known_ = std::max(known_, aVersion);
   if (awaitedVersion_ != 0 && Covers(awaitedVersion_)) {
@@ -23,7 +23,7 @@
 }
 
 void
-ConfigurationWatch::OnProof(Instant aAsOf, RowVersion aVersion)
+ConfigurationFreshness::OnProof(Instant aAsOf, RowVersion aVersion)
 {
   if (Covers(aVersion)) {
     Prove(aAsOf);
@@ -34,7 +34,7 @@
 }
 
 void
-ConfigurationWatch::Prove(Instant aAsOf)
+ConfigurationFreshness::Prove(Instant aAsOf)
 {
   provenAt_ = std::max(provenAt_, aAsOf);
   provenIn_ = EpochOf(known_);
@@ -42,7 +42,7 @@
 
 // A proof from before a restore of the store says nothing about the restored copy.
 std::optional<ConfigurationProof>
-ConfigurationWatch::Tell(Instant aNow) const
+ConfigurationFreshness::Tell(Instant aNow) const
 {
   if (provenAt_ == Instant::min() || provenIn_ != EpochOf(known_)) {
     return std::nullopt;
--- a/Libraries/LibFleet/ConfigurationProof.h
+++ b/Libraries/LibFleet/ConfigurationProof.h
@@ -21,7 +21,7 @@
 // the store. Readers of the store obtain proofs by reading it; all others receive them from those.
 // An instance without a fresh proof cannot know whether an API key has been revoked since. It does
 // no I/O.
-class ConfigurationWatch
+class ConfigurationFreshness
 {
 public:
   // Sets the version of the latest configuration that this instance has.
--- a/Libraries/LibFleet/FleetMember.cpp
+++ b/Libraries/LibFleet/FleetMember.cpp
@@ -34,7 +34,7 @@
   // is enough for a large fleet.
   , election_(settings_.self_,
               std::uniform_real_distribution<double>(0, 1)(random_),
-              WeaknessBeside(settings_.processorShare_, kStrongShare))
+              CapacityDeficit(settings_.processorShare_, kStrongShare))
   , keeper_(settings_.limitWindow_)
 {
 }
@@ -57,7 +57,7 @@
   if (!view_.Take(aNow, aView)) {
     return;
   }
-  if (following_ == Following::Starting) {
+  if (following_ == StorePollMode::Starting) {
     ChooseFollowing(aNow);
   }
   const bool isReader = roster_.IsReader(settings_.self_.address_);
@@ -71,7 +71,7 @@
   if (changes.rows_.empty() || isFollowedByAll) {
     return;
   }
-  FleetNews news;
+  FleetUpdate news;
   news.views_.push_back(std::move(changes));
   // The others have the last change, but not the later versions without changes.
   news.views_.back().base_ = lastChange;
@@ -82,42 +82,46 @@
   }
 }
 
-FleetNews
-FleetMember::NewsSince(Instant aNow, const TableVersions& aVersions) const
+FleetUpdate
+FleetMember::UpdateSince(Instant aNow, const TableVersions& aVersions) const
 {
-  auto news = view_.NewsSince(aVersions);
+  auto news = view_.UpdateSince(aVersions);
   news.proof_ = configuration_.Tell(aNow);
-  const bool isFollowing = following_ != Following::Told && following_ != Following::Starting;
+  const bool isFollowing =
+    following_ != StorePollMode::Off && following_ != StorePollMode::Starting;
   if (isFollowing) {
-    news.sight_ = isStoreLost_ ? StoreSight::Lost : StoreSight::Heard;
+    news.storeReachability_ =
+      isStoreLost_ ? StoreReachability::Unreachable : StoreReachability::Reachable;
   }
   return news;
 }
 
 void
-FleetMember::OnNewsFetched(Instant aNow,
-                           const std::optional<FleetNews>& aNews,
-                           Duration aRoundTrip,
-                           const std::string& aFrom)
+FleetMember::OnUpdateFetched(Instant aNow,
+                             const std::optional<FleetUpdate>& aNews,
+                             Duration aRoundTrip,
+                             const std::string& aFrom)
 {
-  guide_.OnAnswer(aNow, aFrom, aNews ? aNews->sight_ : StoreSight::None);
+  guide_.OnAnswer(aNow, aFrom, aNews ? aNews->storeReachability_ : StoreReachability::NotPolling);
   if (!aNews) {
     return;
   }
-  if (following_ == Following::Told && aNews->sight_ == StoreSight::Lost) {
+  if (following_ == StorePollMode::Off &&
+      aNews->storeReachability_ == StoreReachability::Unreachable) {
     OnStoreLost(aNow);
-  } else if (following_ == Following::Told && aNews->sight_ == StoreSight::Heard) {
+  } else if (following_ == StorePollMode::Off &&
+             aNews->storeReachability_ == StoreReachability::Reachable) {
     OnStoreRegained(aNow);
   }
-  OnNews(aNow, *aNews);
+  OnUpdate(aNow, *aNews);
   TakeProof(aNow, aNews->proof_, aRoundTrip);
 }
 
 void
-FleetMember::OnNews(Instant aNow, const FleetNews& aNews)
+FleetMember::OnUpdate(Instant aNow, const FleetUpdate& aNews)
 {
-  if (aNews.isLastForNow_) {
-    relay_.OnFailure(RelayEnd::Announced);
+  if (aNews.pausesUpdates_) {
+    relay_.OnFailure(PlacerFault::UpdatesPaused);
     ChooseFollowing(aNow);
   }
   limits_.OnParts(aNow, aNews.parts_);
@@ -125,22 +129,23 @@
     NoteDoubt(aNow, doubt);
   }
   // What this instance reads from the store takes precedence for the tables that others write.
-  const bool isFollowing = following_ == Following::Alone || following_ == Following::Closely;
+  const bool isFollowing =
+    following_ == StorePollMode::LongWaits || following_ == StorePollMode::ShortWaits;
   const bool ownRowsOnly = isFollowing && !isStoreLost_;
   if (!aNews.views_.empty() && !ownRowsOnly) {
     events_.Record(Event::ViewFromPeer,
                    "tables=" + std::to_string(aNews.views_.size()) +
-                     " following=" + std::string(kFollowingNames.NameOf(following_)));
+                     " following=" + std::string(kStorePollModeNames.NameOf(following_)));
   }
   if (!view_.Take(aNow, aNews, ownRowsOnly)) {
     // Some updates were missed; read the changes from the store.
-    relay_.OnFailure(RelayEnd::NewsMissed);
+    relay_.OnFailure(PlacerFault::UpdateMissed);
     ChooseFollowing(aNow);
   }
 }
 
 void
-FleetMember::NoteDoubt(Instant aNow, const HoldDoubt& aDoubt)
+FleetMember::NoteDoubt(Instant aNow, const UncertainLease& aDoubt)
 {
   auto& until = doubts_.try_emplace(aDoubt.server_, Instant::min()).first->second;
   until = std::max(until, aNow + aDoubt.holds_);
@@ -159,7 +164,7 @@
   const bool wasPlacer = election_.IsPlacer();
   election_.OnRow(aNow, aPlacer);
   start_.OnFleetRead(aNow, aPlacer.has_value());
-  relay_.OnFailure(RelayEnd::PlacerChanged);
+  relay_.OnFailure(PlacerFault::PlacerChanged);
   nextReport_ = aNow;
   if (wasPlacer && !election_.IsPlacer()) {
     events_.Record(Event::PlacerClaimLost,
@@ -180,8 +185,8 @@
   events_.Record(Event::StoreUnavailable,
                  "heard_ago_us=" + std::to_string((aNow - storeHeardAt_).count()));
   if (election_.IsPlacer()) {
-    FleetNews news;
-    news.isLastForNow_ = true;
+    FleetUpdate news;
+    news.pausesUpdates_ = true;
     Spread(news);
   }
 }
@@ -195,11 +200,11 @@
   isStoreLost_ = false;
   view_.Directory().OnStoreRegained(aNow);
   events_.Record(Event::StoreRecovered,
-                 "following=" + std::string(kFollowingNames.NameOf(following_)));
+                 "following=" + std::string(kStorePollModeNames.NameOf(following_)));
 }
 
 void
-FleetMember::OnToldLeaving(Instant aNow, const std::string& aServer, std::uint64_t aLife)
+FleetMember::OnServerReportedLeaving(Instant aNow, const std::string& aServer, std::uint64_t aLife)
 {
   if (!view_.Directory().NoteLeaving(aNow, aServer, aLife)) {
     return;
@@ -244,33 +249,33 @@
   AskReaders(aNow);
   // While readers stand in for the placer, only readers are asked: two instances that both depend
   // on others would keep each other from polling the store.
-  if (isStoreLost_ && following_ != Following::Told && aNow >= nextFetch_) {
+  if (isStoreLost_ && following_ != StorePollMode::Off && aNow >= nextFetch_) {
     FetchFromPeers(aNow);
   }
 }
 
-Following
+StorePollMode
 FleetMember::HowToFollow(Instant aNow)
 {
   if (election_.IsPlacer()) {
-    return Following::Closely;
+    return StorePollMode::ShortWaits;
   }
   if (!IsReady()) {
-    const bool isWaiting =
-      following_ == Following::Starting && view_.Size() != FleetSize::Small && !start_.IsOver(aNow);
-    return isWaiting ? Following::Starting : Following::Alone;
+    const bool isWaiting = following_ == StorePollMode::Starting &&
+                           view_.Size() != FleetSize::Small && !start_.IsOver(aNow);
+    return isWaiting ? StorePollMode::Starting : StorePollMode::LongWaits;
   }
   if (relay_.IsRelayed(aNow, view_.Versions())) {
     guide_.OnRelayed();
-    return IsReading(aNow) ? Following::Relayed : Following::Told;
+    return IsReading(aNow) ? StorePollMode::ConfigurationOnly : StorePollMode::Off;
   }
   if (IsReadFor()) {
     guide_.OnRelayEnded(aNow);
-    return guide_.IsGuided(aNow) ? Following::Told : Following::Alone;
+    return guide_.IsGuided(aNow) ? StorePollMode::Off : StorePollMode::LongWaits;
   }
   // Other instances rely on a reader: a poll with a long wait would hide for seconds that the store
   // rejects it.
-  return roster_.HasReaders() ? Following::Closely : Following::Alone;
+  return roster_.HasReaders() ? StorePollMode::ShortWaits : StorePollMode::LongWaits;
 }
 
 bool
@@ -297,7 +302,7 @@
 }
 
 void
-FleetMember::TellHall(const FleetNews& aNews)
+FleetMember::TellHall(const FleetUpdate& aNews)
 {
   std::vector<FleetPeer> receivers;
   for (const auto& [address, peer] : roster_.Peers()) {
@@ -305,7 +310,7 @@
       receivers.push_back(peer);
     }
   }
-  actions_.SendNews(PlanNewsTree(std::move(receivers), SelfAsPeer()), aNews);
+  actions_.SendUpdate(PlanUpdateTree(std::move(receivers), SelfAsPeer()), aNews);
 }
 
 void
@@ -314,9 +319,9 @@
   if (!IsReadFor() || !guide_.IsDue(aNow)) {
     return;
   }
-  const auto readers = roster_.ReadersFrom(settings_.hall_);
+  const auto readers = roster_.ReadersByProximity(settings_.hall_);
   if (const auto address = guide_.Next(aNow, readers, random_)) {
-    actions_.FetchNews(*address, view_.Versions());
+    actions_.FetchUpdate(*address, view_.Versions());
   }
 }
 
@@ -324,7 +329,7 @@
 FleetMember::ChooseFollowing(Instant aNow)
 {
   const auto following = HowToFollow(aNow);
-  if (following == Following::Told && relay_.IsRelayed(aNow, view_.Versions())) {
+  if (following == StorePollMode::Off && relay_.IsRelayed(aNow, view_.Versions())) {
     OnStoreRegained(aNow);
   }
   if (following == following_) {
@@ -332,11 +337,11 @@
   }
   following_ = following;
   events_.Record(Event::FollowingChanged,
-                 "following=" + std::string(kFollowingNames.NameOf(following)) +
+                 "following=" + std::string(kStorePollModeNames.NameOf(following)) +
                    " store_heard_ago_us=" + std::to_string((aNow - storeHeardAt_).count()) + " " +
                    relay_.Describe(aNow, view_.Versions()));
   actions_.Follow(following, view_.Versions());
-  if (following == Following::Relayed) {
+  if (following == StorePollMode::ConfigurationOnly) {
     OnStoreRegained(aNow);
   }
 }
@@ -348,7 +353,7 @@
   const bool isStale = isStoreLost_ && !isHeard;
   if (isStale != isNewsStale_) {
     isNewsStale_ = isStale;
-    actions_.OnNewsStale(isStale);
+    actions_.OnStalenessChanged(isStale);
   }
 }
 
@@ -369,7 +374,7 @@
     return;
   }
   std::uniform_int_distribution<std::size_t> draw(0, addresses.size() - 1);
-  actions_.FetchNews(addresses[draw(random_)], view_.Versions());
+  actions_.FetchUpdate(addresses[draw(random_)], view_.Versions());
 }
 
 } // namespace latchslip
--- a/Libraries/LibFleet/FleetMember.h
+++ b/Libraries/LibFleet/FleetMember.h
@@ -5,10 +5,10 @@
 #include "LibFleet/FleetReport.h"
 #include "LibFleet/FleetView.h"
 #include "LibFleet/PlacerElection.h"
-#include "LibFleet/ReaderGuide.h"
-#include "LibFleet/RelayWatch.h"
+#include "LibFleet/PlacerMonitor.h"
+#include "LibFleet/ReaderPoller.h"
 #include "LibFleet/ServerSpeeds.h"
-#include "LibFleet/StartWait.h"
+#include "LibFleet/StartupDeadline.h"
 #include "LibKeys/OwnershipPlacer.h"
 #include "LibLimit/LimitKeeper.h"
 #include "LibLimit/LimitMember.h"
@@ -34,22 +34,22 @@
   virtual void Transact(const Transaction& aTransaction) = 0;
   // Changes how the store's tables are polled; aKnown holds the version of each table that this
   // instance has.
-  virtual void Follow(Following aHow, const TableVersions& aKnown) = 0;
+  virtual void Follow(StorePollMode aHow, const TableVersions& aKnown) = 0;
   // Sends a key command to a server; the result is passed to OnOrderEnded.
-  virtual void Order(const std::string& aService, const KeyOrder& aOrder) = 0;
+  virtual void SendCommand(const std::string& aService, const KeyOrder& aOrder) = 0;
   // Sends a report to the placer at aAddress; the result is passed to OnReportAnswered.
   virtual void SendReport(const std::string& aAddress, const InstanceReport& aReport) = 0;
   // Pushes an update to other instances along the branches of an update tree.
-  virtual void SendNews(const std::vector<NewsBranch>& aBranches, const FleetNews& aNews) = 0;
+  virtual void SendUpdate(const std::vector<UpdateBranch>& aBranches, const FleetUpdate& aNews) = 0;
   // Requests everything newer than aVersions from the instance at aAddress; the result is passed to
-  // OnNewsFetched.
-  virtual void FetchNews(const std::string& aAddress, const TableVersions& aVersions) = 0;
+  // OnUpdateFetched.
+  virtual void FetchUpdate(const std::string& aAddress, const TableVersions& aVersions) = 0;
   // Reads the version of the configuration from the store; the result is passed to
   // OnConfigurationRead.
   virtual void ReadConfigurationVersion() = 0;
   // Sends this instance's usage of the groups' limits to the limit coordinator; the result is
-  // passed to OnUsesAnswered.
-  virtual void SendUses(const std::string& aAddress, const UseReport& aReport) = 0;
+  // passed to OnUsageAnswered.
+  virtual void SendUsage(const std::string& aAddress, const UseReport& aReport) = 0;
 
   // A new configuration is in force.
   virtual void OnRoutes(std::shared_ptr<const RouteTable> aRoutes) = 0;
@@ -63,7 +63,7 @@
   virtual void OnInstances(const std::map<std::string, FleetPeer>& aPeers) = 0;
   // Called when the data becomes stale, which means that neither the store nor the placer can be
   // reached, and when it no longer is.
-  virtual void OnNewsStale(bool aIsStale) = 0;
+  virtual void OnStalenessChanged(bool aIsStale) = 0;
   // Returns and resets the counters of the work that aServer did for this instance.
   virtual ServerWork TakeWorkOf(const std::string& aServer) = 0;
 };
@@ -113,13 +113,13 @@
   void OnStoreRegained(Instant aNow);
   // Result of FleetActions::Transact. Transactions are sent one at a time.
   void OnTransactEnded(Instant aNow, const StoreReply& aReply);
-  // Result of FleetActions::Order.
+  // Result of FleetActions::SendCommand.
   void OnOrderEnded(Instant aNow,
                     const std::string& aService,
                     OrderNumber aOrder,
                     const OrderOutcome& aOutcome);
   // A response of that incarnation of a server announced that the server is about to shut down.
-  void OnToldLeaving(Instant aNow, const std::string& aServer, std::uint64_t aLife);
+  void OnServerReportedLeaving(Instant aNow, const std::string& aServer, std::uint64_t aLife);
   // Handles a report of another instance and returns the response to it.
   ReportAnswer OnReport(Instant aNow, const InstanceReport& aReport);
   // Result of FleetActions::SendReport; no value if no response arrived. aRoundTrip is the time
@@ -128,23 +128,23 @@
                         const std::optional<ReportAnswer>& aAnswer,
                         Duration aRoundTrip = Duration(0));
   // Returns everything newer than aVersions, for an instance that has those.
-  FleetNews NewsSince(Instant aNow, const TableVersions& aVersions) const;
+  FleetUpdate UpdateSince(Instant aNow, const TableVersions& aVersions) const;
   // Handles an update pushed by another instance.
-  void OnNews(Instant aNow, const FleetNews& aNews);
-  // Result of FleetActions::FetchNews; no value if no response arrived. aFrom is the address that
+  void OnUpdate(Instant aNow, const FleetUpdate& aNews);
+  // Result of FleetActions::FetchUpdate; no value if no response arrived. aFrom is the address that
   // was asked, aRoundTrip the time from the request to the response.
-  void OnNewsFetched(Instant aNow,
-                     const std::optional<FleetNews>& aNews,
-                     Duration aRoundTrip = Duration(0),
-                     const std::string& aFrom = {});
+  void OnUpdateFetched(Instant aNow,
+                       const std::optional<FleetUpdate>& aNews,
+                       Duration aRoundTrip = Duration(0),
+                       const std::string& aFrom = {});
   // Result of FleetActions::ReadConfigurationVersion; no value if the store did not answer.
   // aAskedAt is the time at which the read was sent.
   void OnConfigurationRead(Instant aNow, Instant aAskedAt, std::optional<RowVersion> aVersion);
   // Handles another instance's usage of the groups' limits and returns the admitted shares of those
   // groups. No value if this instance is not the placer, which is the limit coordinator.
-  std::optional<GroupParts> OnUses(Instant aNow, const UseReport& aReport);
-  // Result of FleetActions::SendUses; no value if no response arrived.
-  void OnUsesAnswered(Instant aNow, const std::optional<GroupParts>& aParts);
+  std::optional<GroupParts> OnUsage(Instant aNow, const UseReport& aReport);
+  // Result of FleetActions::SendUsage; no value if no response arrived.
+  void OnUsageAnswered(Instant aNow, const std::optional<GroupParts>& aParts);
   // Counts a request for a key of a keyed service, for the load reports.
   void CountKey(const std::string& aService, KeyNumber aKey);
   // Runs all periodic work; the caller calls it every few tens of milliseconds.
@@ -188,7 +188,7 @@
   // Applies the poll mode that HowToFollow returns.
   void ChooseFollowing(Instant aNow);
   // Decides how this instance polls the store at present.
-  Following HowToFollow(Instant aNow);
+  StorePollMode HowToFollow(Instant aNow);
   // Whether this instance polls the store for the configuration although the placer sends updates:
   // it is a reader, or the fleet is too small to have readers.
   bool IsReading(Instant aNow) const;
@@ -196,7 +196,7 @@
   bool IsReadFor() const;
   FleetPeer SelfAsPeer() const;
   // Pushes an update to the instances of this instance's data hall.
-  void TellHall(const FleetNews& aNews);
+  void TellHall(const FleetUpdate& aNews);
   // Requests updates from a reader while the placer cannot be relied on.
   void AskReaders(Instant aNow);
   // Reports a change of whether this instance's data is stale.
@@ -204,7 +204,7 @@
   // Requests updates from a random instance while the store is out of reach.
   void FetchFromPeers(Instant aNow);
 
-  // Freshness of the configuration; see the comment in ConfigurationDuty.cpp.
+  // Freshness of the configuration; see the comment in FleetMemberConfiguration.cpp.
 
   // Whether API keys are accepted only while the configuration is proven to be the latest.
   bool NeedsProofs() const;
@@ -222,12 +222,12 @@
   // Reports a change of the time until which API keys may be accepted.
   void NoteProof(Instant aNow);
 
-  // The groups' limits; see LimitDuty.cpp.
+  // The groups' limits; see FleetMemberLimits.cpp.
 
   void FollowLimits(Instant aNow);
   void StartKeeper(Instant aNow);
 
-  // The placer role; see PlacerDuty.cpp.
+  // The placer role; see FleetMemberPlacer.cpp.
 
   // Queues a write that makes this instance the placer.
   void Claim();
@@ -249,18 +249,18 @@
   // both directions.
   double SpeedOf(const ServerRecord& aServer, Duration aTypical) const;
   // Pushes an update to all instances.
-  void Spread(const FleetNews& aNews);
+  void Spread(const FleetUpdate& aNews);
   // Records an uncertain lease here and on all other instances.
-  void SpreadDoubt(Instant aNow, const HoldDoubt& aDoubt);
+  void SpreadDoubt(Instant aNow, const UncertainLease& aDoubt);
   // Records an uncertain lease. Every instance keeps them in case it becomes the placer, the
   // current placer included: it may lose its claim and make it again.
-  void NoteDoubt(Instant aNow, const HoldDoubt& aDoubt);
+  void NoteDoubt(Instant aNow, const UncertainLease& aDoubt);
   // Sends the tables to instances that reported that they have just started.
   void SpreadTables(Instant aNow);
   // Whether this instance may still send key commands as the placer.
   bool MayOrder(Instant aNow) const;
 
-  // Reports to the placer; see ReportDuty.cpp.
+  // Reports to the placer; see FleetMemberReports.cpp.
 
   // Returns this instance's report and resets the counters in it.
   InstanceReport TakeReport();
@@ -283,10 +283,10 @@
   FleetView view_;
   std::minstd_rand random_;
   PlacerElection election_;
-  RelayWatch relay_;
-  ReaderGuide guide_;
-  StartWait start_;
-  Following following_ = Following::Starting;
+  PlacerMonitor relay_;
+  ReaderPoller guide_;
+  StartupDeadline start_;
+  StorePollMode following_ = StorePollMode::Starting;
   std::map<std::string, std::unique_ptr<ServicePlacer>> placers_;
   std::vector<WaitingWrite> writes_;
   std::map<std::string, KeyCounter> counters_;
@@ -314,7 +314,7 @@
   std::set<std::string> lacking_;
   // How many other instances reported here when the store was last reachable.
   std::size_t othersWithStore_ = 0;
-  ConfigurationWatch configuration_;
+  ConfigurationFreshness configuration_;
   // The time last passed to OnApiKeysProven.
   Instant apiKeysUntil_ = Instant::min();
   bool areApiKeysProven_ = false;
--- a/Libraries/LibFleet/ConfigurationDuty.cpp
+++ b/Libraries/LibFleet/FleetMemberConfiguration.cpp
@@ -40,7 +40,8 @@
 bool
 FleetMember::AsksForProofs() const
 {
-  const bool isFollowing = following_ == Following::Alone || following_ == Following::Closely;
+  const bool isFollowing =
+    following_ == StorePollMode::LongWaits || following_ == StorePollMode::ShortWaits;
   return isFollowing && !isStoreLost_;
 }
 
@@ -117,7 +118,7 @@
       "proof_age_us=" +
         (provenAt == Instant::min() ? "-" : std::to_string((aNow - provenAt).count())) +
         " row_version=" + DescribeVersion(configuration_.Known()) +
-        " following=" + std::string(kFollowingNames.NameOf(following_)));
+        " following=" + std::string(kStorePollModeNames.NameOf(following_)));
   }
 }
 
--- a/Libraries/LibFleet/LimitDuty.cpp
+++ b/Libraries/LibFleet/FleetMemberLimits.cpp
@@ -11,8 +11,8 @@
 {
   if (!election_.IsPlacer()) {
     if (election_.Current() && limits_.IsTellDue(aNow)) {
-      actions_.SendUses(election_.Current()->address_,
-                        { settings_.self_.address_, limits_.TakeUses(aNow) });
+      actions_.SendUsage(election_.Current()->address_,
+                         { settings_.self_.address_, limits_.TakeUses(aNow) });
     }
     return;
   }
@@ -22,7 +22,7 @@
     keeper_.OnUses(aNow, uses);
     limits_.OnParts(aNow, keeper_.PartsOf(aNow, uses));
   }
-  FleetNews news;
+  FleetUpdate news;
   news.parts_ = keeper_.TakeShort(aNow);
   for (const auto& part : news.parts_) {
     events_.Record(Event::GroupOverLimit,
@@ -48,7 +48,7 @@
 }
 
 std::optional<GroupParts>
-FleetMember::OnUses(Instant aNow, const UseReport& aReport)
+FleetMember::OnUsage(Instant aNow, const UseReport& aReport)
 {
   if (!election_.IsPlacer()) {
     return std::nullopt;
@@ -59,7 +59,7 @@
 }
 
 void
-FleetMember::OnUsesAnswered(Instant aNow, const std::optional<GroupParts>& aParts)
+FleetMember::OnUsageAnswered(Instant aNow, const std::optional<GroupParts>& aParts)
 {
   if (aParts) {
     limits_.OnKeeperHeard(aNow);
--- a/Libraries/LibFleet/PlacerDuty.cpp
+++ b/Libraries/LibFleet/FleetMemberPlacer.cpp
@@ -155,7 +155,7 @@
     if (record.service_ != aService) {
       continue;
     }
-    if (const auto time = speeds_.WorkTimeOf(id, record.slots_)) {
+    if (const auto time = speeds_.ServiceTimeOf(id, record.slots_)) {
       known.push_back(*time);
     }
   }
@@ -170,7 +170,7 @@
 double
 FleetMember::SpeedOf(const ServerRecord& aServer, Duration aTypical) const
 {
-  const auto time = speeds_.WorkTimeOf(aServer.id_, aServer.slots_);
+  const auto time = speeds_.ServiceTimeOf(aServer.id_, aServer.slots_);
   if (!time) {
     return 1;
   }
@@ -288,7 +288,7 @@
     heardInstances_.try_emplace(address, HeardInstance{ aNow, peer.processorShare_ });
   }
   StartKeeper(aNow);
-  FleetNews news;
+  FleetUpdate news;
   news.placer_ = aRow;
   Spread(news);
   RunPlacers(aNow);
@@ -300,7 +300,7 @@
 FleetMember::OnOwnershipWritten(Instant aNow, RowVersion aVersion, const WaitingWrite& aWrite)
 {
   const auto& ownership = *aWrite.ownership_;
-  FleetNews news;
+  FleetUpdate news;
   // After a restore of the store, the other instances may have the owners as of other versions.
   const bool isFirstOfEpoch =
     aWrite.former_ && aWrite.former_->ownership_.epoch_ < ownership.epoch_;
@@ -345,22 +345,22 @@
 }
 
 void
-FleetMember::SpreadDoubt(Instant aNow, const HoldDoubt& aDoubt)
+FleetMember::SpreadDoubt(Instant aNow, const UncertainLease& aDoubt)
 {
   NoteDoubt(aNow, aDoubt);
-  FleetNews news;
+  FleetUpdate news;
   news.doubts_.push_back(aDoubt);
   Spread(news);
 }
 
 void
-FleetMember::Spread(const FleetNews& aNews)
+FleetMember::Spread(const FleetUpdate& aNews)
 {
   std::vector<FleetPeer> receivers;
   for (const auto& [address, peer] : roster_.Peers()) {
     receivers.push_back(peer);
   }
-  actions_.SendNews(PlanNewsTree(std::move(receivers), SelfAsPeer()), aNews);
+  actions_.SendUpdate(PlanUpdateTree(std::move(receivers), SelfAsPeer()), aNews);
 }
 
 void
@@ -383,7 +383,7 @@
     }
   }
   if (!receivers.empty()) {
-    actions_.SendNews(PlanNewsTree(std::move(receivers), SelfAsPeer()), view_.NewsSince({}));
+    actions_.SendUpdate(PlanUpdateTree(std::move(receivers), SelfAsPeer()), view_.UpdateSince({}));
   }
 }
 
--- a/Libraries/LibFleet/ReportDuty.cpp
+++ b/Libraries/LibFleet/FleetMemberReports.cpp
@@ -182,10 +182,10 @@
   // A placer that cannot reach the store is as good as any other while this instance cannot reach
   // it either; replacing it when the store returns would have no benefit.
   if (aAnswer && (aAnswer->isWorking_ || isStoreLost_)) {
-    election_.OnPlacerHeard(aNow);
+    election_.OnPlacerResponsive(aNow);
   }
   if (!aAnswer || !aAnswer->isWorking_) {
-    relay_.OnFailure(RelayEnd::NoAnswer);
+    relay_.OnFailure(PlacerFault::NoAnswer);
     if (!IsReady()) {
       nextReport_ = std::min(nextReport_, aNow + kStartReportInterval);
     }
@@ -195,7 +195,7 @@
   LearnInstances(aNow, *aAnswer);
   // In a large fleet the readers receive the changes that a slowed placer sends late.
   if (aRoundTrip > kSlowAnswer && !IsReadFor()) {
-    relay_.OnFailure(RelayEnd::SlowAnswer);
+    relay_.OnFailure(PlacerFault::SlowAnswer);
   } else {
     relay_.OnAnswer(aNow, aAnswer->lastChanges_, view_.Versions());
   }
@@ -211,7 +211,7 @@
     actions_.OnInstances(roster_.Peers());
   }
   if (aAnswer.strongestShare_ > 0) {
-    election_.SetWeakness(WeaknessBeside(settings_.processorShare_, aAnswer.strongestShare_));
+    election_.SetWeakness(CapacityDeficit(settings_.processorShare_, aAnswer.strongestShare_));
   }
 }
 
--- a/Libraries/LibFleet/FleetReport.cpp
+++ b/Libraries/LibFleet/FleetReport.cpp
@@ -1,7 +1,7 @@
 #include "LibFleet/FleetReport.h"
 
 #include "LibConfig/JsonReader.h"
-#include "LibFleet/FleetNews.h"
+#include "LibFleet/FleetUpdate.h"
 
 #include <charconv>
 
--- a/Libraries/LibFleet/FleetRoster.cpp
+++ b/Libraries/LibFleet/FleetRoster.cpp
@@ -144,7 +144,7 @@
 }
 
 std::vector<FleetPeer>
-FleetRoster::ReadersFrom(const std::string& aHall) const
+FleetRoster::ReadersByProximity(const std::string& aHall) const
 {
   std::vector<FleetPeer> readers;
   for (const auto& address : readers_) {
--- a/Libraries/LibFleet/FleetRoster.h
+++ b/Libraries/LibFleet/FleetRoster.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "LibFleet/NewsTree.h"
+#include "LibFleet/UpdateTree.h"
 
 #include <cstdint>
 #include <deque>
@@ -52,7 +52,7 @@
   // Whether the instance at that address is a reader.
   bool IsReader(const std::string& aAddress) const;
   // All readers, those of aHall first.
-  std::vector<FleetPeer> ReadersFrom(const std::string& aHall) const;
+  std::vector<FleetPeer> ReadersByProximity(const std::string& aHall) const;
 
 private:
   // An entry of the change log.
--- a/Libraries/LibFleet/FleetStore.h
+++ b/Libraries/LibFleet/FleetStore.h
@@ -24,22 +24,22 @@
 
 // How the store's tables are polled. All polls of changes are long polls: the store delays its
 // answer until there is a change, up to a bound.
-enum class Following
+enum class StorePollMode
 {
   // After startup: only the fleet table is read, which names the placer that will send the others.
   Starting,
   // No polling: other instances send all changes.
-  Told,
+  Off,
   // Only the configuration is polled; the placer sends all other changes.
-  Relayed,
+  ConfigurationOnly,
   // All tables are polled, with long waits.
-  Alone,
+  LongWaits,
   // All tables are polled, with short waits so that an outage is detected quickly: other instances
   // rely on this one, which is the placer, or a reader while there is no reliable placer.
-  Closely,
+  ShortWaits,
 };
 
-inline constexpr NameTable<Following, 5> kFollowingNames{
+inline constexpr NameTable<StorePollMode, 5> kStorePollModeNames{
   { "starting", "told", "relayed", "alone", "closely" }
 };
 
@@ -85,11 +85,11 @@
 
   virtual ~FleetStore() = default;
 
-  // Starts polling as Following::Starting.
+  // Starts polling as StorePollMode::Starting.
   virtual void Start(FleetStoreListener& aListener) = 0;
   // Changes how tables are polled. aKnown holds the versions that are known by now; tables that are
   // not known are read whole.
-  virtual void Follow(Following aHow, const TableVersions& aKnown) = 0;
+  virtual void Follow(StorePollMode aHow, const TableVersions& aKnown) = 0;
   virtual void Stop() = 0;
   // Conditionally writes rows of FleetTable::Fleet. After a conflict, the reply holds the current
   // rows of the conditions.
--- a/Libraries/LibFleet/FleetNews.cpp
+++ b/Libraries/LibFleet/FleetUpdate.cpp
@@ -1,4 +1,4 @@
-#include "LibFleet/FleetNews.h"
+#include "LibFleet/FleetUpdate.h"
 
 #include "LibConfig/JsonReader.h"
 #include "LibFleet/VersionReader.h"
@@ -67,11 +67,11 @@
   return view;
 }
 
-FieldResult<OwnershipNews>
+FieldResult<OwnershipUpdate>
 ParseOwners(const boost::json::value& aValue)
 {
   BOOST_OUTCOME_TRY(const auto reader, JsonReader::Create(aValue, "owners"));
-  OwnershipNews news;
+  OwnershipUpdate news;
   BOOST_OUTCOME_TRY(news.base_, ReadVersion(aValue.as_object(), "base"));
   BOOST_OUTCOME_TRY(news.version_, ReadVersion(aValue.as_object(), "version"));
   BOOST_OUTCOME_TRY(const auto text, reader.Text("ownership"));
@@ -82,7 +82,7 @@
 } // namespace
 
 std::string
-SerializeNews(const FleetNews& aNews)
+SerializeUpdate(const FleetUpdate& aNews)
 {
   boost::json::array views;
   for (const auto& view : aNews.views_) {
@@ -94,8 +94,9 @@
                                           { "version", news.version_ },
                                           { "ownership", SerializeOwnership(news.ownership_) } });
   }
-  boost::json::object document{ { "last_for_now", aNews.isLastForNow_ },
-                                { "store", kStoreSightNames.NameOf(aNews.sight_) },
+  boost::json::object document{ { "last_for_now", aNews.pausesUpdates_ },
+                                { "store",
+                                  kStoreReachabilityNames.NameOf(aNews.storeReachability_) },
                                 { "views", std::move(views) },
                                 { "owners", std::move(owners) } };
   if (!aNews.doubts_.empty()) {
@@ -115,19 +116,19 @@
   return boost::json::serialize(document);
 }
 
-FieldResult<FleetNews>
-ParseNews(std::string_view aText)
+FieldResult<FleetUpdate>
+ParseUpdate(std::string_view aText)
 {
   BOOST_OUTCOME_TRY(const auto value, ParseJson(aText, "news"));
   BOOST_OUTCOME_TRY(const auto reader, JsonReader::Create(value, ""));
-  FleetNews news;
-  BOOST_OUTCOME_TRY(news.isLastForNow_, reader.FlagOr("last_for_now", false));
+  FleetUpdate news;
+  BOOST_OUTCOME_TRY(news.pausesUpdates_, reader.FlagOr("last_for_now", false));
   BOOST_OUTCOME_TRY(const auto sight, reader.TextOr("store", "none"));
-  const auto known = kStoreSightNames.ValueOf(sight);
+  const auto known = kStoreReachabilityNames.ValueOf(sight);
   if (!known) {
     return FieldError{ "store", "must be none, lost or heard" };
   }
-  news.sight_ = *known;
+  news.storeReachability_ = *known;
   BOOST_OUTCOME_TRY(const auto* views, reader.List("views"));
   for (const auto& entry : *views) {
     BOOST_OUTCOME_TRY(auto view, ParseView(entry));
--- a/Libraries/LibFleet/FleetNews.h
+++ b/Libraries/LibFleet/FleetUpdate.h
@@ -17,7 +17,7 @@
 namespace latchslip {
 
 // The owners of one service's keys, or the changes of them.
-struct OwnershipNews
+struct OwnershipUpdate
 {
   // Version of the row that the changes apply to; 0 if ownership_ is complete.
   RowVersion base_ = 0;
@@ -27,39 +27,41 @@
 
 // An uncertain lease: a server may hold keys for that time from now, because a grant that it has
 // not acknowledged may still reach it.
-struct HoldDoubt
+struct UncertainLease
 {
   std::string server_;
   Duration holds_{ 0 };
 };
 
 // Whether the sender of an update reaches the store.
-enum class StoreSight
+enum class StoreReachability
 {
   // The sender doesn't poll the store; it receives updates from other instances.
-  None,
+  NotPolling,
   // The sender polls the store without success.
-  Lost,
+  Unreachable,
   // The sender polls the store, and the store answers.
-  Heard,
+  Reachable,
 };
 
-inline constexpr NameTable<StoreSight, 3> kStoreSightNames{ { "none", "lost", "heard" } };
+inline constexpr NameTable<StoreReachability, 3> kStoreReachabilityNames{
+  { "none", "lost", "heard" }
+};
 
 // An update: changes of the store's tables that one instance sends to another. Serialized as JSON.
-struct FleetNews
+struct FleetUpdate
 {
   // The sender is the placer and cannot reach the store: it sends no updates until it reaches the
   // store again.
-  bool isLastForNow_ = false;
+  bool pausesUpdates_ = false;
   // Set only in responses to a fetch.
-  StoreSight sight_ = StoreSight::None;
+  StoreReachability storeReachability_ = StoreReachability::NotPolling;
   // Changes of the configuration and of the server records.
   std::vector<TableView> views_;
   // The placer row, if it changed.
   std::optional<Row> placer_;
-  std::vector<OwnershipNews> owners_;
-  std::vector<HoldDoubt> doubts_;
+  std::vector<OwnershipUpdate> owners_;
+  std::vector<UncertainLease> doubts_;
   // Set only in responses to a fetch, whose receiver can tell how old it is on arrival.
   std::optional<ConfigurationProof> proof_;
   // Admitted shares of the groups that exceed their limits.
@@ -67,9 +69,9 @@
 };
 
 std::string
-SerializeNews(const FleetNews& aNews);
-FieldResult<FleetNews>
-ParseNews(std::string_view aText);
+SerializeUpdate(const FleetUpdate& aNews);
+FieldResult<FleetUpdate>
+ParseUpdate(std::string_view aText);
 
 std::string
 SerializeVersions(const TableVersions& aVersions);
--- a/Libraries/LibFleet/FleetView.cpp
+++ b/Libraries/LibFleet/FleetView.cpp
@@ -106,7 +106,7 @@
 }
 
 bool
-FleetView::Take(Instant aNow, const FleetNews& aNews, bool aOwnRowsOnly)
+FleetView::Take(Instant aNow, const FleetUpdate& aNews, bool aOwnRowsOnly)
 {
   bool isWhole = true;
   if (!aOwnRowsOnly) {
@@ -124,7 +124,7 @@
 }
 
 bool
-FleetView::TakeOwners(const OwnershipNews& aNews)
+FleetView::TakeOwners(const OwnershipUpdate& aNews)
 {
   const auto& service = aNews.ownership_.service_;
   const auto known = owners_.find(service);
@@ -301,10 +301,10 @@
   return row == nullptr ? 0 : row->version_;
 }
 
-FleetNews
-FleetView::NewsSince(const TableVersions& aVersions) const
+FleetUpdate
+FleetView::UpdateSince(const TableVersions& aVersions) const
 {
-  FleetNews news;
+  FleetUpdate news;
   for (const auto table : { FleetTable::Configuration, FleetTable::Servers }) {
     const auto index = static_cast<std::size_t>(table);
     const auto has = aVersions.at(index);
--- a/Libraries/LibFleet/FleetView.h
+++ b/Libraries/LibFleet/FleetView.h
@@ -2,7 +2,7 @@
 
 #include "LibBase/Event.h"
 #include "LibBase/NameTable.h"
-#include "LibFleet/FleetNews.h"
+#include "LibFleet/FleetUpdate.h"
 #include "LibFleet/PlacerElection.h"
 #include "LibFleet/RowMirror.h"
 #include "LibGateway/RoutingTable.h"
@@ -92,7 +92,7 @@
   bool Take(Instant aNow, const TableView& aView);
   // Applies an update of another instance; false if some changes in it begin after the known
   // version. With aOwnRowsOnly, only the fleet's own rows are applied.
-  bool Take(Instant aNow, const FleetNews& aNews, bool aOwnRowsOnly);
+  bool Take(Instant aNow, const FleetUpdate& aNews, bool aOwnRowsOnly);
   // Applies a row of the fleet table.
   void TakeFleetRow(Instant aNow, const Row& aRow);
   // Applies owners that this instance wrote, or received, as version aVersion of their row.
@@ -103,7 +103,7 @@
     return mirror_.Since(aTable, aVersion);
   }
   // All changes since aVersions.
-  FleetNews NewsSince(const TableVersions& aVersions) const;
+  FleetUpdate UpdateSince(const TableVersions& aVersions) const;
 
   // Version of the configuration's row in the store; 0 if there is none, or it could not be
   // decoded.
@@ -138,7 +138,7 @@
   FieldResult<ServerRecord> DecodeServer(const Row& aRow) const;
   void OnPlacerRow(Instant aNow, const Row& aRow);
   void OnOwnershipRow(const Row& aRow);
-  bool TakeOwners(const OwnershipNews& aNews);
+  bool TakeOwners(const OwnershipUpdate& aNews);
   // Detects that the store was restored, by the epoch of a version.
   void NoteEpoch(Instant aNow, RowVersion aVersion);
   void TakeFleetRows(Instant aNow, const TableView& aView);
--- a/Libraries/LibFleet/PlacerElection.cpp
+++ b/Libraries/LibFleet/PlacerElection.cpp
@@ -41,7 +41,7 @@
 }
 
 double
-WeaknessBeside(double aShare, double aStrongestShare)
+CapacityDeficit(double aShare, double aStrongestShare)
 {
   return 1 - std::min(1.0, aShare / aStrongestShare);
 }
@@ -73,7 +73,7 @@
 }
 
 void
-PlacerElection::OnPlacerHeard(Instant aNow)
+PlacerElection::OnPlacerResponsive(Instant aNow)
 {
   heardAt_ = aNow;
 }
--- a/Libraries/LibFleet/PlacerElection.h
+++ b/Libraries/LibFleet/PlacerElection.h
@@ -31,7 +31,7 @@
 // How much less processor an instance has than the largest one, from 0 for one that has as much to
 // 1 for one that has hardly any.
 double
-WeaknessBeside(double aShare, double aStrongestShare);
+CapacityDeficit(double aShare, double aStrongestShare);
 
 // Leader election: decides when this instance claims the placer role. The placer is the instance
 // named by the row in the store. Every write of a placer is conditional on the version of that row,
@@ -40,7 +40,7 @@
 {
 public:
   // aChance, 0 to 1, is this instance's jitter, so that instances do not all claim at the same
-  // moment. aWeakness, 0 to 1 as from WeaknessBeside, delays claims of instances with little
+  // moment. aWeakness, 0 to 1 as from CapacityDeficit, delays claims of instances with little
   // processor, so that larger ones claim first.
   PlacerElection(PlacerRow aSelf, double aChance, double aWeakness);
 
@@ -50,7 +50,7 @@
   // Sets the current row; no value if there is none.
   void OnRow(Instant aNow, std::optional<PlacerRow> aRow);
   // The placer answered a report and reaches the store.
-  void OnPlacerHeard(Instant aNow);
+  void OnPlacerResponsive(Instant aNow);
   // The write of a claim failed.
   void OnClaimFailed(Instant aNow);
 
--- a/Libraries/LibFleet/RelayWatch.cpp
+++ b/Libraries/LibFleet/PlacerMonitor.cpp
@@ -1,4 +1,4 @@
-#include "LibFleet/RelayWatch.h"
+#include "LibFleet/PlacerMonitor.h"
 
 #include "LibStore/StoreEpoch.h"
 
@@ -18,18 +18,20 @@
 } // namespace
 
 void
-RelayWatch::OnAnswer(Instant aNow, const TableVersions& aLastChanges, const TableVersions& aKnown)
+PlacerMonitor::OnAnswer(Instant aNow,
+                        const TableVersions& aLastChanges,
+                        const TableVersions& aKnown)
 {
   const bool wasRelayed = IsRelayed(aNow, aKnown);
   isAnswered_ = true;
-  end_ = RelayEnd::None;
+  end_ = PlacerFault::None;
   answeredAt_ = aNow;
   lastChanges_ = aLastChanges;
   isCatchingUp_ = wasRelayed && IsBehind(aKnown, aLastChanges);
 }
 
 void
-RelayWatch::OnFailure(RelayEnd aReason)
+PlacerMonitor::OnFailure(PlacerFault aReason)
 {
   end_ = aReason;
   isAnswered_ = false;
@@ -37,7 +39,7 @@
 }
 
 bool
-RelayWatch::IsRelayed(Instant aNow, const TableVersions& aKnown) const
+PlacerMonitor::IsRelayed(Instant aNow, const TableVersions& aKnown) const
 {
   if (!isAnswered_ || aNow - answeredAt_ >= kAnswerBound) {
     return false;
@@ -47,7 +49,7 @@
 }
 
 std::string
-RelayWatch::Describe(Instant aNow, const TableVersions& aKnown) const
+PlacerMonitor::Describe(Instant aNow, const TableVersions& aKnown) const
 {
   const auto list = [](const TableVersions& aVersions) {
     std::string text;
@@ -56,13 +58,13 @@
     }
     return text;
   };
-  return "relay_end=" + std::string(kRelayEndNames.NameOf(end_)) +
+  return "relay_end=" + std::string(kPlacerFaultNames.NameOf(end_)) +
          " answer_age_us=" + std::to_string((aNow - answeredAt_).count()) +
          " named=" + list(lastChanges_) + " known=" + list(aKnown);
 }
 
 bool
-RelayWatch::IsBehind(const TableVersions& aKnown, const TableVersions& aLastChanges)
+PlacerMonitor::IsBehind(const TableVersions& aKnown, const TableVersions& aLastChanges)
 {
   for (std::size_t index = 0; index < kFleetTables; ++index) {
     if (aKnown.at(index) < aLastChanges.at(index)) {
--- a/Libraries/LibFleet/RelayWatch.h
+++ b/Libraries/LibFleet/PlacerMonitor.h
@@ -9,7 +9,7 @@
 namespace latchslip {
 
 // Why the placer cannot be relied on for updates.
-enum class RelayEnd
+enum class PlacerFault
 {
   None,
   // The placer did not answer, is not the placer or cannot reach the store.
@@ -17,14 +17,14 @@
   // The placer's answer took too long.
   SlowAnswer,
   // The placer announced that it pauses its updates.
-  Announced,
+  UpdatesPaused,
   // Some of the placer's updates did not arrive.
-  NewsMissed,
+  UpdateMissed,
   // Another instance has become the placer.
   PlacerChanged,
 };
 
-inline constexpr NameTable<RelayEnd, 6> kRelayEndNames{
+inline constexpr NameTable<PlacerFault, 6> kPlacerFaultNames{
   { "none", "no-answer", "slow-answer", "announced", "news-missed", "placer-changed" }
 };
 
@@ -32,14 +32,14 @@
 // it need not poll the store. It can while the placer answers each report in time, reaches the
 // store, and has no later changes than this instance, or those may still be in transit. It does no
 // I/O.
-class RelayWatch
+class PlacerMonitor
 {
 public:
   // A timely answer of a placer that reaches the store; aLastChanges are the last changes that the
   // placer has, aKnown those of this instance.
   void OnAnswer(Instant aNow, const TableVersions& aLastChanges, const TableVersions& aKnown);
   // The placer cannot be relied on until its next timely answer.
-  void OnFailure(RelayEnd aReason);
+  void OnFailure(PlacerFault aReason);
 
   // Whether an instance with these versions can rely on the placer.
   bool IsRelayed(Instant aNow, const TableVersions& aKnown) const;
@@ -53,7 +53,7 @@
   static bool IsBehind(const TableVersions& aKnown, const TableVersions& aLastChanges);
 
   // The last fault, for the log; None while isAnswered_.
-  RelayEnd end_ = RelayEnd::NoAnswer;
+  PlacerFault end_ = PlacerFault::NoAnswer;
   // Whether the last report was answered by a placer that reaches the store.
   bool isAnswered_ = false;
   // Whether updates were missing at the last answer, though none were missing before it.
--- a/Libraries/LibFleet/ReaderGuide.cpp
+++ b/Libraries/LibFleet/ReaderPoller.cpp
@@ -1,4 +1,4 @@
-#include "LibFleet/ReaderGuide.h"
+#include "LibFleet/ReaderPoller.h"
 
 #include <algorithm>
 
@@ -24,7 +24,7 @@
 } // namespace
 
 void
-ReaderGuide::OnRelayEnded(Instant aNow)
+ReaderPoller::OnRelayEnded(Instant aNow)
 {
   if (isAsking_) {
     return;
@@ -38,17 +38,17 @@
 }
 
 void
-ReaderGuide::OnAnswer(Instant aNow, const std::string& aReader, StoreSight aSight)
+ReaderPoller::OnAnswer(Instant aNow, const std::string& aReader, StoreReachability aSight)
 {
-  const bool isHeard = aSight == StoreSight::Heard;
+  const bool isHeard = aSight == StoreReachability::Reachable;
   heard_ = isHeard ? aReader : std::string();
   if (isHeard) {
     inVain_.clear();
   } else {
     inVain_.insert(aReader);
   }
-  withoutStore_ = aSight == StoreSight::Lost ? withoutStore_ + 1 : 0;
-  if (aSight != StoreSight::None) {
+  withoutStore_ = aSight == StoreReachability::Unreachable ? withoutStore_ + 1 : 0;
+  if (aSight != StoreReachability::NotPolling) {
     guidedUntil_ = aNow + kAnswerBound;
   }
   if (!isHeard && withoutStore_ <= kMostWithoutStore) {
@@ -57,7 +57,7 @@
 }
 
 std::optional<std::string>
-ReaderGuide::Next(Instant aNow, const std::vector<FleetPeer>& aReaders, std::minstd_rand& aRandom)
+ReaderPoller::Next(Instant aNow, const std::vector<FleetPeer>& aReaders, std::minstd_rand& aRandom)
 {
   if (!IsDue(aNow) || aReaders.empty()) {
     return std::nullopt;
--- a/Libraries/LibFleet/ReaderGuide.h
+++ b/Libraries/LibFleet/ReaderPoller.h
@@ -1,8 +1,8 @@
 #pragma once
 
 #include "LibBase/Time.h"
-#include "LibFleet/FleetNews.h"
-#include "LibFleet/NewsTree.h"
+#include "LibFleet/FleetUpdate.h"
+#include "LibFleet/UpdateTree.h"
 
 #include <optional>
 #include <random>
@@ -16,7 +16,7 @@
 // decides whether that instance can do without polling the store itself. Without it all 295
 // instances of a fleet ask the store about three times a second at the moment when the placer, or
 // the store, is in trouble; with it two of each hall do. It does no I/O.
-class ReaderGuide
+class ReaderPoller
 {
 public:
   // The placer can be relied on again; polling ends.
@@ -25,7 +25,7 @@
   void OnRelayEnded(Instant aNow);
   // A reader answered with an update and whether it reaches the store; None also stands for a
   // request without an answer.
-  void OnAnswer(Instant aNow, const std::string& aReader, StoreSight aSight);
+  void OnAnswer(Instant aNow, const std::string& aReader, StoreReachability aSight);
 
   // Whether the readers can be relied on at present.
   bool IsGuided(Instant aNow) const { return isAsking_ && aNow < guidedUntil_; }
--- a/Libraries/LibFleet/ServerSpeeds.cpp
+++ b/Libraries/LibFleet/ServerSpeeds.cpp
@@ -48,7 +48,7 @@
 }
 
 std::optional<Duration>
-ServerSpeeds::WorkTimeOf(const std::string& aServer, unsigned aSlots) const
+ServerSpeeds::ServiceTimeOf(const std::string& aServer, unsigned aSlots) const
 {
   const auto found = servers_.find(aServer);
   if (found == servers_.end() || found->second.answers_ < kLeastAnswers) {
--- a/Libraries/LibFleet/ServerSpeeds.h
+++ b/Libraries/LibFleet/ServerSpeeds.h
@@ -21,7 +21,7 @@
   void Keep(const std::function<bool(const std::string&)>& aIsKept);
   // Service time of one request at a server with that many slots, without the wait for a slot; no
   // value if too few answers are known.
-  std::optional<Duration> WorkTimeOf(const std::string& aServer, unsigned aSlots) const;
+  std::optional<Duration> ServiceTimeOf(const std::string& aServer, unsigned aSlots) const;
   // Requests per second that the server accepts from all instances, as it last stated; kNoRateLimit
   // if it stated none.
   double RateLimitOf(Instant aNow, const std::string& aServer) const;
--- a/Libraries/LibFleet/ServicePlacer.h
+++ b/Libraries/LibFleet/ServicePlacer.h
@@ -16,7 +16,7 @@
   {
   }
 
-  void Order(const KeyOrder& aOrder) override { member_.actions_.Order(service_, aOrder); }
+  void Order(const KeyOrder& aOrder) override { member_.actions_.SendCommand(service_, aOrder); }
   std::optional<ServerLife> LifeOf(const std::string& aServer) const override
   {
     const auto& directory = member_.Directory();
--- a/Libraries/LibFleet/StartWait.cpp
+++ b/Libraries/LibFleet/StartupDeadline.cpp
@@ -1,4 +1,4 @@
-#include "LibFleet/StartWait.h"
+#include "LibFleet/StartupDeadline.h"
 
 #include <algorithm>
 
@@ -22,7 +22,7 @@
 } // namespace
 
 void
-StartWait::OnStart(Instant aNow)
+StartupDeadline::OnStart(Instant aNow)
 {
   if (!hasStarted_) {
     hasStarted_ = true;
@@ -31,7 +31,7 @@
 }
 
 void
-StartWait::OnFleetRead(Instant aNow, bool aHasPlacer)
+StartupDeadline::OnFleetRead(Instant aNow, bool aHasPlacer)
 {
   if (!isPlacerHeard_) {
     until_ = aNow + (aHasPlacer ? kPlacerTime : kFirstPlacerTime);
@@ -39,7 +39,7 @@
 }
 
 void
-StartWait::OnPlacerAnswered(Instant aNow)
+StartupDeadline::OnPlacerAnswered(Instant aNow)
 {
   if (!isPlacerHeard_) {
     isPlacerHeard_ = true;
--- a/Libraries/LibFleet/StartWait.h
+++ b/Libraries/LibFleet/StartupDeadline.h
@@ -7,7 +7,7 @@
 // How long a starting instance waits for the placer to send the store's tables before it reads them
 // from the store itself. When all 295 instances of a fleet started, reading alone cost 18 calls
 // each; with tables from the placer they make two or three. It does no I/O.
-class StartWait
+class StartupDeadline
 {
 public:
   // The instance has started; only the first call has an effect.
--- a/Libraries/LibFleet/SilentPeers.cpp
+++ b/Libraries/LibFleet/UnresponsivePeers.cpp
@@ -1,4 +1,4 @@
-#include "LibFleet/SilentPeers.h"
+#include "LibFleet/UnresponsivePeers.h"
 
 namespace latchslip {
 
@@ -11,7 +11,7 @@
 } // namespace
 
 void
-SilentPeers::OnSent(Instant aNow, const std::string& aAddress, bool aIsTaken)
+UnresponsivePeers::OnSent(Instant aNow, const std::string& aAddress, bool aIsTaken)
 {
   if (aIsTaken) {
     until_.erase(aAddress);
@@ -22,7 +22,7 @@
 }
 
 bool
-SilentPeers::IsSilent(Instant aNow, const std::string& aAddress) const
+UnresponsivePeers::IsUnresponsive(Instant aNow, const std::string& aAddress) const
 {
   const auto silent = until_.find(aAddress);
   return silent != until_.end() && aNow < silent->second;
--- a/Libraries/LibFleet/NewsTree.cpp
+++ b/Libraries/LibFleet/UpdateTree.cpp
@@ -1,4 +1,4 @@
-#include "LibFleet/NewsTree.h"
+#include "LibFleet/UpdateTree.h"
 
 #include <algorithm>
 #include <map>
@@ -38,13 +38,13 @@
   return aLeft.address_ < aRight.address_;
 }
 
-std::vector<NewsBranch>
-PlanNewsTree(std::vector<FleetPeer> aReceivers, const FleetPeer& aSelf)
+std::vector<UpdateBranch>
+PlanUpdateTree(std::vector<FleetPeer> aReceivers, const FleetPeer& aSelf)
 {
   std::erase_if(aReceivers,
                 [&](const FleetPeer& aPeer) { return aPeer.address_ == aSelf.address_; });
   std::sort(aReceivers.begin(), aReceivers.end(), StrongerFirst);
-  std::vector<NewsBranch> branches;
+  std::vector<UpdateBranch> branches;
   if (aReceivers.size() <= kFewReceivers) {
     for (const auto& peer : aReceivers) {
       branches.push_back({ peer.address_, {} });
@@ -58,7 +58,7 @@
   for (const auto& [hall, peers] : halls) {
     auto addresses = AddressesOf(peers);
     if (hall == aSelf.hall_) {
-      const auto own = SplitOnward(addresses);
+      const auto own = SplitForwarding(addresses);
       branches.insert(branches.end(), own.begin(), own.end());
       continue;
     }
@@ -67,22 +67,22 @@
   return branches;
 }
 
-std::vector<NewsBranch>
-SplitOnward(const std::vector<std::string>& aOnward)
+std::vector<UpdateBranch>
+SplitForwarding(const std::vector<std::string>& aOnward)
 {
-  std::vector<NewsBranch> branches;
+  std::vector<UpdateBranch> branches;
   for (std::size_t index = 0; index < aOnward.size(); ++index) {
     if (index < kFanOut) {
       branches.push_back({ aOnward[index], {} });
     } else {
-      branches[index % kFanOut].onward_.push_back(aOnward[index]);
+      branches[index % kFanOut].forwardTo_.push_back(aOnward[index]);
     }
   }
   return branches;
 }
 
 std::string
-EncodeNewsMessage(const std::vector<std::string>& aOnward, std::string_view aNews)
+EncodeUpdateMessage(const std::vector<std::string>& aOnward, std::string_view aNews)
 {
   std::string text;
   for (const auto& address : aOnward) {
@@ -96,19 +96,19 @@
   return text;
 }
 
-FieldResult<NewsMessage>
-DecodeNewsMessage(std::string_view aText)
+FieldResult<UpdateMessage>
+DecodeUpdateMessage(std::string_view aText)
 {
   const auto end = aText.find(kListEnd);
   if (end == std::string_view::npos) {
     return FieldError{ "news", "must begin with a line of addresses to forward it to" };
   }
-  NewsMessage message;
-  message.news_ = std::string(aText.substr(end + 1));
+  UpdateMessage message;
+  message.update_ = std::string(aText.substr(end + 1));
   auto list = aText.substr(0, end);
   while (!list.empty()) {
     const auto next = std::min(list.find(kSeparator), list.size());
-    message.onward_.emplace_back(list.substr(0, next));
+    message.forwardTo_.emplace_back(list.substr(0, next));
     list.remove_prefix(std::min(next + 1, list.size()));
   }
   return message;
--- a/Libraries/LibFleet/NewsTree.h
+++ b/Libraries/LibFleet/UpdateTree.h
@@ -28,37 +28,37 @@
 StrongerFirst(const FleetPeer& aLeft, const FleetPeer& aRight);
 
 // One message of an update tree: its receiver and the instances that the receiver forwards it to.
-struct NewsBranch
+struct UpdateBranch
 {
   std::string to_;
   // Addresses; the first ones forward the message in turn.
-  std::vector<std::string> onward_;
+  std::vector<std::string> forwardTo_;
 
-  bool operator==(const NewsBranch&) const = default;
+  bool operator==(const UpdateBranch&) const = default;
 };
 
 // Plans the distribution of an update from aSelf to aReceivers. Few receivers get it directly. In a
 // larger fleet one message is sent to each other hall and is forwarded within it, so that the
 // number of messages one instance sends, and the number that cross halls, do not grow with the
 // fleet. It does no I/O.
-std::vector<NewsBranch>
-PlanNewsTree(std::vector<FleetPeer> aReceivers, const FleetPeer& aSelf);
+std::vector<UpdateBranch>
+PlanUpdateTree(std::vector<FleetPeer> aReceivers, const FleetPeer& aSelf);
 
 // Plans how a receiver of an update forwards it. A sender whose message is not accepted by a
 // receiver sends it to the addresses in that receiver's branch itself.
-std::vector<NewsBranch>
-SplitOnward(const std::vector<std::string>& aOnward);
+std::vector<UpdateBranch>
+SplitForwarding(const std::vector<std::string>& aOnward);
 
 // An update in transit; the receiver can forward it without decoding it.
-struct NewsMessage
+struct UpdateMessage
 {
-  std::vector<std::string> onward_;
-  std::string news_;
+  std::vector<std::string> forwardTo_;
+  std::string update_;
 };
 
 std::string
-EncodeNewsMessage(const std::vector<std::string>& aOnward, std::string_view aNews);
-FieldResult<NewsMessage>
-DecodeNewsMessage(std::string_view aText);
+EncodeUpdateMessage(const std::vector<std::string>& aOnward, std::string_view aNews);
+FieldResult<UpdateMessage>
+DecodeUpdateMessage(std::string_view aText);
 
 } // namespace latchslip
--- a/Libraries/LibPermit/DispatcherRing.h
+++ b/Libraries/LibPermit/DispatcherRing.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "LibFleet/NewsTree.h"
+#include "LibFleet/UpdateTree.h"
 
 #include <map>
 #include <string>
--- a/Tests/LibFleet/FleetMemberFixture.h
+++ b/Tests/LibFleet/FleetMemberFixture.h
@@ -57,34 +57,37 @@
 {
 public:
   void Transact(const Transaction& aTransaction) override { transactions_.push_back(aTransaction); }
-  void Follow(Following aHow, const TableVersions& aKnown) override
+  void Follow(StorePollMode aHow, const TableVersions& aKnown) override
   {
     following_ = aHow;
     hasFollowed_ = true;
-    hasFollowedAlone_ = hasFollowedAlone_ || aHow == Following::Alone;
+    hasFollowedAlone_ = hasFollowedAlone_ || aHow == StorePollMode::LongWaits;
     followFrom_ = aKnown;
   }
-  void Order(const std::string&, const KeyOrder& aOrder) override { orders_.push_back(aOrder); }
+  void SendCommand(const std::string&, const KeyOrder& aOrder) override
+  {
+    orders_.push_back(aOrder);
+  }
   void SendReport(const std::string& aAddress, const InstanceReport& aReport) override
   {
     reports_.push_back(aAddress);
     lastReport_ = aReport;
   }
-  void SendNews(const std::vector<NewsBranch>& aBranches, const FleetNews& aNews) override
+  void SendUpdate(const std::vector<UpdateBranch>& aBranches, const FleetUpdate& aNews) override
   {
     for (const auto& branch : aBranches) {
       news_.emplace_back(branch.to_, aNews);
-      for (const auto& address : branch.onward_) {
+      for (const auto& address : branch.forwardTo_) {
         news_.emplace_back(address, aNews);
       }
     }
   }
-  void FetchNews(const std::string& aAddress, const TableVersions&) override
+  void FetchUpdate(const std::string& aAddress, const TableVersions&) override
   {
     fetches_.push_back(aAddress);
   }
   void ReadConfigurationVersion() override { ++configurationReads_; }
-  void SendUses(const std::string& aAddress, const UseReport& aReport) override
+  void SendUsage(const std::string& aAddress, const UseReport& aReport) override
   {
     uses_.emplace_back(aAddress, aReport);
   }
@@ -95,7 +98,7 @@
   }
   void OnDirectoryChanged() override { ++directoryChanges_; }
   void OnOwnership(const KeyOwnership& aOwnership) override { ownership_ = aOwnership; }
-  void OnNewsStale(bool aIsStale) override { isStale_ = aIsStale; }
+  void OnStalenessChanged(bool aIsStale) override { isStale_ = aIsStale; }
   void OnInstances(const std::map<std::string, FleetPeer>& aPeers) override
   {
     instances_ = aPeers.size();
@@ -103,14 +106,14 @@
   ServerWork TakeWorkOf(const std::string&) override { return { 1, milliseconds(20) }; }
 
   std::vector<Transaction> transactions_;
-  Following following_ = Following::Alone;
+  StorePollMode following_ = StorePollMode::LongWaits;
   TableVersions followFrom_{};
   std::vector<KeyOrder> orders_;
   std::vector<std::string> reports_;
   InstanceReport lastReport_;
   bool hasFollowed_ = false;
   bool hasFollowedAlone_ = false;
-  std::vector<std::pair<std::string, FleetNews>> news_;
+  std::vector<std::pair<std::string, FleetUpdate>> news_;
   std::vector<std::string> fetches_;
   int configurationReads_ = 0;
   std::vector<std::pair<std::string, UseReport>> uses_;
--- a/Tests/LibFleet/TestConfigurationProof.cpp
+++ b/Tests/LibFleet/TestConfigurationProof.cpp
@@ -13,7 +13,7 @@
 class WatchOfAConfiguration : public testing::Test
 {
 protected:
-  ConfigurationWatch watch_;
+  ConfigurationFreshness watch_;
 };
 
 TEST_F(WatchOfAConfiguration, NothingIsProven_NothingIsTold)
@@ -75,7 +75,7 @@
 protected:
   struct Instance
   {
-    ConfigurationWatch watch_;
+    ConfigurationFreshness watch_;
     Instant frozenUntil_ = Instant::min();
     bool reachesStore_ = true;
     bool reachesPeers_ = true;
@@ -326,9 +326,9 @@
 TEST_F(MemberWithApiKeys, NewsAreAskedFor_TheirProofCounts)
 {
   ShowTables();
-  FleetNews news;
+  FleetUpdate news;
   news.proof_ = ConfigurationProof{ 5, milliseconds(700) };
-  member_.OnNewsFetched(now_, news, milliseconds(20));
+  member_.OnUpdateFetched(now_, news, milliseconds(20));
   EXPECT_TRUE(member_.IsServing(now_));
   EXPECT_EQ(*fleet_.apiKeysUntil_, now_ - milliseconds(720) + Scale(kBound, 0.95));
 }
@@ -349,9 +349,9 @@
 {
   ShowTables();
   ShowPlacer();
-  FleetNews news;
+  FleetUpdate news;
   news.parts_ = { { "g", 0, 0 } };
-  member_.OnNews(now_, news);
+  member_.OnUpdate(now_, news);
   EXPECT_FALSE(member_.Gate().TryPass(now_, { "g", {}, 0, 10, 10 }, false));
 }
 
@@ -359,15 +359,15 @@
 {
   ShowTables();
   ShowPlacer();
-  EXPECT_FALSE(member_.OnUses(now_, { kOther, { { "g", 1, 0, 1 } } }));
+  EXPECT_FALSE(member_.OnUsage(now_, { kOther, { { "g", 1, 0, 1 } } }));
 }
 
-TEST(FleetNews, WithProofAndParts_WrittenAndReadIsTheSame)
+TEST(FleetUpdate, WithProofAndParts_WrittenAndReadIsTheSame)
 {
-  FleetNews news;
+  FleetUpdate news;
   news.proof_ = ConfigurationProof{ VersionIn(2, 77), milliseconds(321) };
   news.parts_ = { { "g", 0.5, 0.25 } };
-  const auto read = ParseNews(SerializeNews(news)).value();
+  const auto read = ParseUpdate(SerializeUpdate(news)).value();
   EXPECT_EQ(read.proof_, news.proof_);
   EXPECT_EQ(read.parts_, news.parts_);
   ReportAnswer answer;
@@ -375,11 +375,11 @@
   EXPECT_EQ(ParseReportAnswer(SerializeReportAnswer(answer)).value().proof_, news.proof_);
 }
 
-TEST(FleetNews, ProofWithoutAge_IsNeverFresh)
+TEST(FleetUpdate, ProofWithoutAge_IsNeverFresh)
 {
-  auto text = SerializeNews({});
+  auto text = SerializeUpdate({});
   text.insert(1, R"("proof":{"version":5},)");
-  EXPECT_GT(ParseNews(text).value().proof_->age_, seconds(1000000));
+  EXPECT_GT(ParseUpdate(text).value().proof_->age_, seconds(1000000));
 }
 
 } // namespace
--- a/Tests/LibFleet/TestFleetMember.cpp
+++ b/Tests/LibFleet/TestFleetMember.cpp
@@ -37,14 +37,14 @@
 TEST_F(MemberOfAFleet, AnswersSayThatAServerLeaves_IsLoggedOnceALife)
 {
   Show(FleetTable::Servers, 6, { { "s1", 6, "100" } });
-  member_.OnToldLeaving(now_, "s1", 100);
-  member_.OnToldLeaving(now_, "s1", 100);
-  member_.OnToldLeaving(now_, "unlisted", 0);
+  member_.OnServerReportedLeaving(now_, "s1", 100);
+  member_.OnServerReportedLeaving(now_, "s1", 100);
+  member_.OnServerReportedLeaving(now_, "unlisted", 0);
   EXPECT_EQ(events_.CountOf(Event::ServerToldLeaving), 1);
   Show(FleetTable::Servers, 9, { { "s1", 9, "200" } });
-  member_.OnToldLeaving(now_, "s1", 100);
+  member_.OnServerReportedLeaving(now_, "s1", 100);
   EXPECT_EQ(events_.CountOf(Event::ServerToldLeaving), 1);
-  member_.OnToldLeaving(now_, "s1", 200);
+  member_.OnServerReportedLeaving(now_, "s1", 200);
   EXPECT_EQ(events_.CountOf(Event::ServerToldLeaving), 2);
 }
 
@@ -56,7 +56,7 @@
   ASSERT_EQ(fleet_.transactions_.size(), 2U);
   Done(11);
   const auto changes = fleet_.directoryChanges_;
-  member_.OnToldLeaving(now_, "s1", 0);
+  member_.OnServerReportedLeaving(now_, "s1", 0);
   EXPECT_EQ(fleet_.directoryChanges_, changes + 1);
   Pass(seconds(1));
   ASSERT_EQ(fleet_.transactions_.size(), 3U);
@@ -169,7 +169,7 @@
 {
   BecomePlacer();
   Pass(seconds(3));
-  EXPECT_EQ(fleet_.following_, Following::Closely);
+  EXPECT_EQ(fleet_.following_, StorePollMode::ShortWaits);
   ASSERT_EQ(fleet_.transactions_.size(), 2U);
   EXPECT_TRUE(fleet_.orders_.empty());
   EXPECT_EQ(fleet_.transactions_[1].conditions_,
@@ -223,7 +223,7 @@
   BecomePlacer();
   member_.OnReport(now_, ReportOf("i2", kOther));
   member_.OnStoreLost(now_);
-  EXPECT_TRUE(fleet_.news_.back().second.isLastForNow_);
+  EXPECT_TRUE(fleet_.news_.back().second.pausesUpdates_);
   EXPECT_FALSE(member_.OnReport(now_, ReportOf("i2", kOther)).isWorking_);
 }
 
@@ -233,9 +233,9 @@
   Pass(seconds(3));
   Done(11);
   Pass(milliseconds(100));
-  FleetNews news;
+  FleetUpdate news;
   news.placer_ = Row{ "placer", 30, Placer("i2", kOther) };
-  member_.OnNews(now_, news);
+  member_.OnUpdate(now_, news);
   const auto orders = fleet_.orders_.size();
   Pass(seconds(10));
   EXPECT_FALSE(member_.IsPlacer());
@@ -291,9 +291,9 @@
   BecomePlacer();
   Pass(seconds(3));
   ASSERT_EQ(fleet_.transactions_.size(), 2U);
-  FleetNews news;
+  FleetUpdate news;
   news.placer_ = Row{ "placer", 30, Placer("i2", kOther) };
-  member_.OnNews(now_, news);
+  member_.OnUpdate(now_, news);
   Pass(seconds(4));
   // The other placer is silent, but no claim is sent before the result of the pending write.
   EXPECT_EQ(fleet_.transactions_.size(), 2U);
@@ -322,7 +322,7 @@
   ShowTables();
   Show(FleetTable::Fleet, 7, { { "placer", 7, Placer("i2", kOther) } });
   AnswerReports(seconds(2), { 5, 6, 7 });
-  EXPECT_EQ(fleet_.following_, Following::Relayed);
+  EXPECT_EQ(fleet_.following_, StorePollMode::ConfigurationOnly);
   EXPECT_EQ(fleet_.instances_, 2U);
 }
 
@@ -331,7 +331,7 @@
   ShowTables();
   Show(FleetTable::Fleet, 7, { { "placer", 7, Placer("i2", kOther) } });
   AnswerReports(seconds(2), { 5, 9, 7 });
-  EXPECT_EQ(fleet_.following_, Following::Alone);
+  EXPECT_EQ(fleet_.following_, StorePollMode::LongWaits);
 }
 
 TEST_F(MemberOfAFleet, ConfigurationChangesAndIsNotHeardOf_StoreIsAskedForIt)
@@ -339,10 +339,10 @@
   ShowTables();
   Show(FleetTable::Fleet, 7, { { "placer", 7, Placer("i2", kOther) } });
   AnswerReports(seconds(2), { 5, 6, 7 });
-  ASSERT_EQ(fleet_.following_, Following::Relayed);
+  ASSERT_EQ(fleet_.following_, StorePollMode::ConfigurationOnly);
   member_.OnReportAnswered(now_, ReportAnswer{ true, kBoth, { 30, 6, 7 } });
   Pass(milliseconds(600));
-  EXPECT_EQ(fleet_.following_, Following::Alone);
+  EXPECT_EQ(fleet_.following_, StorePollMode::LongWaits);
   EXPECT_EQ(fleet_.followFrom_, (TableVersions{ 5, 6, 7 }));
 }
 
@@ -363,7 +363,7 @@
   AnswerReports(seconds(2), { 5, 6, 7 });
   member_.OnReportAnswered(now_, std::nullopt);
   Pass(milliseconds(50));
-  EXPECT_EQ(fleet_.following_, Following::Alone);
+  EXPECT_EQ(fleet_.following_, StorePollMode::LongWaits);
   EXPECT_EQ(fleet_.followFrom_, (TableVersions{ 5, 6, 7 }));
   Pass(seconds(3));
   EXPECT_EQ(fleet_.transactions_.size(), 1U);
@@ -428,12 +428,12 @@
   ShowTables();
   Show(FleetTable::Fleet, 7, { { "placer", 7, Placer("i2", kOther) } });
   AnswerReports(seconds(2), { 5, 6, 7 });
-  ASSERT_EQ(fleet_.following_, Following::Relayed);
+  ASSERT_EQ(fleet_.following_, StorePollMode::ConfigurationOnly);
   for (int round = 0; round < 100; ++round) {
     Pass(milliseconds(50));
     member_.OnReportAnswered(now_, ReportAnswer{ true, kBoth, { 5, 6, 7 } }, milliseconds(250));
   }
-  EXPECT_EQ(fleet_.following_, Following::Alone);
+  EXPECT_EQ(fleet_.following_, StorePollMode::LongWaits);
   EXPECT_TRUE(fleet_.transactions_.empty());
 }
 
@@ -442,10 +442,10 @@
   ShowTables();
   Show(FleetTable::Fleet, 7, { { "placer", 7, Placer("i2", kOther) } });
   AnswerReports(seconds(2), { 5, 6, 7 });
-  FleetNews news;
-  news.isLastForNow_ = true;
-  member_.OnNews(now_, news);
-  EXPECT_EQ(fleet_.following_, Following::Alone);
+  FleetUpdate news;
+  news.pausesUpdates_ = true;
+  member_.OnUpdate(now_, news);
+  EXPECT_EQ(fleet_.following_, StorePollMode::LongWaits);
 }
 
 TEST_F(MemberOfAFleet, NewsBeginLaterThanWhatIsKnown_StoreIsFollowed)
@@ -453,10 +453,10 @@
   ShowTables();
   Show(FleetTable::Fleet, 7, { { "placer", 7, Placer("i2", kOther) } });
   AnswerReports(seconds(2), { 5, 6, 7 });
-  FleetNews news;
+  FleetUpdate news;
   news.views_.push_back({ FleetTable::Servers, 20, false, 15, {} });
-  member_.OnNews(now_, news);
-  EXPECT_EQ(fleet_.following_, Following::Alone);
+  member_.OnUpdate(now_, news);
+  EXPECT_EQ(fleet_.following_, StorePollMode::LongWaits);
 }
 
 TEST_F(MemberOfAFleet, HasJustStarted_OnlyTheFleetsRowsAreReadUntilThePlacerTells)
@@ -468,21 +468,21 @@
   member_.OnReportAnswered(now_, ReportAnswer{ true, kBoth, { 5, 6, 7 } });
   Pass(milliseconds(1000));
   EXPECT_FALSE(fleet_.hasFollowed_);
-  FleetNews news;
+  FleetUpdate news;
   news.views_.push_back(
     { FleetTable::Configuration, 5, true, 0, { { { "config", 5, "1" }, false } } });
   news.views_.push_back({ FleetTable::Servers, 6, true, 0, { { { "s1", 2, "ready" }, false } } });
-  member_.OnNews(now_, news);
+  member_.OnUpdate(now_, news);
   member_.OnReportAnswered(now_, ReportAnswer{ true, kBoth, { 5, 6, 7 } });
   Pass(milliseconds(50));
   EXPECT_TRUE(member_.IsReady());
-  EXPECT_EQ(fleet_.following_, Following::Told);
+  EXPECT_EQ(fleet_.following_, StorePollMode::Off);
 }
 
 TEST_F(MemberOfAFleet, HasJustStartedInASmallFleet_TablesAreReadAtOnce)
 {
   Show(FleetTable::Fleet, 8, { { "placer", 7, Placer("i2", kOther) }, { "size", 8, "small" } });
-  EXPECT_EQ(fleet_.following_, Following::Alone);
+  EXPECT_EQ(fleet_.following_, StorePollMode::LongWaits);
   EXPECT_TRUE(fleet_.hasFollowed_);
 }
 
@@ -519,7 +519,7 @@
   Pass(milliseconds(350));
   EXPECT_FALSE(fleet_.hasFollowed_);
   Pass(milliseconds(100));
-  EXPECT_EQ(fleet_.following_, Following::Alone);
+  EXPECT_EQ(fleet_.following_, StorePollMode::LongWaits);
 }
 
 TEST_F(MemberOfAFleet, HasJustStartedAndItsPlacerIsNotOneYet_ItIsAskedAgainSoon)
@@ -556,7 +556,7 @@
   Done(10);
   EXPECT_TRUE(member_.IsPlacer());
   Pass(milliseconds(50));
-  EXPECT_EQ(fleet_.following_, Following::Closely);
+  EXPECT_EQ(fleet_.following_, StorePollMode::ShortWaits);
 }
 
 TEST_F(MemberOfAFleet, StartsWithoutTheStore_LearnsFromASeed)
@@ -564,12 +564,12 @@
   member_.OnStoreLost(now_);
   Pass(milliseconds(100));
   EXPECT_EQ(fleet_.fetches_, std::vector<std::string>{ "10.0.0.3:9" });
-  FleetNews news;
+  FleetUpdate news;
   news.views_.push_back(
     { FleetTable::Configuration, 5, true, 0, { { { "config", 5, "1" }, false } } });
   news.views_.push_back({ FleetTable::Servers, 6, true, 0, { { { "s1", 2, "ready" }, false } } });
   news.placer_ = Row{ "placer", 7, Placer("i2", kOther) };
-  member_.OnNews(now_, news);
+  member_.OnUpdate(now_, news);
   EXPECT_TRUE(member_.IsReady());
   EXPECT_NE(member_.Directory().Find("s1"), nullptr);
 }
--- a/Tests/LibFleet/TestFleetParts.cpp
+++ b/Tests/LibFleet/TestFleetParts.cpp
@@ -1,7 +1,7 @@
-#include "LibFleet/FleetNews.h"
 #include "LibFleet/FleetReport.h"
+#include "LibFleet/FleetUpdate.h"
 #include "LibFleet/PlacerElection.h"
-#include "LibFleet/RelayWatch.h"
+#include "LibFleet/PlacerMonitor.h"
 #include "LibFleet/RowMirror.h"
 
 #include <gtest/gtest.h>
@@ -162,14 +162,14 @@
 TEST_F(ElectionOfTwo, PlacerAnswers_IsLeftAlone)
 {
   election_.OnRow(kNow, other_);
-  election_.OnPlacerHeard(kNow + seconds(5));
+  election_.OnPlacerResponsive(kNow + seconds(5));
   EXPECT_FALSE(election_.ShouldClaim(kNow + seconds(6)));
 }
 
 TEST_F(ElectionOfTwo, PlacerFallsSilent_ClaimsAfterTheLimit)
 {
   election_.OnRow(kNow, other_);
-  election_.OnPlacerHeard(kNow + seconds(5));
+  election_.OnPlacerResponsive(kNow + seconds(5));
   EXPECT_TRUE(election_.ShouldClaim(kNow + milliseconds(7100)));
 }
 
@@ -188,26 +188,26 @@
   EXPECT_FALSE(election_.ShouldClaim(kNow + seconds(60)));
 }
 
-TEST(RelayWatch, PlacerAnswersAndKnowsNoMore_IsRelayedUntilItFallsSilent)
+TEST(PlacerMonitor, PlacerAnswersAndKnowsNoMore_IsRelayedUntilItFallsSilent)
 {
-  RelayWatch watch;
+  PlacerMonitor watch;
   EXPECT_FALSE(watch.IsRelayed(kNow, { 5, 5, 5 }));
   watch.OnAnswer(kNow, { 5, 5, 5 }, { 5, 6, 5 });
   EXPECT_TRUE(watch.IsRelayed(kNow + seconds(1), { 5, 6, 5 }));
   EXPECT_FALSE(watch.IsRelayed(kNow + seconds(2), { 5, 6, 5 }));
 }
 
-TEST(RelayWatch, PlacerKnowsMore_IsNotRelayedBeforeItIsCaughtUp)
+TEST(PlacerMonitor, PlacerKnowsMore_IsNotRelayedBeforeItIsCaughtUp)
 {
-  RelayWatch watch;
+  PlacerMonitor watch;
   watch.OnAnswer(kNow, { 5, 7, 5 }, { 5, 6, 5 });
   EXPECT_FALSE(watch.IsRelayed(kNow, { 5, 6, 5 }));
   EXPECT_TRUE(watch.IsRelayed(kNow, { 5, 7, 5 }));
 }
 
-TEST(RelayWatch, AnswerOvertakesNews_IsRelayedWhileTheyMayStillCome)
+TEST(PlacerMonitor, AnswerOvertakesNews_IsRelayedWhileTheyMayStillCome)
 {
-  RelayWatch watch;
+  PlacerMonitor watch;
   watch.OnAnswer(kNow, { 5, 6, 5 }, { 5, 6, 5 });
   watch.OnAnswer(kNow + seconds(1), { 5, 9, 5 }, { 5, 6, 5 });
   EXPECT_TRUE(watch.IsRelayed(kNow + milliseconds(1300), { 5, 6, 5 }));
@@ -215,25 +215,25 @@
   EXPECT_TRUE(watch.IsRelayed(kNow + milliseconds(1500), { 5, 9, 5 }));
 }
 
-TEST(RelayWatch, ReportFails_IsNotRelayedAnyMore)
+TEST(PlacerMonitor, ReportFails_IsNotRelayedAnyMore)
 {
-  RelayWatch watch;
+  PlacerMonitor watch;
   watch.OnAnswer(kNow, { 5, 5, 5 }, { 5, 5, 5 });
-  watch.OnFailure(RelayEnd::NoAnswer);
+  watch.OnFailure(PlacerFault::NoAnswer);
   EXPECT_FALSE(watch.IsRelayed(kNow, { 5, 5, 5 }));
 }
 
-TEST(FleetNews, WrittenAndRead_IsTheSame)
+TEST(FleetUpdate, WrittenAndRead_IsTheSame)
 {
-  FleetNews news;
-  news.isLastForNow_ = true;
+  FleetUpdate news;
+  news.pausesUpdates_ = true;
   news.views_.push_back(
     MakeView(12, false, 10, { { { "a", 11, "va\"lue" }, false }, { { "b", 12, "" }, true } }));
   news.placer_ = Row{ "placer", 3, "{}" };
   news.owners_.push_back({ 4, 9, { "rates", 2, { { 0, 9, "s1", 2, "s2" } } } });
   news.doubts_.push_back({ "s1", seconds(17) });
-  const auto read = ParseNews(SerializeNews(news)).value();
-  EXPECT_TRUE(read.isLastForNow_);
+  const auto read = ParseUpdate(SerializeUpdate(news)).value();
+  EXPECT_TRUE(read.pausesUpdates_);
   ASSERT_EQ(read.views_.size(), 1U);
   EXPECT_EQ(read.views_[0].base_, 10U);
   EXPECT_EQ(read.views_[0].rows_[0].row_.value_, "va\"lue");
@@ -244,10 +244,10 @@
   EXPECT_EQ(read.doubts_[0].holds_, seconds(17));
 }
 
-TEST(FleetNews, Malformed_IsRefused)
+TEST(FleetUpdate, Malformed_IsRefused)
 {
-  EXPECT_FALSE(ParseNews("{"));
-  EXPECT_FALSE(ParseNews(R"({"views":[{"table":"nothing","rows":[]}],"owners":[]})"));
+  EXPECT_FALSE(ParseUpdate("{"));
+  EXPECT_FALSE(ParseUpdate(R"({"views":[{"table":"nothing","rows":[]}],"owners":[]})"));
   EXPECT_FALSE(ParseVersions(R"({"versions":[1,2]})"));
   EXPECT_FALSE(ParseVersions(R"({"versions":[1,2,"x"]})"));
 }
--- a/Tests/LibFleet/TestFleetRoster.cpp
+++ b/Tests/LibFleet/TestFleetRoster.cpp
@@ -79,9 +79,9 @@
 
 TEST_F(RosterOfALargeFleet, ReadersAreChosen_AllAgreeOnTwoStrongOnesAHall)
 {
-  const auto readers = placers_.ReadersFrom("hall-2");
+  const auto readers = placers_.ReadersByProximity("hall-2");
   ASSERT_EQ(readers.size(), 10U);
-  EXPECT_EQ(readers, others_.ReadersFrom("hall-2"));
+  EXPECT_EQ(readers, others_.ReadersByProximity("hall-2"));
   EXPECT_EQ(readers[0].hall_, "hall-2");
   EXPECT_EQ(readers[1].hall_, "hall-2");
   for (const auto& reader : readers) {
@@ -92,9 +92,9 @@
 
 TEST_F(RosterOfALargeFleet, ReaderLeaves_AnotherOfItsHallTakesItsPlace)
 {
-  const auto reader = placers_.ReadersFrom("hall-2").front();
+  const auto reader = placers_.ReadersByProximity("hall-2").front();
   placers_.Remove(reader.address_);
-  const auto readers = placers_.ReadersFrom("hall-2");
+  const auto readers = placers_.ReadersByProximity("hall-2");
   EXPECT_EQ(readers.size(), 10U);
   EXPECT_EQ(readers[1].hall_, "hall-2");
   EXPECT_FALSE(placers_.IsReader(reader.address_));
@@ -107,7 +107,7 @@
     roster.Put(PeerOf(number));
   }
   EXPECT_FALSE(roster.HasReaders());
-  EXPECT_TRUE(roster.ReadersFrom("hall-1").empty());
+  EXPECT_TRUE(roster.ReadersByProximity("hall-1").empty());
 }
 
 } // namespace
--- a/Tests/LibFleet/TestLargeFleetMember.cpp
+++ b/Tests/LibFleet/TestLargeFleetMember.cpp
@@ -43,16 +43,16 @@
   }
 
   // Answers every fetch within aTime with that reachability of the store.
-  void AnswerFetches(Duration aTime, StoreSight aSight)
+  void AnswerFetches(Duration aTime, StoreReachability aSight)
   {
-    FleetNews news;
-    news.sight_ = aSight;
+    FleetUpdate news;
+    news.storeReachability_ = aSight;
     const auto end = now_ + aTime;
     while (now_ < end) {
       const auto asked = fleet_.fetches_.size();
       Pass(milliseconds(50));
       if (fleet_.fetches_.size() > asked) {
-        member_.OnNewsFetched(now_, news);
+        member_.OnUpdateFetched(now_, news);
       }
     }
   }
@@ -71,7 +71,7 @@
 
 TEST_F(MemberOfALargeFleet, PlacerTellsWhatChanges_StoreIsAskedForNothing)
 {
-  EXPECT_EQ(fleet_.following_, Following::Told);
+  EXPECT_EQ(fleet_.following_, StorePollMode::Off);
 }
 
 TEST_F(MemberOfALargeFleet, PlacerAnswersSlowly_ReadersSeeToTheStore)
@@ -80,14 +80,14 @@
     Pass(milliseconds(500));
     member_.OnReportAnswered(now_, ReportAnswer{ true, {}, { 5, 6, 7 } }, milliseconds(250));
   }
-  EXPECT_EQ(fleet_.following_, Following::Told);
+  EXPECT_EQ(fleet_.following_, StorePollMode::Off);
 }
 
 TEST_F(MemberOfALargeFleet, PlacerFallsSilentAndReadersAnswer_StoreIsAskedForNothing)
 {
   member_.OnReportAnswered(now_, std::nullopt);
-  AnswerFetches(milliseconds(1500), StoreSight::Heard);
-  EXPECT_EQ(fleet_.following_, Following::Told);
+  AnswerFetches(milliseconds(1500), StoreReachability::Reachable);
+  EXPECT_EQ(fleet_.following_, StorePollMode::Off);
   ASSERT_GE(fleet_.fetches_.size(), 3U);
   for (const auto& address : fleet_.fetches_) {
     EXPECT_TRUE(address == AddressOf(0) || address == AddressOf(2)) << address;
@@ -98,36 +98,37 @@
 {
   member_.OnReportAnswered(now_, std::nullopt);
   Pass(milliseconds(600));
-  EXPECT_EQ(fleet_.following_, Following::Told);
+  EXPECT_EQ(fleet_.following_, StorePollMode::Off);
   Pass(milliseconds(200));
-  EXPECT_EQ(fleet_.following_, Following::Alone);
+  EXPECT_EQ(fleet_.following_, StorePollMode::LongWaits);
   EXPECT_EQ(fleet_.followFrom_, (TableVersions{ 5, 6, 7 }));
 }
 
 TEST_F(MemberOfALargeFleet, StoreIsAwayFromAll_NobodyButReadersAsksIt)
 {
-  FleetNews news;
-  news.isLastForNow_ = true;
-  member_.OnNews(now_, news);
-  AnswerFetches(seconds(5), StoreSight::Lost);
-  EXPECT_EQ(fleet_.following_, Following::Told);
+  FleetUpdate news;
+  news.pausesUpdates_ = true;
+  member_.OnUpdate(now_, news);
+  AnswerFetches(seconds(5), StoreReachability::Unreachable);
+  EXPECT_EQ(fleet_.following_, StorePollMode::Off);
   EXPECT_TRUE(fleet_.transactions_.empty());
   EXPECT_TRUE(fleet_.isStale_);
-  AnswerFetches(milliseconds(600), StoreSight::Heard);
+  AnswerFetches(milliseconds(600), StoreReachability::Reachable);
   EXPECT_FALSE(fleet_.isStale_);
 }
 
 TEST_F(MemberOfALargeFleet, AskedOneIsToldByOthersItself_ItsWordIsNotRelied)
 {
   member_.OnReportAnswered(now_, std::nullopt);
-  AnswerFetches(milliseconds(800), StoreSight::None);
-  EXPECT_EQ(fleet_.following_, Following::Alone);
+  AnswerFetches(milliseconds(800), StoreReachability::NotPolling);
+  EXPECT_EQ(fleet_.following_, StorePollMode::LongWaits);
 }
 
 TEST_F(MemberOfALargeFleet, IsAskedByAnother_SaysThatItDoesNotSeeTheStore)
 {
-  EXPECT_EQ(member_.NewsSince(now_, { 5, 6, 7 }).sight_, StoreSight::None);
-  EXPECT_TRUE(member_.NewsSince(now_, { 5, 6, 7 }).views_.empty());
+  EXPECT_EQ(member_.UpdateSince(now_, { 5, 6, 7 }).storeReachability_,
+            StoreReachability::NotPolling);
+  EXPECT_TRUE(member_.UpdateSince(now_, { 5, 6, 7 }).views_.empty());
 }
 
 TEST_F(MemberOfALargeFleet, NewsWereMissed_ReadersTellThem)
@@ -135,20 +136,21 @@
   Answer({ 5, 9, 7 });
   Pass(milliseconds(500));
   ASSERT_FALSE(fleet_.fetches_.empty());
-  FleetNews news;
-  news.sight_ = StoreSight::Heard;
+  FleetUpdate news;
+  news.storeReachability_ = StoreReachability::Reachable;
   news.views_.push_back({ FleetTable::Servers, 9, false, 6, { { { "s3", 9, "ready" }, false } } });
-  member_.OnNewsFetched(now_, news);
+  member_.OnUpdateFetched(now_, news);
   EXPECT_NE(member_.Directory().Find("s3"), nullptr);
   Pass(milliseconds(50));
-  EXPECT_EQ(fleet_.following_, Following::Told);
+  EXPECT_EQ(fleet_.following_, StorePollMode::Off);
   EXPECT_FALSE(fleet_.hasFollowedAlone_);
 }
 
 TEST_F(ReaderOfALargeFleet, PlacerTellsWhatChanges_ConfigurationIsFollowed)
 {
-  EXPECT_EQ(fleet_.following_, Following::Relayed);
-  EXPECT_EQ(member_.NewsSince(now_, { 5, 6, 7 }).sight_, StoreSight::Heard);
+  EXPECT_EQ(fleet_.following_, StorePollMode::ConfigurationOnly);
+  EXPECT_EQ(member_.UpdateSince(now_, { 5, 6, 7 }).storeReachability_,
+            StoreReachability::Reachable);
 }
 
 TEST_F(ReaderOfALargeFleet, ConfigurationChanges_ItsHallIsTold)
@@ -170,7 +172,7 @@
 {
   member_.OnReportAnswered(now_, ReportAnswer{ true, {}, { 5, 6, 7 } }, milliseconds(250));
   Pass(milliseconds(50));
-  EXPECT_EQ(fleet_.following_, Following::Closely);
+  EXPECT_EQ(fleet_.following_, StorePollMode::ShortWaits);
 }
 
 } // namespace
--- a/Tests/LibFleet/TestReaderGuide.cpp
+++ b/Tests/LibFleet/TestReaderPoller.cpp
@@ -1,5 +1,5 @@
-#include "LibFleet/ReaderGuide.h"
-#include "LibFleet/StartWait.h"
+#include "LibFleet/ReaderPoller.h"
+#include "LibFleet/StartupDeadline.h"
 
 #include <gtest/gtest.h>
 #include <map>
@@ -18,7 +18,9 @@
     for (const auto end = now_ + aTime; now_ < end; now_ += milliseconds(50)) {
       if (const auto address = guide_.Next(now_, readers_, random_)) {
         ++asked_[*address];
-        guide_.OnAnswer(now_, *address, aIsAnswered ? StoreSight::Heard : StoreSight::None);
+        guide_.OnAnswer(now_,
+                        *address,
+                        aIsAnswered ? StoreReachability::Reachable : StoreReachability::NotPolling);
       }
     }
   }
@@ -29,7 +31,7 @@
                                          { "c:1", "other", 1 },
                                          { "d:1", "other", 1 } };
   std::minstd_rand random_{ 1 };
-  ReaderGuide guide_;
+  ReaderPoller guide_;
   std::map<std::string, int> asked_;
 };
 
@@ -71,21 +73,22 @@
 
 // The store rejects calls of some instances, as it may for seconds, among them the readers of this
 // hall.
-TEST(ReaderGuide, ReadersOfTheOwnHallAreTurnedAwayByTheStore_OthersAreFoundWithinASecond)
+TEST(ReaderPoller, ReadersOfTheOwnHallAreTurnedAwayByTheStore_OthersAreFoundWithinASecond)
 {
   const std::vector<FleetPeer> readers{
     { "a:1", "own", 1 }, { "b:1", "own", 1 }, { "c:1", "other", 1 }, { "d:1", "other", 1 }
   };
   for (unsigned seed = 1; seed <= 50; ++seed) {
     std::minstd_rand random(seed);
-    ReaderGuide guide;
+    ReaderPoller guide;
     Instant now = seconds(100);
     Instant seenAt = now;
     guide.OnRelayEnded(now);
     for (const auto end = now + seconds(8); now < end; now += milliseconds(50)) {
       if (const auto address = guide.Next(now, readers, random)) {
         const bool sees = *address >= "c";
-        guide.OnAnswer(now, *address, sees ? StoreSight::Heard : StoreSight::Lost);
+        guide.OnAnswer(
+          now, *address, sees ? StoreReachability::Reachable : StoreReachability::Unreachable);
         seenAt = sees ? now : seenAt;
       }
       ASSERT_LE(now - seenAt, seconds(1)) << "seed " << seed;
@@ -101,7 +104,7 @@
   for (const auto end = now_ + seconds(10); now_ < end; now_ += milliseconds(50)) {
     if (const auto address = guide_.Next(now_, readers_, random_)) {
       ++asked;
-      guide_.OnAnswer(now_, *address, StoreSight::Lost);
+      guide_.OnAnswer(now_, *address, StoreReachability::Unreachable);
     }
   }
   EXPECT_LE(asked, 24);
@@ -122,7 +125,7 @@
   WaitOfAStart() { wait_.OnStart(now_); }
 
   Instant now_ = seconds(100);
-  StartWait wait_;
+  StartupDeadline wait_;
 };
 
 TEST_F(WaitOfAStart, StoreDoesNotAnswer_TablesAreReadAfterAWhile)
--- a/Tests/LibFleet/TestServerSpeeds.cpp
+++ b/Tests/LibFleet/TestServerSpeeds.cpp
@@ -21,7 +21,7 @@
   double WorkMilliseconds(unsigned aSlots) const
   {
     constexpr double kMillisecond = 1000;
-    return static_cast<double>(speeds_.WorkTimeOf("s1", aSlots).value().count()) / kMillisecond;
+    return static_cast<double>(speeds_.ServiceTimeOf("s1", aSlots).value().count()) / kMillisecond;
   }
 
   Instant now_ = seconds(100);
@@ -30,9 +30,9 @@
 
 TEST_F(SpeedOfAServer, FewAnswersAreKnown_NothingIsTold)
 {
-  EXPECT_FALSE(speeds_.WorkTimeOf("s1", 4));
+  EXPECT_FALSE(speeds_.ServiceTimeOf("s1", 4));
   Report(milliseconds(100), 2, milliseconds(50));
-  EXPECT_FALSE(speeds_.WorkTimeOf("s1", 4));
+  EXPECT_FALSE(speeds_.ServiceTimeOf("s1", 4));
 }
 
 TEST_F(SpeedOfAServer, SlotsAreFree_LatencyIsWork)
@@ -69,7 +69,7 @@
 {
   Report(seconds(10), 2, milliseconds(50));
   speeds_.Keep([](const std::string& aServer) { return aServer != "s1"; });
-  EXPECT_FALSE(speeds_.WorkTimeOf("s1", 4));
+  EXPECT_FALSE(speeds_.ServiceTimeOf("s1", 4));
 }
 
 } // namespace
--- a/Tests/LibFleet/TestStoreReturn.cpp
+++ b/Tests/LibFleet/TestStoreReturn.cpp
@@ -82,12 +82,12 @@
 {
   ShowTables();
   Show(FleetTable::Fleet, 7, { { "placer", 7, Placer("i2", kOther) } });
-  FleetNews news;
+  FleetUpdate news;
   news.views_ = {
     { FleetTable::Servers, After(4), false, 3, { { { "s1", After(4), "leaving" }, false } } }
   };
   member_.OnStoreLost(now_);
-  member_.OnNews(now_, news);
+  member_.OnUpdate(now_, news);
   EXPECT_FALSE(member_.Directory().Find("s1")->TakesWork());
 }
 
--- a/Tests/LibFleet/TestNewsTree.cpp
+++ b/Tests/LibFleet/TestUpdateTree.cpp
@@ -1,5 +1,5 @@
-#include "LibFleet/NewsTree.h"
-#include "LibFleet/SilentPeers.h"
+#include "LibFleet/UnresponsivePeers.h"
+#include "LibFleet/UpdateTree.h"
 
 #include <algorithm>
 #include <gtest/gtest.h>
@@ -28,7 +28,7 @@
 
   // Delivers a message and those forwarded from it. A sender whose message is not accepted sends it
   // to the addresses in the receiver's branch itself.
-  void Deliver(const std::string& aFrom, const NewsBranch& aBranch, int aDepth)
+  void Deliver(const std::string& aFrom, const UpdateBranch& aBranch, int aDepth)
   {
     ++sent_[aFrom];
     crossings_ += HallOf(aFrom) == HallOf(aBranch.to_) ? 0 : 1;
@@ -37,14 +37,14 @@
       ++reached_[aBranch.to_];
       depth_ = std::max(depth_, aDepth);
     }
-    for (const auto& onward : SplitOnward(aBranch.onward_)) {
+    for (const auto& onward : SplitForwarding(aBranch.forwardTo_)) {
       Deliver(isTaken ? aBranch.to_ : aFrom, onward, aDepth + 1);
     }
   }
 
   void Spread()
   {
-    for (const auto& branch : PlanNewsTree(peers_, peers_.front())) {
+    for (const auto& branch : PlanUpdateTree(peers_, peers_.front())) {
       Deliver(peers_.front().address_, branch, 1);
     }
   }
@@ -92,7 +92,7 @@
 TEST_F(NewsInALargeFleet, OnlySomeAreToGetThem_NobodyElseDoes)
 {
   const std::vector<FleetPeer> some(peers_.begin() + 100, peers_.begin() + 140);
-  for (const auto& branch : PlanNewsTree(some, peers_.front())) {
+  for (const auto& branch : PlanUpdateTree(some, peers_.front())) {
     Deliver(peers_.front().address_, branch, 1);
   }
   EXPECT_EQ(reached_.size(), some.size());
@@ -101,39 +101,39 @@
   }
 }
 
-TEST(NewsTree, FleetIsSmall_EachIsToldDirectly)
+TEST(UpdateTree, FleetIsSmall_EachIsToldDirectly)
 {
   const std::vector<FleetPeer> peers{ { "a:1", "x", 1 }, { "b:1", "y", 1 }, { "c:1", "y", 1 } };
-  EXPECT_EQ(PlanNewsTree(peers, peers[0]),
-            (std::vector<NewsBranch>{ { "b:1", {} }, { "c:1", {} } }));
+  EXPECT_EQ(PlanUpdateTree(peers, peers[0]),
+            (std::vector<UpdateBranch>{ { "b:1", {} }, { "c:1", {} } }));
 }
 
-TEST(SilentPeers, OneTakesNoMessage_IsPassedAroundForAWhile)
+TEST(UnresponsivePeers, OneTakesNoMessage_IsPassedAroundForAWhile)
 {
   const Instant now = seconds(100);
-  SilentPeers peers;
+  UnresponsivePeers peers;
   peers.OnSent(now, "a:1", false);
-  EXPECT_TRUE(peers.IsSilent(now + milliseconds(1900), "a:1"));
-  EXPECT_FALSE(peers.IsSilent(now, "b:1"));
-  EXPECT_FALSE(peers.IsSilent(now + milliseconds(2000), "a:1"));
+  EXPECT_TRUE(peers.IsUnresponsive(now + milliseconds(1900), "a:1"));
+  EXPECT_FALSE(peers.IsUnresponsive(now, "b:1"));
+  EXPECT_FALSE(peers.IsUnresponsive(now + milliseconds(2000), "a:1"));
 }
 
-TEST(SilentPeers, OneTakesMessagesAgain_IsUsedAtOnce)
+TEST(UnresponsivePeers, OneTakesMessagesAgain_IsUsedAtOnce)
 {
   const Instant now = seconds(100);
-  SilentPeers peers;
+  UnresponsivePeers peers;
   peers.OnSent(now, "a:1", false);
   peers.OnSent(now + milliseconds(700), "a:1", true);
-  EXPECT_FALSE(peers.IsSilent(now + milliseconds(700), "a:1"));
+  EXPECT_FALSE(peers.IsUnresponsive(now + milliseconds(700), "a:1"));
 }
 
-TEST(NewsMessage, WrittenAndRead_IsTheSame)
+TEST(UpdateMessage, WrittenAndRead_IsTheSame)
 {
-  const auto read = DecodeNewsMessage(EncodeNewsMessage({ "a:1", "b:2" }, "{\n}")).value();
-  EXPECT_EQ(read.onward_, (std::vector<std::string>{ "a:1", "b:2" }));
-  EXPECT_EQ(read.news_, "{\n}");
-  EXPECT_TRUE(DecodeNewsMessage(EncodeNewsMessage({}, "{}")).value().onward_.empty());
-  EXPECT_FALSE(DecodeNewsMessage("{}"));
+  const auto read = DecodeUpdateMessage(EncodeUpdateMessage({ "a:1", "b:2" }, "{\n}")).value();
+  EXPECT_EQ(read.forwardTo_, (std::vector<std::string>{ "a:1", "b:2" }));
+  EXPECT_EQ(read.update_, "{\n}");
+  EXPECT_TRUE(DecodeUpdateMessage(EncodeUpdateMessage({}, "{}")).value().forwardTo_.empty());
+  EXPECT_FALSE(DecodeUpdateMessage("{}"));
 }
 
 } // namespace
--- a/Tests/Platform/TestTableFollower.cpp
+++ b/Tests/Platform/TestTableFollower.cpp
@@ -56,7 +56,7 @@
 protected:
   FollowerOfServers()
   {
-    follower_.Follow(Following::Alone, 0);
+    follower_.Follow(StorePollMode::LongWaits, 0);
     store_.Answer(200, R"({"rows":[{"key":"s1","value":"YQ==","ver":80}],"ver":90})");
     RunUntilAsked();
   }
@@ -116,9 +116,9 @@
 
 TEST_F(FollowerOfServers, PlacerRelays_NothingMoreIsAsked)
 {
-  follower_.Follow(Following::Relayed, 95);
+  follower_.Follow(StorePollMode::ConfigurationOnly, 95);
   EXPECT_FALSE(store_.callback_);
-  follower_.Follow(Following::Alone, 95);
+  follower_.Follow(StorePollMode::LongWaits, 95);
   EXPECT_EQ(LastAfter(), "95");
 }
 
@@ -127,8 +127,8 @@
   boost::asio::io_context context;
   AskedStore store;
   TableFollower follower(context, store, FleetTable::Configuration);
-  follower.Follow(Following::Alone, 0);
-  follower.Follow(Following::Relayed, 0);
+  follower.Follow(StorePollMode::LongWaits, 0);
+  follower.Follow(StorePollMode::ConfigurationOnly, 0);
   EXPECT_TRUE(store.callback_);
   store.Answer(200, R"({"rows":[{"key":"config","value":"YQ==","ver":80}],"ver":90})");
   while (!store.callback_) {
@@ -137,7 +137,7 @@
   }
   // A long question, since the placer's answers name what it misses.
   EXPECT_NE(store.targets_.back().find("waitMs=8000"), std::string::npos);
-  follower.Follow(Following::Alone, 80);
+  follower.Follow(StorePollMode::LongWaits, 80);
   EXPECT_NE(store.targets_.back().find("after=80&waitMs=4000"), std::string::npos);
 }
 
