--- a/Libraries/LibFleet/ConfigurationProof.cpp
+++ b/Libraries/LibFleet/ConfigurationProof.cpp
@@ -37,14 +37,14 @@
 ConfigurationFreshness::Prove(Instant aAsOf)
 {
   provenAt_ = std::max(provenAt_, aAsOf);
-  provenIn_ = EpochOf(known_);
+  provenEpoch_ = EpochOf(known_);
 }
 
 // A proof from before a restore of the store says nothing about the restored copy.
 std::optional<ConfigurationProof>
-ConfigurationFreshness::Tell(Instant aNow) const
+ConfigurationFreshness::CurrentProof(Instant aNow) const
 {
-  if (provenAt_ == Instant::min() || provenIn_ != EpochOf(known_)) {
+  if (provenAt_ == Instant::min() || provenEpoch_ != EpochOf(known_)) {
     return std::nullopt;
   }
   return ConfigurationProof{ known_, aNow - provenAt_ };
--- a/Libraries/LibFleet/ConfigurationProof.h
+++ b/Libraries/LibFleet/ConfigurationProof.h
@@ -30,11 +30,11 @@
   // doesn't have aVersion yet, the proof takes effect once OnKnown reports it.
   void OnProof(Instant aAsOf, RowVersion aVersion);
 
-  RowVersion Known() const { return known_; }
+  RowVersion KnownVersion() const { return known_; }
   // Time of the latest proof; Instant::min() before the first one.
   Instant ProvenAt() const { return provenAt_; }
   // The proof to send to other instances; no value if there is none for the store's current epoch.
-  std::optional<ConfigurationProof> Tell(Instant aNow) const;
+  std::optional<ConfigurationProof> CurrentProof(Instant aNow) const;
 
 private:
   // Whether the known version is at least as new as aVersion. Versions of different store epochs
@@ -46,7 +46,7 @@
   RowVersion known_ = 0;
   Instant provenAt_ = Instant::min();
   // Store epoch of the configuration that the latest proof covers.
-  StoreEpoch provenIn_ = 0;
+  StoreEpoch provenEpoch_ = 0;
   // The latest proof of a version that this instance doesn't have yet; 0 if there is none.
   RowVersion awaitedVersion_ = 0;
   Instant awaitedAsOf_ = Instant::min();
--- a/Libraries/LibFleet/FleetMember.cpp
+++ b/Libraries/LibFleet/FleetMember.cpp
@@ -12,12 +12,12 @@
 // Interval between fetches of updates while the store is out of reach.
 constexpr Duration kFetchInterval = milliseconds(500);
 // A placer that answered within this time, two report intervals, still sends updates.
-constexpr Duration kNewsBound = milliseconds(1800);
+constexpr Duration kPlacerContactTime = milliseconds(1800);
 // All instances of a fleet are known to its placer two reports after the first one.
-constexpr Duration kRosterSettle = milliseconds(1600);
+constexpr Duration kRosterSettleTime = milliseconds(1600);
 // With this share of a processor an instance is strong enough to be the placer of a large fleet: a
 // tenth took seconds to answer the reports of 90 instances.
-constexpr double kStrongShare = 0.5;
+constexpr double kSufficientProcessorShare = 0.5;
 
 } // namespace
 
@@ -34,8 +34,8 @@
   // is enough for a large fleet.
   , election_(settings_.self_,
               std::uniform_real_distribution<double>(0, 1)(random_),
-              CapacityDeficit(settings_.processorShare_, kStrongShare))
-  , keeper_(settings_.limitWindow_)
+              CapacityDeficit(settings_.processorShare_, kSufficientProcessorShare))
+  , limitCoordinator_(settings_.limitWindow_)
 {
 }
 
@@ -44,7 +44,7 @@
 void
 FleetMember::OnView(Instant aNow, const TableView& aView)
 {
-  storeHeardAt_ = aNow;
+  storeContactAt_ = aNow;
   const auto table = static_cast<std::size_t>(aView.table_);
   const auto version = view_.Versions().at(table);
   const auto lastChange = view_.LastChanges().at(table);
@@ -54,15 +54,15 @@
                      DescribeVersion(aView.version_) + " known=" + DescribeVersion(version) +
                      " rows=" + std::to_string(aView.rows_.size()));
   }
-  if (!view_.Take(aNow, aView)) {
+  if (!view_.Merge(aNow, aView)) {
     return;
   }
-  if (following_ == StorePollMode::Starting) {
-    ChooseFollowing(aNow);
+  if (pollMode_ == StorePollMode::Starting) {
+    UpdatePollMode(aNow);
   }
   const bool isReader = roster_.IsReader(settings_.self_.address_);
-  const bool tellsOthers = election_.IsPlacer() || isReader;
-  if (aView.table_ == FleetTable::Fleet || version == 0 || !tellsOthers) {
+  const bool sendsUpdates = election_.IsPlacer() || isReader;
+  if (aView.table_ == FleetTable::Fleet || version == 0 || !sendsUpdates) {
     return;
   }
   auto changes = view_.ChangesSince(aView.table_, version);
@@ -71,90 +71,90 @@
   if (changes.rows_.empty() || isFollowedByAll) {
     return;
   }
-  FleetUpdate news;
-  news.views_.push_back(std::move(changes));
+  FleetUpdate update;
+  update.views_.push_back(std::move(changes));
   // The others have the last change, but not the later versions without changes.
-  news.views_.back().base_ = lastChange;
+  update.views_.back().base_ = lastChange;
   if (election_.IsPlacer()) {
-    Spread(news);
+    Broadcast(update);
   } else {
-    TellHall(news);
+    SendUpdateToHall(update);
   }
 }
 
 FleetUpdate
 FleetMember::UpdateSince(Instant aNow, const TableVersions& aVersions) const
 {
-  auto news = view_.UpdateSince(aVersions);
-  news.proof_ = configuration_.Tell(aNow);
-  const bool isFollowing =
-    following_ != StorePollMode::Off && following_ != StorePollMode::Starting;
+  auto update = view_.UpdateSince(aVersions);
+  update.proof_ = freshness_.CurrentProof(aNow);
+  const bool isFollowing = pollMode_ != StorePollMode::Off && pollMode_ != StorePollMode::Starting;
   if (isFollowing) {
-    news.storeReachability_ =
+    update.storeReachability_ =
       isStoreLost_ ? StoreReachability::Unreachable : StoreReachability::Reachable;
   }
-  return news;
+  return update;
 }
 
 void
 FleetMember::OnUpdateFetched(Instant aNow,
-                             const std::optional<FleetUpdate>& aNews,
+                             const std::optional<FleetUpdate>& aUpdate,
                              Duration aRoundTrip,
                              const std::string& aFrom)
 {
-  guide_.OnAnswer(aNow, aFrom, aNews ? aNews->storeReachability_ : StoreReachability::NotPolling);
-  if (!aNews) {
+  readerPoller_.OnAnswer(
+    aNow, aFrom, aUpdate ? aUpdate->storeReachability_ : StoreReachability::NotPolling);
+  if (!aUpdate) {
     return;
   }
-  if (following_ == StorePollMode::Off &&
-      aNews->storeReachability_ == StoreReachability::Unreachable) {
+  if (pollMode_ == StorePollMode::Off &&
+      aUpdate->storeReachability_ == StoreReachability::Unreachable) {
     OnStoreLost(aNow);
-  } else if (following_ == StorePollMode::Off &&
-             aNews->storeReachability_ == StoreReachability::Reachable) {
+  } else if (pollMode_ == StorePollMode::Off &&
+             aUpdate->storeReachability_ == StoreReachability::Reachable) {
     OnStoreRegained(aNow);
   }
-  OnUpdate(aNow, *aNews);
-  TakeProof(aNow, aNews->proof_, aRoundTrip);
+  OnUpdate(aNow, *aUpdate);
+  OnProofReceived(aNow, aUpdate->proof_, aRoundTrip);
 }
 
 void
-FleetMember::OnUpdate(Instant aNow, const FleetUpdate& aNews)
+FleetMember::OnUpdate(Instant aNow, const FleetUpdate& aUpdate)
 {
-  if (aNews.pausesUpdates_) {
-    relay_.OnFailure(PlacerFault::UpdatesPaused);
-    ChooseFollowing(aNow);
+  if (aUpdate.pausesUpdates_) {
+    placerMonitor_.OnFailure(PlacerFault::UpdatesPaused);
+    UpdatePollMode(aNow);
   }
-  limits_.OnParts(aNow, aNews.parts_);
-  for (const auto& doubt : aNews.doubts_) {
-    NoteDoubt(aNow, doubt);
+  limits_.OnParts(aNow, aUpdate.parts_);
+  for (const auto& lease : aUpdate.uncertainLeases_) {
+    KeepUncertainLease(aNow, lease);
   }
   // What this instance reads from the store takes precedence for the tables that others write.
   const bool isFollowing =
-    following_ == StorePollMode::LongWaits || following_ == StorePollMode::ShortWaits;
+    pollMode_ == StorePollMode::LongWaits || pollMode_ == StorePollMode::ShortWaits;
   const bool ownRowsOnly = isFollowing && !isStoreLost_;
-  if (!aNews.views_.empty() && !ownRowsOnly) {
+  if (!aUpdate.views_.empty() && !ownRowsOnly) {
     events_.Record(Event::ViewFromPeer,
-                   "tables=" + std::to_string(aNews.views_.size()) +
-                     " following=" + std::string(kStorePollModeNames.NameOf(following_)));
+                   "tables=" + std::to_string(aUpdate.views_.size()) +
+                     " following=" + std::string(kStorePollModeNames.NameOf(pollMode_)));
   }
-  if (!view_.Take(aNow, aNews, ownRowsOnly)) {
+  if (!view_.Merge(aNow, aUpdate, ownRowsOnly)) {
     // Some updates were missed; read the changes from the store.
-    relay_.OnFailure(PlacerFault::UpdateMissed);
-    ChooseFollowing(aNow);
+    placerMonitor_.OnFailure(PlacerFault::UpdateMissed);
+    UpdatePollMode(aNow);
   }
 }
 
 void
-FleetMember::NoteDoubt(Instant aNow, const UncertainLease& aDoubt)
+FleetMember::KeepUncertainLease(Instant aNow, const UncertainLease& aLease)
 {
-  auto& until = doubts_.try_emplace(aDoubt.server_, Instant::min()).first->second;
-  until = std::max(until, aNow + aDoubt.holds_);
+  auto& until = uncertainLeases_.try_emplace(aLease.server_, Instant::min()).first->second;
+  until = std::max(until, aNow + aLease.duration_);
 }
 
 void
 FleetMember::OnRoutes(Instant aNow, std::shared_ptr<const RouteTable> aRoutes)
 {
-  keeper_.SetGroups(aNow, aRoutes->Configuration().groups_);
+  limitCoordinator_.SetGroups(aNow, aRoutes->Configuration().groups_);
   actions_.OnRoutes(std::move(aRoutes));
 }
 
@@ -163,8 +163,8 @@
 {
   const bool wasPlacer = election_.IsPlacer();
   election_.OnRow(aNow, aPlacer);
-  start_.OnFleetRead(aNow, aPlacer.has_value());
-  relay_.OnFailure(PlacerFault::PlacerChanged);
+  startupDeadline_.OnFleetRead(aNow, aPlacer.has_value());
+  placerMonitor_.OnFailure(PlacerFault::PlacerChanged);
   nextReport_ = aNow;
   if (wasPlacer && !election_.IsPlacer()) {
     events_.Record(Event::PlacerClaimLost,
@@ -183,11 +183,11 @@
   nextFetch_ = aNow;
   view_.Directory().OnStoreLost(aNow);
   events_.Record(Event::StoreUnavailable,
-                 "heard_ago_us=" + std::to_string((aNow - storeHeardAt_).count()));
+                 "heard_ago_us=" + std::to_string((aNow - storeContactAt_).count()));
   if (election_.IsPlacer()) {
-    FleetUpdate news;
-    news.pausesUpdates_ = true;
-    Spread(news);
+    FleetUpdate update;
+    update.pausesUpdates_ = true;
+    Broadcast(update);
   }
 }
 
@@ -200,7 +200,7 @@
   isStoreLost_ = false;
   view_.Directory().OnStoreRegained(aNow);
   events_.Record(Event::StoreRecovered,
-                 "following=" + std::string(kStorePollModeNames.NameOf(following_)));
+                 "following=" + std::string(kStorePollModeNames.NameOf(pollMode_)));
 }
 
 void
@@ -224,54 +224,54 @@
 void
 FleetMember::OnTime(Instant aNow)
 {
-  start_.OnStart(aNow);
+  startupDeadline_.OnStart(aNow);
   if (view_.Directory().Expire(aNow)) {
     events_.Record(Event::ServerUnlisted,
                    "servers=" + std::to_string(view_.Directory().All().size()));
     actions_.OnDirectoryChanged();
   }
   if (!isStoreLost_ && writes_.empty() && election_.ShouldClaim(aNow)) {
-    Claim();
+    ClaimPlacerRole();
   }
   if (election_.IsPlacer()) {
     RunPlacers(aNow);
-    SpreadTables(aNow);
+    SendTables(aNow);
     NoteFleetSize(aNow);
   }
   SendWrites(aNow);
-  FollowLimits(aNow);
-  FollowProofs(aNow);
+  UpdateLimits(aNow);
+  RenewProof(aNow);
   if (aNow >= nextReport_) {
     Report(aNow);
   }
-  ChooseFollowing(aNow);
-  NoteStaleness(aNow);
-  AskReaders(aNow);
+  UpdatePollMode(aNow);
+  ReportStaleness(aNow);
+  RequestFromReader(aNow);
   // While readers stand in for the placer, only readers are asked: two instances that both depend
   // on others would keep each other from polling the store.
-  if (isStoreLost_ && following_ != StorePollMode::Off && aNow >= nextFetch_) {
+  if (isStoreLost_ && pollMode_ != StorePollMode::Off && aNow >= nextFetch_) {
     FetchFromPeers(aNow);
   }
 }
 
 StorePollMode
-FleetMember::HowToFollow(Instant aNow)
+FleetMember::SelectPollMode(Instant aNow)
 {
   if (election_.IsPlacer()) {
     return StorePollMode::ShortWaits;
   }
   if (!IsReady()) {
-    const bool isWaiting = following_ == StorePollMode::Starting &&
-                           view_.Size() != FleetSize::Small && !start_.IsOver(aNow);
+    const bool isWaiting = pollMode_ == StorePollMode::Starting &&
+                           view_.Size() != FleetSize::Small && !startupDeadline_.HasExpired(aNow);
     return isWaiting ? StorePollMode::Starting : StorePollMode::LongWaits;
   }
-  if (relay_.IsRelayed(aNow, view_.Versions())) {
-    guide_.OnRelayed();
-    return IsReading(aNow) ? StorePollMode::ConfigurationOnly : StorePollMode::Off;
+  if (placerMonitor_.IsReliable(aNow, view_.Versions())) {
+    readerPoller_.OnPlacerReliable();
+    return PollsConfiguration(aNow) ? StorePollMode::ConfigurationOnly : StorePollMode::Off;
   }
-  if (IsReadFor()) {
-    guide_.OnRelayEnded(aNow);
-    return guide_.IsGuided(aNow) ? StorePollMode::Off : StorePollMode::LongWaits;
+  if (DependsOnReaders()) {
+    readerPoller_.OnPlacerUnreliable(aNow);
+    return readerPoller_.AreReadersReliable(aNow) ? StorePollMode::Off : StorePollMode::LongWaits;
   }
   // Other instances rely on a reader: a poll with a long wait would hide for seconds that the store
   // rejects it.
@@ -279,18 +279,18 @@
 }
 
 bool
-FleetMember::IsReading(Instant aNow) const
+FleetMember::PollsConfiguration(Instant aNow) const
 {
   if (roster_.HasReaders()) {
     return roster_.IsReader(settings_.self_.address_);
   }
   // The first answers of a placer list only the instances that have reported so far.
-  const bool isSettled = rosterSince_ && aNow - *rosterSince_ >= kRosterSettle;
+  const bool isSettled = rosterSince_ && aNow - *rosterSince_ >= kRosterSettleTime;
   return isSettled || view_.Size() == FleetSize::Small;
 }
 
 bool
-FleetMember::IsReadFor() const
+FleetMember::DependsOnReaders() const
 {
   return roster_.HasReaders() && !roster_.IsReader(settings_.self_.address_);
 }
@@ -302,7 +302,7 @@
 }
 
 void
-FleetMember::TellHall(const FleetUpdate& aNews)
+FleetMember::SendUpdateToHall(const FleetUpdate& aUpdate)
 {
   std::vector<FleetPeer> receivers;
   for (const auto& [address, peer] : roster_.Peers()) {
@@ -310,36 +310,36 @@
       receivers.push_back(peer);
     }
   }
-  actions_.SendUpdate(PlanUpdateTree(std::move(receivers), SelfAsPeer()), aNews);
+  actions_.SendUpdate(PlanUpdateTree(std::move(receivers), SelfAsPeer()), aUpdate);
 }
 
 void
-FleetMember::AskReaders(Instant aNow)
+FleetMember::RequestFromReader(Instant aNow)
 {
-  if (!IsReadFor() || !guide_.IsDue(aNow)) {
+  if (!DependsOnReaders() || !readerPoller_.IsRequestDue(aNow)) {
     return;
   }
   const auto readers = roster_.ReadersByProximity(settings_.hall_);
-  if (const auto address = guide_.Next(aNow, readers, random_)) {
+  if (const auto address = readerPoller_.NextReader(aNow, readers, random_)) {
     actions_.FetchUpdate(*address, view_.Versions());
   }
 }
 
 void
-FleetMember::ChooseFollowing(Instant aNow)
+FleetMember::UpdatePollMode(Instant aNow)
 {
-  const auto following = HowToFollow(aNow);
-  if (following == StorePollMode::Off && relay_.IsRelayed(aNow, view_.Versions())) {
+  const auto following = SelectPollMode(aNow);
+  if (following == StorePollMode::Off && placerMonitor_.IsReliable(aNow, view_.Versions())) {
     OnStoreRegained(aNow);
   }
-  if (following == following_) {
+  if (following == pollMode_) {
     return;
   }
-  following_ = following;
+  pollMode_ = following;
   events_.Record(Event::FollowingChanged,
                  "following=" + std::string(kStorePollModeNames.NameOf(following)) +
-                   " store_heard_ago_us=" + std::to_string((aNow - storeHeardAt_).count()) + " " +
-                   relay_.Describe(aNow, view_.Versions()));
+                   " store_heard_ago_us=" + std::to_string((aNow - storeContactAt_).count()) + " " +
+                   placerMonitor_.Describe(aNow, view_.Versions()));
   actions_.Follow(following, view_.Versions());
   if (following == StorePollMode::ConfigurationOnly) {
     OnStoreRegained(aNow);
@@ -347,12 +347,12 @@
 }
 
 void
-FleetMember::NoteStaleness(Instant aNow)
+FleetMember::ReportStaleness(Instant aNow)
 {
-  const bool isHeard = election_.IsPlacer() || aNow - placerHeardAt_ < kNewsBound;
-  const bool isStale = isStoreLost_ && !isHeard;
-  if (isStale != isNewsStale_) {
-    isNewsStale_ = isStale;
+  const bool isReachable = election_.IsPlacer() || aNow - placerContactAt_ < kPlacerContactTime;
+  const bool isStale = isStoreLost_ && !isReachable;
+  if (isStale != isStale_) {
+    isStale_ = isStale;
     actions_.OnStalenessChanged(isStale);
   }
 }
--- a/Libraries/LibFleet/FleetMember.h
+++ b/Libraries/LibFleet/FleetMember.h
@@ -40,7 +40,8 @@
   // Sends a report to the placer at aAddress; the result is passed to OnReportAnswered.
   virtual void SendReport(const std::string& aAddress, const InstanceReport& aReport) = 0;
   // Pushes an update to other instances along the branches of an update tree.
-  virtual void SendUpdate(const std::vector<UpdateBranch>& aBranches, const FleetUpdate& aNews) = 0;
+  virtual void SendUpdate(const std::vector<UpdateBranch>& aBranches,
+                          const FleetUpdate& aUpdate) = 0;
   // Requests everything newer than aVersions from the instance at aAddress; the result is passed to
   // OnUpdateFetched.
   virtual void FetchUpdate(const std::string& aAddress, const TableVersions& aVersions) = 0;
@@ -130,11 +131,11 @@
   // Returns everything newer than aVersions, for an instance that has those.
   FleetUpdate UpdateSince(Instant aNow, const TableVersions& aVersions) const;
   // Handles an update pushed by another instance.
-  void OnUpdate(Instant aNow, const FleetUpdate& aNews);
+  void OnUpdate(Instant aNow, const FleetUpdate& aUpdate);
   // Result of FleetActions::FetchUpdate; no value if no response arrived. aFrom is the address that
   // was asked, aRoundTrip the time from the request to the response.
   void OnUpdateFetched(Instant aNow,
-                       const std::optional<FleetUpdate>& aNews,
+                       const std::optional<FleetUpdate>& aUpdate,
                        Duration aRoundTrip = Duration(0),
                        const std::string& aFrom = {});
   // Result of FleetActions::ReadConfigurationVersion; no value if the store did not answer.
@@ -164,14 +165,14 @@
   class ServicePlacer;
 
   // A pending write to the store. Writes are sent strictly one after the other.
-  struct WaitingWrite
+  struct PendingWrite
   {
     // The owners that the write stores; no value for the other rows.
     std::optional<KeyOwnership> ownership_;
     // The owners that the write replaces; no value if there were none.
     std::optional<FleetView::OwnedService> former_;
     Transaction transaction_;
-    bool isUnderWay_ = false;
+    bool isInFlight_ = false;
     // This instance lost the placer role after the write was sent; its result is ignored.
     bool isAbandoned_ = false;
     Instant retryAt_ = Instant::min();
@@ -185,22 +186,22 @@
   void OnOwnership(const KeyOwnership& aOwnership) override { actions_.OnOwnership(aOwnership); }
   void OnPlacer(Instant aNow, const std::optional<PlacerRow>& aPlacer) override;
 
-  // Applies the poll mode that HowToFollow returns.
-  void ChooseFollowing(Instant aNow);
+  // Applies the poll mode that SelectPollMode returns.
+  void UpdatePollMode(Instant aNow);
   // Decides how this instance polls the store at present.
-  StorePollMode HowToFollow(Instant aNow);
+  StorePollMode SelectPollMode(Instant aNow);
   // Whether this instance polls the store for the configuration although the placer sends updates:
   // it is a reader, or the fleet is too small to have readers.
-  bool IsReading(Instant aNow) const;
+  bool PollsConfiguration(Instant aNow) const;
   // Whether readers poll the store on behalf of this instance.
-  bool IsReadFor() const;
+  bool DependsOnReaders() const;
   FleetPeer SelfAsPeer() const;
   // Pushes an update to the instances of this instance's data hall.
-  void TellHall(const FleetUpdate& aNews);
+  void SendUpdateToHall(const FleetUpdate& aUpdate);
   // Requests updates from a reader while the placer cannot be relied on.
-  void AskReaders(Instant aNow);
+  void RequestFromReader(Instant aNow);
   // Reports a change of whether this instance's data is stale.
-  void NoteStaleness(Instant aNow);
+  void ReportStaleness(Instant aNow);
   // Requests updates from a random instance while the store is out of reach.
   void FetchFromPeers(Instant aNow);
 
@@ -209,28 +210,28 @@
   // Whether API keys are accepted only while the configuration is proven to be the latest.
   bool NeedsProofs() const;
   // Whether this instance reads proofs from the store itself.
-  bool AsksForProofs() const;
+  bool ReadsProofs() const;
   // Reads a proof when one is due, and brings the next report forward when the last proof is about
   // to expire.
-  void FollowProofs(Instant aNow);
+  void RenewProof(Instant aNow);
   // Handles a proof received from another instance, aRoundTrip after it was requested.
-  void TakeProof(Instant aNow,
-                 const std::optional<ConfigurationProof>& aProof,
-                 Duration aRoundTrip);
+  void OnProofReceived(Instant aNow,
+                       const std::optional<ConfigurationProof>& aProof,
+                       Duration aRoundTrip);
   // Records that at aAsOf the store held no configuration later than aVersion.
   void AddProof(Instant aNow, Instant aAsOf, RowVersion aVersion);
   // Reports a change of the time until which API keys may be accepted.
-  void NoteProof(Instant aNow);
+  void PublishProof(Instant aNow);
 
   // The groups' limits; see FleetMemberLimits.cpp.
 
-  void FollowLimits(Instant aNow);
-  void StartKeeper(Instant aNow);
+  void UpdateLimits(Instant aNow);
+  void StartLimitCoordinator(Instant aNow);
 
   // The placer role; see FleetMemberPlacer.cpp.
 
   // Queues a write that makes this instance the placer.
-  void Claim();
+  void ClaimPlacerRole();
   void StartPlacers(Instant aNow);
   void StopPlacers();
   void RunPlacers(Instant aNow);
@@ -239,26 +240,26 @@
   void NoteFleetSize(Instant aNow);
   void SendWrites(Instant aNow);
   void OnClaimed(Instant aNow, const Row& aRow);
-  void OnOwnershipWritten(Instant aNow, RowVersion aVersion, const WaitingWrite& aWrite);
-  void OnWriteDone(Instant aNow, const WaitingWrite& aWrite, const StoreReply& aReply);
-  void OnWriteConflict(Instant aNow, const WaitingWrite& aWrite, const StoreReply& aReply);
+  void OnOwnershipWritten(Instant aNow, RowVersion aVersion, const PendingWrite& aWrite);
+  void OnWriteDone(Instant aNow, const PendingWrite& aWrite, const StoreReply& aReply);
+  void OnWriteConflict(Instant aNow, const PendingWrite& aWrite, const StoreReply& aReply);
   std::vector<KeyServer> KeyServersOf(Instant aNow, const std::string& aService) const;
   // Median service time of a service's servers; no value when none is known.
-  std::optional<Duration> TypicalWorkTimeOf(const std::string& aService) const;
-  // Speed of a server relative to the median of its service, clamped to a factor of kMostSpeed in
-  // both directions.
-  double SpeedOf(const ServerRecord& aServer, Duration aTypical) const;
+  std::optional<Duration> MedianServiceTimeOf(const std::string& aService) const;
+  // Speed of a server relative to the median of its service, clamped to a factor of kMaxSpeedFactor
+  // in both directions.
+  double SpeedOf(const ServerRecord& aServer, Duration aMedian) const;
   // Pushes an update to all instances.
-  void Spread(const FleetUpdate& aNews);
+  void Broadcast(const FleetUpdate& aUpdate);
   // Records an uncertain lease here and on all other instances.
-  void SpreadDoubt(Instant aNow, const UncertainLease& aDoubt);
+  void BroadcastUncertainLease(Instant aNow, const UncertainLease& aLease);
   // Records an uncertain lease. Every instance keeps them in case it becomes the placer, the
   // current placer included: it may lose its claim and make it again.
-  void NoteDoubt(Instant aNow, const UncertainLease& aDoubt);
+  void KeepUncertainLease(Instant aNow, const UncertainLease& aLease);
   // Sends the tables to instances that reported that they have just started.
-  void SpreadTables(Instant aNow);
+  void SendTables(Instant aNow);
   // Whether this instance may still send key commands as the placer.
-  bool MayOrder(Instant aNow) const;
+  bool MaySendCommands(Instant aNow) const;
 
   // Reports to the placer; see FleetMemberReports.cpp.
 
@@ -267,15 +268,15 @@
   // Sends a report to the placer, or handles it directly if this instance is the placer.
   void Report(Instant aNow);
   // Applies the roster and the largest processor share from the placer's response.
-  void LearnInstances(Instant aNow, const ReportAnswer& aAnswer);
+  void ApplyReportAnswer(Instant aNow, const ReportAnswer& aAnswer);
   ReportAnswer MakeReportAnswer(Instant aNow, const InstanceReport& aReport) const;
   // Records that the sender of a report is alive.
-  void NoteInstances(Instant aNow, const InstanceReport& aReport);
+  void RecordReporter(Instant aNow, const InstanceReport& aReport);
   // Removes the instances whose reports have ceased.
-  void ForgetSilent(Instant aNow);
+  void RemoveSilentInstances(Instant aNow);
   // Passes the load and the server statistics of a report to the placers.
-  void TakeIn(Instant aNow, const InstanceReport& aReport);
-  void LearnSpeeds(Instant aNow, const std::map<std::string, ServerWork>& aWork);
+  void ProcessReport(Instant aNow, const InstanceReport& aReport);
+  void RecordServerWork(Instant aNow, const std::map<std::string, ServerWork>& aWork);
 
   FleetMemberSettings settings_;
   FleetActions& actions_;
@@ -283,62 +284,62 @@
   FleetView view_;
   std::minstd_rand random_;
   PlacerElection election_;
-  PlacerMonitor relay_;
-  ReaderPoller guide_;
-  StartupDeadline start_;
-  StorePollMode following_ = StorePollMode::Starting;
+  PlacerMonitor placerMonitor_;
+  ReaderPoller readerPoller_;
+  StartupDeadline startupDeadline_;
+  StorePollMode pollMode_ = StorePollMode::Starting;
   std::map<std::string, std::unique_ptr<ServicePlacer>> placers_;
-  std::vector<WaitingWrite> writes_;
+  std::vector<PendingWrite> writes_;
   std::map<std::string, KeyCounter> counters_;
   // Speeds of the servers of keyed services; kept on the placer only.
   ServerSpeeds speeds_;
   // State of an instance that sends reports to this one.
-  struct HeardInstance
+  struct Reporter
   {
-    Instant heardAt_{ 0 };
+    Instant lastReportAt_{ 0 };
     double processorShare_ = 0;
     // When the tables were last sent to it.
-    Instant tablesToldAt_ = Instant::min();
+    Instant tablesSentAt_ = Instant::min();
   };
   // Instances that report here, by address.
-  std::map<std::string, HeardInstance> heardInstances_;
+  std::map<std::string, Reporter> reporters_;
   // The largest processor share among them.
   double strongestShare_ = 0;
-  Instant nextForget_ = Instant::min();
+  Instant nextRemovalAt_ = Instant::min();
   // The instances of the fleet: on the placer those that report to it, elsewhere those in its last
   // response.
   FleetRoster roster_;
   // When the roster first had an entry.
   std::optional<Instant> rosterSince_;
   // Addresses of reporting instances that still need the tables.
-  std::set<std::string> lacking_;
+  std::set<std::string> awaitingTables_;
   // How many other instances reported here when the store was last reachable.
-  std::size_t othersWithStore_ = 0;
-  ConfigurationFreshness configuration_;
+  std::size_t reportersAtStoreContact_ = 0;
+  ConfigurationFreshness freshness_;
   // The time last passed to OnApiKeysProven.
   Instant apiKeysUntil_ = Instant::min();
   bool areApiKeysProven_ = false;
-  bool isProofAskedFor_ = false;
-  Instant nextProof_ = Instant::min();
+  bool isProofReadPending_ = false;
+  Instant nextProofReadAt_ = Instant::min();
   // Proofs requested before this time are ignored: after a restore, the store may still serve an
   // older copy.
-  Instant proofsFrom_ = Instant::min();
+  Instant proofsValidFrom_ = Instant::min();
   StoreEpoch proofEpoch_ = 0;
   Instant reportedAt_ = Instant::min();
   LimitMember limits_;
   // Used only while this instance is the placer.
-  LimitKeeper keeper_;
+  LimitKeeper limitCoordinator_;
   // Uncertain leases: until when each server may hold keys because of a command whose outcome is
   // unknown.
-  std::map<std::string, Instant> doubts_;
+  std::map<std::string, Instant> uncertainLeases_;
   // The instance that was the placer before this one; empty if there is none, or once it is known
   // to have stopped.
   std::string formerPlacer_;
   bool isStoreLost_ = false;
-  bool isNewsStale_ = false;
+  bool isStale_ = false;
   // When the placer last answered a report, whether or not it reached the store.
-  Instant placerHeardAt_ = Instant(0);
-  Instant storeHeardAt_{ 0 };
+  Instant placerContactAt_ = Instant(0);
+  Instant storeContactAt_{ 0 };
   Instant nextReport_ = Instant::min();
   Instant nextFetch_ = Instant::min();
 };
--- a/Libraries/LibFleet/FleetMemberConfiguration.cpp
+++ b/Libraries/LibFleet/FleetMemberConfiguration.cpp
@@ -17,9 +17,9 @@
 // still fit into a bound of some seconds.
 constexpr Duration kProofInterval = milliseconds(500);
 // Share of the bound for which a proof is valid; clocks may run slow by a hundredth or two.
-constexpr double kProofPart = 0.95;
+constexpr double kProofValidityShare = 0.95;
 // A proof whose remaining validity is less than this share of the bound is renewed at once.
-constexpr double kLowPart = 0.4;
+constexpr double kRenewalShare = 0.4;
 // Interval between reports that are sent only to get a proof.
 constexpr Duration kProofReportInterval = milliseconds(200);
 
@@ -38,32 +38,32 @@
 }
 
 bool
-FleetMember::AsksForProofs() const
+FleetMember::ReadsProofs() const
 {
   const bool isFollowing =
-    following_ == StorePollMode::LongWaits || following_ == StorePollMode::ShortWaits;
+    pollMode_ == StorePollMode::LongWaits || pollMode_ == StorePollMode::ShortWaits;
   return isFollowing && !isStoreLost_;
 }
 
 void
-FleetMember::FollowProofs(Instant aNow)
+FleetMember::RenewProof(Instant aNow)
 {
   if (view_.Epoch() != proofEpoch_) {
     proofEpoch_ = view_.Epoch();
-    proofsFrom_ = aNow + kReturnAfterOutage;
+    proofsValidFrom_ = aNow + kReturnAfterOutage;
   }
   if (!NeedsProofs()) {
     return;
   }
-  if (AsksForProofs() && !isProofAskedFor_ && aNow >= nextProof_) {
-    isProofAskedFor_ = true;
-    nextProof_ = aNow + kProofInterval;
+  if (ReadsProofs() && !isProofReadPending_ && aNow >= nextProofReadAt_) {
+    isProofReadPending_ = true;
+    nextProofReadAt_ = aNow + kProofInterval;
     actions_.ReadConfigurationVersion();
   }
-  NoteProof(aNow);
-  const auto lowFrom = aNow + Scale(*settings_.apiKeyBound_, kLowPart);
-  const bool isLow = apiKeysUntil_ < lowFrom;
-  if (isLow && reportedAt_ != Instant::min()) {
+  PublishProof(aNow);
+  const auto renewBefore = aNow + Scale(*settings_.apiKeyBound_, kRenewalShare);
+  const bool isExpiring = apiKeysUntil_ < renewBefore;
+  if (isExpiring && reportedAt_ != Instant::min()) {
     nextReport_ = std::min(nextReport_, reportedAt_ + kProofReportInterval);
   }
 }
@@ -71,18 +71,18 @@
 void
 FleetMember::OnConfigurationRead(Instant aNow, Instant aAskedAt, std::optional<RowVersion> aVersion)
 {
-  isProofAskedFor_ = false;
+  isProofReadPending_ = false;
   const bool isOfThisEpoch = aVersion && EpochOf(*aVersion) == view_.Epoch();
-  if (!isOfThisEpoch || view_.Epoch() != proofEpoch_ || aAskedAt < proofsFrom_) {
+  if (!isOfThisEpoch || view_.Epoch() != proofEpoch_ || aAskedAt < proofsValidFrom_) {
     return;
   }
   AddProof(aNow, aAskedAt, *aVersion);
 }
 
 void
-FleetMember::TakeProof(Instant aNow,
-                       const std::optional<ConfigurationProof>& aProof,
-                       Duration aRoundTrip)
+FleetMember::OnProofReceived(Instant aNow,
+                             const std::optional<ConfigurationProof>& aProof,
+                             Duration aRoundTrip)
 {
   if (aProof) {
     AddProof(aNow, aNow - aRoundTrip - aProof->age_, aProof->version_);
@@ -92,21 +92,22 @@
 void
 FleetMember::AddProof(Instant aNow, Instant aAsOf, RowVersion aVersion)
 {
-  configuration_.OnKnown(view_.ConfigurationVersion());
-  configuration_.OnProof(aAsOf, aVersion);
-  NoteProof(aNow);
+  freshness_.OnKnown(view_.ConfigurationVersion());
+  freshness_.OnProof(aAsOf, aVersion);
+  PublishProof(aNow);
 }
 
 void
-FleetMember::NoteProof(Instant aNow)
+FleetMember::PublishProof(Instant aNow)
 {
   if (!NeedsProofs()) {
     return;
   }
-  configuration_.OnKnown(view_.ConfigurationVersion());
-  const auto provenAt = configuration_.ProvenAt();
-  const auto until =
-    provenAt == Instant::min() ? provenAt : provenAt + Scale(*settings_.apiKeyBound_, kProofPart);
+  freshness_.OnKnown(view_.ConfigurationVersion());
+  const auto provenAt = freshness_.ProvenAt();
+  const auto until = provenAt == Instant::min()
+                       ? provenAt
+                       : provenAt + Scale(*settings_.apiKeyBound_, kProofValidityShare);
   if (until != apiKeysUntil_) {
     apiKeysUntil_ = until;
     actions_.OnApiKeysProven(until);
@@ -117,8 +118,8 @@
       areProven ? Event::ApiKeysProven : Event::ApiKeysUnproven,
       "proof_age_us=" +
         (provenAt == Instant::min() ? "-" : std::to_string((aNow - provenAt).count())) +
-        " row_version=" + DescribeVersion(configuration_.Known()) +
-        " following=" + std::string(kStorePollModeNames.NameOf(following_)));
+        " row_version=" + DescribeVersion(freshness_.KnownVersion()) +
+        " following=" + std::string(kStorePollModeNames.NameOf(pollMode_)));
   }
 }
 
--- a/Libraries/LibFleet/FleetMemberLimits.cpp
+++ b/Libraries/LibFleet/FleetMemberLimits.cpp
@@ -7,7 +7,7 @@
 namespace latchslip {
 
 void
-FleetMember::FollowLimits(Instant aNow)
+FleetMember::UpdateLimits(Instant aNow)
 {
   if (!election_.IsPlacer()) {
     if (election_.Current() && limits_.IsTellDue(aNow)) {
@@ -19,31 +19,31 @@
   limits_.OnKeeperHeard(aNow);
   if (limits_.IsTellDue(aNow)) {
     const auto uses = limits_.TakeUses(aNow);
-    keeper_.OnUses(aNow, uses);
-    limits_.OnParts(aNow, keeper_.PartsOf(aNow, uses));
+    limitCoordinator_.OnUses(aNow, uses);
+    limits_.OnParts(aNow, limitCoordinator_.PartsOf(aNow, uses));
   }
-  FleetUpdate news;
-  news.parts_ = keeper_.TakeShort(aNow);
-  for (const auto& part : news.parts_) {
+  FleetUpdate update;
+  update.parts_ = limitCoordinator_.TakeShort(aNow);
+  for (const auto& part : update.parts_) {
     events_.Record(Event::GroupOverLimit,
                    "group=" + part.group_ + " part=" + std::to_string(part.part_) +
                      " late_part=" + std::to_string(part.latePart_));
   }
-  if (!news.parts_.empty()) {
-    limits_.OnParts(aNow, news.parts_);
-    Spread(news);
+  if (!update.parts_.empty()) {
+    limits_.OnParts(aNow, update.parts_);
+    Broadcast(update);
   }
 }
 
 void
-FleetMember::StartKeeper(Instant aNow)
+FleetMember::StartLimitCoordinator(Instant aNow)
 {
-  keeper_ = LimitKeeper(settings_.limitWindow_);
+  limitCoordinator_ = LimitKeeper(settings_.limitWindow_);
   if (view_.Routes()) {
-    keeper_.SetGroups(aNow, view_.Routes()->Configuration().groups_);
+    limitCoordinator_.SetGroups(aNow, view_.Routes()->Configuration().groups_);
   }
   for (const auto& [address, peer] : roster_.Peers()) {
-    keeper_.OnHeard(aNow, address);
+    limitCoordinator_.OnHeard(aNow, address);
   }
 }
 
@@ -53,9 +53,9 @@
   if (!election_.IsPlacer()) {
     return std::nullopt;
   }
-  keeper_.OnHeard(aNow, aReport.address_);
-  keeper_.OnUses(aNow, aReport.uses_);
-  return keeper_.PartsOf(aNow, aReport.uses_);
+  limitCoordinator_.OnHeard(aNow, aReport.address_);
+  limitCoordinator_.OnUses(aNow, aReport.uses_);
+  return limitCoordinator_.PartsOf(aNow, aReport.uses_);
 }
 
 void
--- a/Libraries/LibFleet/FleetMemberPlacer.cpp
+++ b/Libraries/LibFleet/FleetMemberPlacer.cpp
@@ -12,30 +12,30 @@
 namespace {
 
 // An instance that reported within this time regards the receiver as the placer.
-constexpr Duration kReportingBound = seconds(2);
+constexpr Duration kReporterTimeout = seconds(2);
 // Tables are not sent to the same instance again within this time; an instance that didn't receive
 // them reads them itself before that.
-constexpr Duration kTablesAgain = seconds(2);
+constexpr Duration kTablesResendInterval = seconds(2);
 // Delay before a failed write is retried.
-constexpr Duration kWritePause = milliseconds(200);
+constexpr Duration kWriteRetryDelay = milliseconds(200);
 // All instances of a fleet have reported to its placer within this time.
-constexpr Duration kSizeSettle = seconds(2);
+constexpr Duration kSizeSettleTime = seconds(2);
 // Bound on the factor between a server's speed and the median, so that a noisy mean cannot remove
 // all keys from a server or flood it. Keys that a server has to load first take it several times as
 // long.
-constexpr double kMostSpeed = 4;
+constexpr double kMaxSpeedFactor = 4;
 // The share of a server's rate limit that placement counts on. Requests that arrive in bursts wait
 // for a slot, but those beyond a rate limit are mostly refused.
-constexpr double kCountedOnLimit = 0.6;
+constexpr double kUsableRateLimitShare = 0.6;
 
 } // namespace
 
 // A claim is conditional on the owners' rows too, so that no commands are sent on the basis of
 // older ones.
 void
-FleetMember::Claim()
+FleetMember::ClaimPlacerRole()
 {
-  WaitingWrite write;
+  PendingWrite write;
   auto& conditions = write.transaction_.conditions_;
   const std::string key(kPlacerKey);
   conditions.push_back({ key, view_.PlacerVersion() });
@@ -67,7 +67,7 @@
     auto& placer = placers_[service];
     placer = std::make_unique<ServicePlacer>(*this, service);
     placer->placer_.Start(
-      aNow, owned == nullptr ? std::nullopt : std::optional(owned->ownership_), doubts_);
+      aNow, owned == nullptr ? std::nullopt : std::optional(owned->ownership_), uncertainLeases_);
     if (owned != nullptr && owned->isFromCopyOnly_) {
       placer->placer_.WaitForLostGrants(aNow);
     }
@@ -82,7 +82,7 @@
 {
   placers_.clear();
   // Keep the write in flight, so that its result is not taken for that of a later one.
-  std::erase_if(writes_, [](const WaitingWrite& aWrite) { return !aWrite.isUnderWay_; });
+  std::erase_if(writes_, [](const PendingWrite& aWrite) { return !aWrite.isInFlight_; });
   for (auto& write : writes_) {
     write.isAbandoned_ = true;
   }
@@ -91,7 +91,7 @@
 void
 FleetMember::RunPlacers(Instant aNow)
 {
-  if (!MayOrder(aNow)) {
+  if (!MaySendCommands(aNow)) {
     return;
   }
   if (view_.IsKnown(FleetTable::Servers)) {
@@ -110,25 +110,26 @@
 // impossible as long as most of the other instances that reported here when the store was last
 // reachable still do.
 bool
-FleetMember::MayOrder(Instant aNow) const
+FleetMember::MaySendCommands(Instant aNow) const
 {
   const auto bound = settings_.placer_.renewalAlone_;
-  if (aNow - storeHeardAt_ < bound) {
+  if (aNow - storeContactAt_ < bound) {
     return true;
   }
   const auto reporting =
-    std::count_if(heardInstances_.begin(), heardInstances_.end(), [&](const auto& aEntry) {
+    std::count_if(reporters_.begin(), reporters_.end(), [&](const auto& aEntry) {
       return aEntry.first != settings_.self_.address_ &&
-             aNow - aEntry.second.heardAt_ < kReportingBound;
+             aNow - aEntry.second.lastReportAt_ < kReporterTimeout;
     });
-  return othersWithStore_ == 0 || 2 * static_cast<std::size_t>(reporting) > othersWithStore_;
+  return reportersAtStoreContact_ == 0 ||
+         2 * static_cast<std::size_t>(reporting) > reportersAtStoreContact_;
 }
 
 std::vector<KeyServer>
 FleetMember::KeyServersOf(Instant aNow, const std::string& aService) const
 {
   std::vector<KeyServer> servers;
-  const auto typical = TypicalWorkTimeOf(aService);
+  const auto median = MedianServiceTimeOf(aService);
   for (const auto& [id, record] : view_.Directory().All()) {
     if (record.service_ != aService) {
       continue;
@@ -138,9 +139,10 @@
     server.address_ = record.address_;
     server.life_ = record.life_;
     server.isUsable_ = record.TakesWork() && !view_.Directory().HasEnded(id);
-    if (typical) {
-      const double atLimit = kCountedOnLimit * speeds_.RateLimitOf(aNow, id) * ToSeconds(*typical);
-      server.weight_ = std::min(record.slots_ * SpeedOf(record, *typical), atLimit);
+    if (median) {
+      const double atLimit =
+        kUsableRateLimitShare * speeds_.RateLimitOf(aNow, id) * ToSeconds(*median);
+      server.weight_ = std::min(record.slots_ * SpeedOf(record, *median), atLimit);
     }
     servers.push_back(std::move(server));
   }
@@ -148,7 +150,7 @@
 }
 
 std::optional<Duration>
-FleetMember::TypicalWorkTimeOf(const std::string& aService) const
+FleetMember::MedianServiceTimeOf(const std::string& aService) const
 {
   std::vector<Duration> known;
   for (const auto& [id, record] : view_.Directory().All()) {
@@ -168,21 +170,21 @@
 }
 
 double
-FleetMember::SpeedOf(const ServerRecord& aServer, Duration aTypical) const
+FleetMember::SpeedOf(const ServerRecord& aServer, Duration aMedian) const
 {
   const auto time = speeds_.ServiceTimeOf(aServer.id_, aServer.slots_);
   if (!time) {
     return 1;
   }
   const auto count = std::max<Duration::rep>(1, time->count());
-  const double speed = static_cast<double>(aTypical.count()) / static_cast<double>(count);
-  return std::clamp(speed, 1 / kMostSpeed, kMostSpeed);
+  const double speed = static_cast<double>(aMedian.count()) / static_cast<double>(count);
+  return std::clamp(speed, 1 / kMaxSpeedFactor, kMaxSpeedFactor);
 }
 
 void
 FleetMember::QueueWrite(const KeyOwnership& aOwnership)
 {
-  WaitingWrite write;
+  PendingWrite write;
   write.ownership_ = aOwnership;
   const auto row = OwnershipKey(aOwnership.service_);
   const auto* owned = view_.OwnersOf(aOwnership.service_);
@@ -200,14 +202,14 @@
 void
 FleetMember::NoteFleetSize(Instant aNow)
 {
-  if (!writes_.empty() || isStoreLost_ || !rosterSince_ || aNow < *rosterSince_ + kSizeSettle) {
+  if (!writes_.empty() || isStoreLost_ || !rosterSince_ || aNow < *rosterSince_ + kSizeSettleTime) {
     return;
   }
   const auto size = roster_.HasReaders() ? FleetSize::Large : FleetSize::Small;
   if (view_.Size() == size) {
     return;
   }
-  WaitingWrite write;
+  PendingWrite write;
   const std::string key(kSizeKey);
   write.transaction_.conditions_ = { { std::string(kPlacerKey), view_.PlacerVersion() },
                                      { key, view_.SizeVersion() } };
@@ -218,21 +220,21 @@
 void
 FleetMember::SendWrites(Instant aNow)
 {
-  if (writes_.empty() || writes_.front().isUnderWay_ || aNow < writes_.front().retryAt_) {
+  if (writes_.empty() || writes_.front().isInFlight_ || aNow < writes_.front().retryAt_) {
     return;
   }
-  writes_.front().isUnderWay_ = true;
+  writes_.front().isInFlight_ = true;
   actions_.Transact(writes_.front().transaction_);
 }
 
 void
 FleetMember::OnTransactEnded(Instant aNow, const StoreReply& aReply)
 {
-  if (writes_.empty() || !writes_.front().isUnderWay_) {
+  if (writes_.empty() || !writes_.front().isInFlight_) {
     return;
   }
   auto& write = writes_.front();
-  write.isUnderWay_ = false;
+  write.isInFlight_ = false;
   if (write.isAbandoned_) {
     writes_.erase(writes_.begin());
     return;
@@ -243,13 +245,13 @@
       [[fallthrough]];
     case StoreStatus::Unavailable:
       // Retrying the same write is safe: the conditions hold for at most one of the two.
-      write.retryAt_ = aNow + kWritePause;
+      write.retryAt_ = aNow + kWriteRetryDelay;
       return;
     case StoreStatus::Done:
     case StoreStatus::Conflict:
       break;
   }
-  storeHeardAt_ = aNow;
+  storeContactAt_ = aNow;
   const auto ended = std::move(write);
   writes_.erase(writes_.begin());
   const auto& written = ended.transaction_.writes_.front();
@@ -263,7 +265,7 @@
 }
 
 void
-FleetMember::OnWriteDone(Instant aNow, const WaitingWrite& aWrite, const StoreReply& aReply)
+FleetMember::OnWriteDone(Instant aNow, const PendingWrite& aWrite, const StoreReply& aReply)
 {
   const auto& written = aWrite.transaction_.writes_.front();
   const auto* stored = FindRow(aReply.rows_, written.key_);
@@ -273,7 +275,7 @@
   } else if (aWrite.Key() == kPlacerKey) {
     OnClaimed(aNow, { written.key_, version, written.value_ });
   } else {
-    view_.TakeFleetRow(aNow, { written.key_, version, written.value_ });
+    view_.ApplyFleetRow(aNow, { written.key_, version, written.value_ });
   }
 }
 
@@ -281,45 +283,45 @@
 FleetMember::OnClaimed(Instant aNow, const Row& aRow)
 {
   events_.Record(Event::PlacerClaimed, "row_version=" + DescribeVersion(aRow.version_));
-  view_.TakeFleetRow(aNow, aRow);
+  view_.ApplyFleetRow(aNow, aRow);
   rosterSince_ = aNow;
   // Instances that reported to the former placer will report here.
   for (const auto& [address, peer] : roster_.Peers()) {
-    heardInstances_.try_emplace(address, HeardInstance{ aNow, peer.processorShare_ });
+    reporters_.try_emplace(address, Reporter{ aNow, peer.processorShare_ });
   }
-  StartKeeper(aNow);
-  FleetUpdate news;
-  news.placer_ = aRow;
-  Spread(news);
+  StartLimitCoordinator(aNow);
+  FleetUpdate update;
+  update.placer_ = aRow;
+  Broadcast(update);
   RunPlacers(aNow);
 }
 
 // The other instances have the owners that the write replaced. This instance may have read its own
 // write from the store before the write was acknowledged, so its current view is not the base.
 void
-FleetMember::OnOwnershipWritten(Instant aNow, RowVersion aVersion, const WaitingWrite& aWrite)
+FleetMember::OnOwnershipWritten(Instant aNow, RowVersion aVersion, const PendingWrite& aWrite)
 {
   const auto& ownership = *aWrite.ownership_;
-  FleetUpdate news;
+  FleetUpdate update;
   // After a restore of the store, the other instances may have the owners as of other versions.
   const bool isFirstOfEpoch =
     aWrite.former_ && aWrite.former_->ownership_.epoch_ < ownership.epoch_;
   if (aWrite.former_ && !isFirstOfEpoch) {
     const auto& former = *aWrite.former_;
-    news.owners_.push_back(
+    update.owners_.push_back(
       { former.version_, aVersion, ChangesBetween(former.ownership_, ownership) });
   } else {
-    news.owners_.push_back({ 0, aVersion, ownership });
+    update.owners_.push_back({ 0, aVersion, ownership });
   }
-  view_.TakeOwnership(aVersion, ownership);
-  Spread(news);
+  view_.ApplyOwnership(aVersion, ownership);
+  Broadcast(update);
   if (const auto placer = placers_.find(ownership.service_); placer != placers_.end()) {
     placer->second->placer_.OnWritten(aNow);
   }
 }
 
 void
-FleetMember::OnWriteConflict(Instant aNow, const WaitingWrite& aWrite, const StoreReply& aReply)
+FleetMember::OnWriteConflict(Instant aNow, const PendingWrite& aWrite, const StoreReply& aReply)
 {
   std::string versions;
   for (const auto& condition : aWrite.transaction_.conditions_) {
@@ -329,7 +331,7 @@
   }
   events_.Record(Event::StoreConflict, "write=" + aWrite.Key() + versions);
   for (const auto& row : aReply.rows_) {
-    view_.TakeFleetRow(aNow, row);
+    view_.ApplyFleetRow(aNow, row);
   }
   if (aWrite.Key() == kPlacerKey) {
     election_.OnClaimFailed(aNow);
@@ -345,40 +347,40 @@
 }
 
 void
-FleetMember::SpreadDoubt(Instant aNow, const UncertainLease& aDoubt)
+FleetMember::BroadcastUncertainLease(Instant aNow, const UncertainLease& aLease)
 {
-  NoteDoubt(aNow, aDoubt);
-  FleetUpdate news;
-  news.doubts_.push_back(aDoubt);
-  Spread(news);
+  KeepUncertainLease(aNow, aLease);
+  FleetUpdate update;
+  update.uncertainLeases_.push_back(aLease);
+  Broadcast(update);
 }
 
 void
-FleetMember::Spread(const FleetUpdate& aNews)
+FleetMember::Broadcast(const FleetUpdate& aUpdate)
 {
   std::vector<FleetPeer> receivers;
   for (const auto& [address, peer] : roster_.Peers()) {
     receivers.push_back(peer);
   }
-  actions_.SendUpdate(PlanUpdateTree(std::move(receivers), SelfAsPeer()), aNews);
+  actions_.SendUpdate(PlanUpdateTree(std::move(receivers), SelfAsPeer()), aUpdate);
 }
 
 void
-FleetMember::SpreadTables(Instant aNow)
+FleetMember::SendTables(Instant aNow)
 {
-  if (!IsReady() || lacking_.empty()) {
+  if (!IsReady() || awaitingTables_.empty()) {
     return;
   }
   std::vector<FleetPeer> receivers;
-  for (const auto& address : std::exchange(lacking_, {})) {
+  for (const auto& address : std::exchange(awaitingTables_, {})) {
     const auto peer = roster_.Peers().find(address);
-    const auto heard = heardInstances_.find(address);
-    if (peer == roster_.Peers().end() || heard == heardInstances_.end()) {
+    const auto reporter = reporters_.find(address);
+    if (peer == roster_.Peers().end() || reporter == reporters_.end()) {
       continue;
     }
-    auto& toldAt = heard->second.tablesToldAt_;
-    if (aNow >= toldAt + kTablesAgain) {
-      toldAt = aNow;
+    auto& sentAt = reporter->second.tablesSentAt_;
+    if (aNow >= sentAt + kTablesResendInterval) {
+      sentAt = aNow;
       receivers.push_back(peer->second);
     }
   }
--- a/Libraries/LibFleet/FleetMemberReports.cpp
+++ b/Libraries/LibFleet/FleetMemberReports.cpp
@@ -18,16 +18,16 @@
 // A placer that takes longer than this to answer is overloaded or slowed, and will send changes
 // late, as each takes it many steps. It is well above a round trip within a region with a busy
 // processor.
-constexpr Duration kSlowAnswer = milliseconds(150);
+constexpr Duration kSlowAnswerTime = milliseconds(150);
 // The store counts as reachable for this time after its last answer; it answers a placer more
 // often. It is less than the time after which silent instances are removed, so that a placer that
 // loses all connections at once still has the number of the others.
-constexpr Duration kStoreLately = milliseconds(1500);
+constexpr Duration kStoreContactTime = milliseconds(1500);
 // An instance that has not reported for this long is removed from the roster.
-constexpr Duration kInstanceSilence = seconds(4);
+constexpr Duration kRemovalTimeout = seconds(4);
 // Interval between searches for such instances: one at each report would cost a placer of 295
 // instances as many steps as their count squared every 0.8 s.
-constexpr Duration kForgetInterval = milliseconds(200);
+constexpr Duration kRemovalInterval = milliseconds(200);
 
 } // namespace
 
@@ -73,52 +73,52 @@
 ReportAnswer
 FleetMember::OnReport(Instant aNow, const InstanceReport& aReport)
 {
-  NoteInstances(aNow, aReport);
-  if (aNow - storeHeardAt_ < kStoreLately) {
-    othersWithStore_ = heardInstances_.size() - heardInstances_.count(settings_.self_.address_);
+  RecordReporter(aNow, aReport);
+  if (aNow - storeContactAt_ < kStoreContactTime) {
+    reportersAtStoreContact_ = reporters_.size() - reporters_.count(settings_.self_.address_);
   }
   if (election_.IsPlacer()) {
-    TakeIn(aNow, aReport);
+    ProcessReport(aNow, aReport);
   }
   return MakeReportAnswer(aNow, aReport);
 }
 
 void
-FleetMember::NoteInstances(Instant aNow, const InstanceReport& aReport)
+FleetMember::RecordReporter(Instant aNow, const InstanceReport& aReport)
 {
-  auto& heard = heardInstances_[aReport.address_];
-  heard.heardAt_ = aNow;
-  heard.processorShare_ = aReport.processorShare_;
+  auto& reporter = reporters_[aReport.address_];
+  reporter.lastReportAt_ = aNow;
+  reporter.processorShare_ = aReport.processorShare_;
   strongestShare_ = std::max(strongestShare_, aReport.processorShare_);
   if (election_.IsPlacer()) {
-    keeper_.OnHeard(aNow, aReport.address_);
+    limitCoordinator_.OnHeard(aNow, aReport.address_);
     roster_.Put({ aReport.address_, aReport.hall_, aReport.processorShare_ });
     if (aReport.lacksTables_) {
-      lacking_.insert(aReport.address_);
+      awaitingTables_.insert(aReport.address_);
     }
   }
-  if (aNow >= nextForget_) {
-    nextForget_ = aNow + kForgetInterval;
-    ForgetSilent(aNow);
+  if (aNow >= nextRemovalAt_) {
+    nextRemovalAt_ = aNow + kRemovalInterval;
+    RemoveSilentInstances(aNow);
   }
 }
 
 void
-FleetMember::ForgetSilent(Instant aNow)
+FleetMember::RemoveSilentInstances(Instant aNow)
 {
-  std::erase_if(heardInstances_, [&](const auto& aEntry) {
-    return aNow - aEntry.second.heardAt_ > kInstanceSilence;
+  std::erase_if(reporters_, [&](const auto& aEntry) {
+    return aNow - aEntry.second.lastReportAt_ > kRemovalTimeout;
   });
   strongestShare_ = 0;
-  for (const auto& [address, heard] : heardInstances_) {
-    strongestShare_ = std::max(strongestShare_, heard.processorShare_);
+  for (const auto& [address, reporter] : reporters_) {
+    strongestShare_ = std::max(strongestShare_, reporter.processorShare_);
   }
   if (!election_.IsPlacer()) {
     return;
   }
   std::vector<std::string> silent;
   for (const auto& [address, peer] : roster_.Peers()) {
-    if (!heardInstances_.contains(address)) {
+    if (!reporters_.contains(address)) {
       silent.push_back(address);
     }
   }
@@ -131,7 +131,7 @@
 FleetMember::MakeReportAnswer(Instant aNow, const InstanceReport& aReport) const
 {
   ReportAnswer answer;
-  answer.proof_ = configuration_.Tell(aNow);
+  answer.proof_ = freshness_.CurrentProof(aNow);
   answer.isWorking_ = election_.IsPlacer() && !isStoreLost_;
   if (election_.IsPlacer()) {
     answer.roster_ = roster_.ChangesSince(aReport.rosterDigest_);
@@ -142,7 +142,7 @@
 }
 
 void
-FleetMember::TakeIn(Instant aNow, const InstanceReport& aReport)
+FleetMember::ProcessReport(Instant aNow, const InstanceReport& aReport)
 {
   if (aReport.instance_ == formerPlacer_) {
     // An instance that reports here regards this one as the placer, so it has stopped being it.
@@ -156,11 +156,11 @@
       placer->second->placer_.OnLoad(aNow, counts);
     }
   }
-  LearnSpeeds(aNow, aReport.work_);
+  RecordServerWork(aNow, aReport.work_);
 }
 
 void
-FleetMember::LearnSpeeds(Instant aNow, const std::map<std::string, ServerWork>& aWork)
+FleetMember::RecordServerWork(Instant aNow, const std::map<std::string, ServerWork>& aWork)
 {
   for (const auto& [server, work] : aWork) {
     speeds_.Add(aNow, server, work);
@@ -175,9 +175,9 @@
                               Duration aRoundTrip)
 {
   if (aAnswer) {
-    placerHeardAt_ = aNow;
+    placerContactAt_ = aNow;
     limits_.OnKeeperHeard(aNow);
-    TakeProof(aNow, aAnswer->proof_, aRoundTrip);
+    OnProofReceived(aNow, aAnswer->proof_, aRoundTrip);
   }
   // A placer that cannot reach the store is as good as any other while this instance cannot reach
   // it either; replacing it when the store returns would have no benefit.
@@ -185,24 +185,24 @@
     election_.OnPlacerResponsive(aNow);
   }
   if (!aAnswer || !aAnswer->isWorking_) {
-    relay_.OnFailure(PlacerFault::NoAnswer);
+    placerMonitor_.OnFailure(PlacerFault::NoAnswer);
     if (!IsReady()) {
       nextReport_ = std::min(nextReport_, aNow + kStartReportInterval);
     }
     return;
   }
-  start_.OnPlacerAnswered(aNow);
-  LearnInstances(aNow, *aAnswer);
+  startupDeadline_.OnPlacerAnswered(aNow);
+  ApplyReportAnswer(aNow, *aAnswer);
   // In a large fleet the readers receive the changes that a slowed placer sends late.
-  if (aRoundTrip > kSlowAnswer && !IsReadFor()) {
-    relay_.OnFailure(PlacerFault::SlowAnswer);
+  if (aRoundTrip > kSlowAnswerTime && !DependsOnReaders()) {
+    placerMonitor_.OnFailure(PlacerFault::SlowAnswer);
   } else {
-    relay_.OnAnswer(aNow, aAnswer->lastChanges_, view_.Versions());
+    placerMonitor_.OnAnswer(aNow, aAnswer->lastChanges_, view_.Versions());
   }
 }
 
 void
-FleetMember::LearnInstances(Instant aNow, const ReportAnswer& aAnswer)
+FleetMember::ApplyReportAnswer(Instant aNow, const ReportAnswer& aAnswer)
 {
   if (!aAnswer.roster_.IsEmpty()) {
     rosterSince_ = rosterSince_.value_or(aNow);
@@ -211,7 +211,8 @@
     actions_.OnInstances(roster_.Peers());
   }
   if (aAnswer.strongestShare_ > 0) {
-    election_.SetWeakness(CapacityDeficit(settings_.processorShare_, aAnswer.strongestShare_));
+    election_.SetCapacityDeficit(
+      CapacityDeficit(settings_.processorShare_, aAnswer.strongestShare_));
   }
 }
 
--- a/Libraries/LibFleet/FleetReport.cpp
+++ b/Libraries/LibFleet/FleetReport.cpp
@@ -9,18 +9,17 @@
 
 namespace {
 
-constexpr std::uint64_t kMostCount = 1'000'000;
+constexpr std::uint64_t kMaxCount = 1'000'000;
 // No instance has more processors than this.
-constexpr double kMostProcessors = 1024;
+constexpr double kMaxProcessors = 1024;
 
 FieldResult<std::uint64_t>
-WholeNumber(const boost::json::value& aValue, std::string_view aField, std::uint64_t aMost)
+WholeNumber(const boost::json::value& aValue, std::string_view aField, std::uint64_t aMax)
 {
   boost::system::error_code error;
   const auto number = aValue.to_number<std::uint64_t>(error);
-  if (error || number > aMost) {
-    return FieldError{ std::string(aField),
-                       "must be whole numbers up to " + std::to_string(aMost) };
+  if (error || number > aMax) {
+    return FieldError{ std::string(aField), "must be whole numbers up to " + std::to_string(aMax) };
   }
   return number;
 }
@@ -58,7 +57,7 @@
   }
   boost::system::error_code error;
   const auto share = (*list)[2].to_number<double>(error);
-  if (error || share < 0 || share > kMostProcessors) {
+  if (error || share < 0 || share > kMaxProcessors) {
     return malformed;
   }
   return FleetPeer{ std::string((*list)[0].as_string()),
@@ -97,7 +96,7 @@
   const auto& list = aValue.as_array();
   for (std::size_t index = 0; index < list.size(); index += 2) {
     BOOST_OUTCOME_TRY(const auto key, WholeNumber(list[index], "key_counts", kLastKey));
-    BOOST_OUTCOME_TRY(const auto count, WholeNumber(list[index + 1], "key_counts", kMostCount));
+    BOOST_OUTCOME_TRY(const auto count, WholeNumber(list[index + 1], "key_counts", kMaxCount));
     counts.push_back({ static_cast<KeyNumber>(key), static_cast<std::uint32_t>(count) });
   }
   return counts;
@@ -108,7 +107,7 @@
 FieldResult<ServerWork>
 ParseWork(const boost::json::value& aValue)
 {
-  constexpr std::uint64_t kMostBusy = 3'600'000'000'000;
+  constexpr std::uint64_t kMaxBusyMicroseconds = 3'600'000'000'000;
   constexpr std::size_t kWithoutLimit = 2;
   constexpr std::size_t kWithLimit = 3;
   const auto* list = aValue.if_array();
@@ -116,8 +115,8 @@
     return FieldError{ "work", "must be lists of answers, their time and a rate limit" };
   }
   ServerWork work;
-  BOOST_OUTCOME_TRY(work.answers_, WholeNumber(list->at(0), "work", kMostCount));
-  BOOST_OUTCOME_TRY(const auto busy, WholeNumber(list->at(1), "work", kMostBusy));
+  BOOST_OUTCOME_TRY(work.answers_, WholeNumber(list->at(0), "work", kMaxCount));
+  BOOST_OUTCOME_TRY(const auto busy, WholeNumber(list->at(1), "work", kMaxBusyMicroseconds));
   work.busy_ = Duration(busy);
   if (list->size() == kWithLimit) {
     const auto& limit = list->at(2);
@@ -178,7 +177,7 @@
   BOOST_OUTCOME_TRY(report.instance_, reader.Text("instance"));
   BOOST_OUTCOME_TRY(report.address_, reader.Text("address"));
   BOOST_OUTCOME_TRY(report.processorShare_,
-                    reader.NumberOr("processor_share", 0, 0, kMostProcessors));
+                    reader.NumberOr("processor_share", 0, 0, kMaxProcessors));
   BOOST_OUTCOME_TRY(report.hall_, reader.TextOr("hall", ""));
   BOOST_OUTCOME_TRY(report.rosterDigest_, ParseDigest(reader));
   BOOST_OUTCOME_TRY(report.lacksTables_, reader.FlagOr("lacks_tables", false));
@@ -222,7 +221,7 @@
   BOOST_OUTCOME_TRY(answer.isWorking_, reader.FlagOr("working", false));
   BOOST_OUTCOME_TRY(answer.lastChanges_, VersionsFromJson(value.as_object()));
   BOOST_OUTCOME_TRY(answer.strongestShare_,
-                    reader.NumberOr("strongest_share", 0, 0, kMostProcessors));
+                    reader.NumberOr("strongest_share", 0, 0, kMaxProcessors));
   BOOST_OUTCOME_TRY(answer.roster_, ParseRoster(reader));
   BOOST_OUTCOME_TRY(answer.proof_, ProofFromJson(value.as_object()));
   return answer;
--- a/Libraries/LibFleet/FleetRoster.cpp
+++ b/Libraries/LibFleet/FleetRoster.cpp
@@ -9,12 +9,12 @@
 namespace {
 
 // Two, so that a hall still has one while the other is cut off or slow.
-constexpr std::size_t kReadersAHall = 2;
+constexpr std::size_t kReadersPerHall = 2;
 // Up to this size each instance polls the store itself, so that none depends on another. At one
 // poll in 8 s each, the store gets 2 a second.
-constexpr std::size_t kFewInstances = 16;
+constexpr std::size_t kMaxSmallFleet = 16;
 // Length of the change log; a large fleet that starts needs half of it.
-constexpr std::size_t kMostSteps = 1024;
+constexpr std::size_t kMaxLogEntries = 1024;
 
 } // namespace
 
@@ -42,7 +42,7 @@
     return false;
   }
   if (known == peers_.end()) {
-    Note(aPeer, false);
+    AppendToLog(aPeer, false);
   }
   const auto address = aPeer.address_;
   peers_[address] = std::move(aPeer);
@@ -56,7 +56,7 @@
   if (known == peers_.end()) {
     return false;
   }
-  Note(known->second, true);
+  AppendToLog(known->second, true);
   peers_.erase(known);
   return true;
 }
@@ -64,11 +64,11 @@
 // Joining and leaving combine the same hash by XOR, so that the digest doesn't depend on the order
 // in which instances joined and left.
 void
-FleetRoster::Note(const FleetPeer& aPeer, bool aHasLeft)
+FleetRoster::AppendToLog(const FleetPeer& aPeer, bool aHasLeft)
 {
-  steps_.push_back({ digest_, aPeer, aHasLeft });
-  if (steps_.size() > kMostSteps) {
-    steps_.pop_front();
+  changeLog_.push_back({ digest_, aPeer, aHasLeft });
+  if (changeLog_.size() > kMaxLogEntries) {
+    changeLog_.pop_front();
   }
   digest_ ^= HashKey(aPeer.address_);
 }
@@ -107,9 +107,11 @@
   if (aDigest == digest_) {
     return change;
   }
-  const auto from = std::find_if(
-    steps_.rbegin(), steps_.rend(), [&](const Step& aStep) { return aStep.before_ == aDigest; });
-  if (from == steps_.rend()) {
+  const auto from =
+    std::find_if(changeLog_.rbegin(), changeLog_.rend(), [&](const LogEntry& aEntry) {
+      return aEntry.digestBefore_ == aDigest;
+    });
+  if (from == changeLog_.rend()) {
     change.isWhole_ = true;
     for (const auto& [address, peer] : peers_) {
       change.joined_.push_back(peer);
@@ -117,8 +119,8 @@
     return change;
   }
   std::set<std::string> touched;
-  for (auto step = std::prev(from.base()); step != steps_.end(); ++step) {
-    touched.insert(step->peer_.address_);
+  for (auto entry = std::prev(from.base()); entry != changeLog_.end(); ++entry) {
+    touched.insert(entry->peer_.address_);
   }
   for (const auto& address : touched) {
     const auto peer = peers_.find(address);
@@ -134,7 +136,7 @@
 bool
 FleetRoster::HasReaders() const
 {
-  return peers_.size() > kFewInstances;
+  return peers_.size() > kMaxSmallFleet;
 }
 
 bool
@@ -169,7 +171,7 @@
     halls[peer.hall_].push_back(&peer);
   }
   for (auto& [hall, peers] : halls) {
-    const auto count = std::min(kReadersAHall, peers.size());
+    const auto count = std::min(kReadersPerHall, peers.size());
     std::partial_sort(peers.begin(),
                       peers.begin() + static_cast<std::ptrdiff_t>(count),
                       peers.end(),
--- a/Libraries/LibFleet/FleetRoster.h
+++ b/Libraries/LibFleet/FleetRoster.h
@@ -56,9 +56,9 @@
 
 private:
   // An entry of the change log.
-  struct Step
+  struct LogEntry
   {
-    std::uint64_t before_ = 0;
+    std::uint64_t digestBefore_ = 0;
     FleetPeer peer_;
     bool hasLeft_ = false;
   };
@@ -66,13 +66,13 @@
   // Add and Drop return whether the roster changed.
   bool Add(FleetPeer aPeer);
   bool Drop(const std::string& aAddress);
-  void Note(const FleetPeer& aPeer, bool aHasLeft);
+  void AppendToLog(const FleetPeer& aPeer, bool aHasLeft);
   void ChooseReaders();
 
   std::map<std::string, FleetPeer> peers_;
   std::uint64_t digest_ = 0;
   // The change log, oldest entry first.
-  std::deque<Step> steps_;
+  std::deque<LogEntry> changeLog_;
   std::set<std::string> readers_;
 };
 
--- a/Libraries/LibFleet/FleetUpdate.cpp
+++ b/Libraries/LibFleet/FleetUpdate.cpp
@@ -71,47 +71,47 @@
 ParseOwners(const boost::json::value& aValue)
 {
   BOOST_OUTCOME_TRY(const auto reader, JsonReader::Create(aValue, "owners"));
-  OwnershipUpdate news;
-  BOOST_OUTCOME_TRY(news.base_, ReadVersion(aValue.as_object(), "base"));
-  BOOST_OUTCOME_TRY(news.version_, ReadVersion(aValue.as_object(), "version"));
+  OwnershipUpdate update;
+  BOOST_OUTCOME_TRY(update.base_, ReadVersion(aValue.as_object(), "base"));
+  BOOST_OUTCOME_TRY(update.version_, ReadVersion(aValue.as_object(), "version"));
   BOOST_OUTCOME_TRY(const auto text, reader.Text("ownership"));
-  BOOST_OUTCOME_TRY(news.ownership_, ParseOwnership(text));
-  return news;
+  BOOST_OUTCOME_TRY(update.ownership_, ParseOwnership(text));
+  return update;
 }
 
 } // namespace
 
 std::string
-SerializeUpdate(const FleetUpdate& aNews)
+SerializeUpdate(const FleetUpdate& aUpdate)
 {
   boost::json::array views;
-  for (const auto& view : aNews.views_) {
+  for (const auto& view : aUpdate.views_) {
     views.push_back(ToJson(view));
   }
   boost::json::array owners;
-  for (const auto& news : aNews.owners_) {
-    owners.push_back(boost::json::object{ { "base", news.base_ },
-                                          { "version", news.version_ },
-                                          { "ownership", SerializeOwnership(news.ownership_) } });
+  for (const auto& update : aUpdate.owners_) {
+    owners.push_back(boost::json::object{ { "base", update.base_ },
+                                          { "version", update.version_ },
+                                          { "ownership", SerializeOwnership(update.ownership_) } });
   }
-  boost::json::object document{ { "last_for_now", aNews.pausesUpdates_ },
+  boost::json::object document{ { "last_for_now", aUpdate.pausesUpdates_ },
                                 { "store",
-                                  kStoreReachabilityNames.NameOf(aNews.storeReachability_) },
+                                  kStoreReachabilityNames.NameOf(aUpdate.storeReachability_) },
                                 { "views", std::move(views) },
                                 { "owners", std::move(owners) } };
-  if (!aNews.doubts_.empty()) {
-    boost::json::object doubts;
-    for (const auto& doubt : aNews.doubts_) {
-      doubts[doubt.server_] = doubt.holds_.count();
+  if (!aUpdate.uncertainLeases_.empty()) {
+    boost::json::object leases;
+    for (const auto& lease : aUpdate.uncertainLeases_) {
+      leases[lease.server_] = lease.duration_.count();
     }
-    document["doubts_us"] = std::move(doubts);
+    document["doubts_us"] = std::move(leases);
   }
-  if (aNews.placer_) {
-    document["placer"] = ToJson(RowChange{ *aNews.placer_, false });
+  if (aUpdate.placer_) {
+    document["placer"] = ToJson(RowChange{ *aUpdate.placer_, false });
   }
-  PutProof(aNews.proof_, document);
-  if (!aNews.parts_.empty()) {
-    document["parts"] = SerializeParts(aNews.parts_);
+  PutProof(aUpdate.proof_, document);
+  if (!aUpdate.parts_.empty()) {
+    document["parts"] = SerializeParts(aUpdate.parts_);
   }
   return boost::json::serialize(document);
 }
@@ -121,43 +121,44 @@
 {
   BOOST_OUTCOME_TRY(const auto value, ParseJson(aText, "news"));
   BOOST_OUTCOME_TRY(const auto reader, JsonReader::Create(value, ""));
-  FleetUpdate news;
-  BOOST_OUTCOME_TRY(news.pausesUpdates_, reader.FlagOr("last_for_now", false));
+  FleetUpdate update;
+  BOOST_OUTCOME_TRY(update.pausesUpdates_, reader.FlagOr("last_for_now", false));
   BOOST_OUTCOME_TRY(const auto sight, reader.TextOr("store", "none"));
   const auto known = kStoreReachabilityNames.ValueOf(sight);
   if (!known) {
     return FieldError{ "store", "must be none, lost or heard" };
   }
-  news.storeReachability_ = *known;
+  update.storeReachability_ = *known;
   BOOST_OUTCOME_TRY(const auto* views, reader.List("views"));
   for (const auto& entry : *views) {
     BOOST_OUTCOME_TRY(auto view, ParseView(entry));
-    news.views_.push_back(std::move(view));
+    update.views_.push_back(std::move(view));
   }
   BOOST_OUTCOME_TRY(const auto* owners, reader.List("owners"));
   for (const auto& entry : *owners) {
     BOOST_OUTCOME_TRY(auto ownership, ParseOwners(entry));
-    news.owners_.push_back(std::move(ownership));
-  }
-  if (const auto* doubts = value.as_object().if_contains("doubts_us")) {
-    BOOST_OUTCOME_TRY(const auto entries, JsonReader::Create(*doubts, "doubts_us"));
-    for (const auto& entry : doubts->as_object()) {
-      constexpr double kMostDoubt = 3.6e9;
-      BOOST_OUTCOME_TRY(const auto holds, entries.NumberOr(entry.key(), 0, 0, kMostDoubt));
-      news.doubts_.push_back(
+    update.owners_.push_back(std::move(ownership));
+  }
+  if (const auto* leases = value.as_object().if_contains("doubts_us")) {
+    BOOST_OUTCOME_TRY(const auto entries, JsonReader::Create(*leases, "doubts_us"));
+    for (const auto& entry : leases->as_object()) {
+      constexpr double kMaxUncertainMicroseconds = 3.6e9;
+      BOOST_OUTCOME_TRY(const auto holds,
+                        entries.NumberOr(entry.key(), 0, 0, kMaxUncertainMicroseconds));
+      update.uncertainLeases_.push_back(
         { std::string(entry.key()), Duration(static_cast<Duration::rep>(holds)) });
     }
   }
   if (const auto* placer = value.as_object().if_contains("placer")) {
     BOOST_OUTCOME_TRY(auto change, ParseRow(*placer));
-    news.placer_ = std::move(change.row_);
+    update.placer_ = std::move(change.row_);
   }
-  BOOST_OUTCOME_TRY(news.proof_, ProofFromJson(value.as_object()));
+  BOOST_OUTCOME_TRY(update.proof_, ProofFromJson(value.as_object()));
   if (value.as_object().contains("parts")) {
     BOOST_OUTCOME_TRY(const auto parts, reader.Text("parts"));
-    BOOST_OUTCOME_TRY(news.parts_, ParseParts(parts));
+    BOOST_OUTCOME_TRY(update.parts_, ParseParts(parts));
   }
-  return news;
+  return update;
 }
 
 void
@@ -177,11 +178,12 @@
     return std::optional<ConfigurationProof>();
   }
   BOOST_OUTCOME_TRY(const auto reader, JsonReader::Create(*member, "proof"));
-  constexpr double kMostAge = 9e15;
+  constexpr double kMaxAgeMicroseconds = 9e15;
   ConfigurationProof proof;
   BOOST_OUTCOME_TRY(proof.version_, ReadVersion(member->as_object(), "version"));
   // A proof without an age must not count as fresh.
-  BOOST_OUTCOME_TRY(const auto age, reader.NumberOr("age_us", kMostAge, 0, kMostAge));
+  BOOST_OUTCOME_TRY(const auto age,
+                    reader.NumberOr("age_us", kMaxAgeMicroseconds, 0, kMaxAgeMicroseconds));
   proof.age_ = Duration(static_cast<Duration::rep>(age));
   return std::optional(proof);
 }
--- a/Libraries/LibFleet/FleetUpdate.h
+++ b/Libraries/LibFleet/FleetUpdate.h
@@ -30,7 +30,7 @@
 struct UncertainLease
 {
   std::string server_;
-  Duration holds_{ 0 };
+  Duration duration_{ 0 };
 };
 
 // Whether the sender of an update reaches the store.
@@ -61,7 +61,7 @@
   // The placer row, if it changed.
   std::optional<Row> placer_;
   std::vector<OwnershipUpdate> owners_;
-  std::vector<UncertainLease> doubts_;
+  std::vector<UncertainLease> uncertainLeases_;
   // Set only in responses to a fetch, whose receiver can tell how old it is on arrival.
   std::optional<ConfigurationProof> proof_;
   // Admitted shares of the groups that exceed their limits.
@@ -69,7 +69,7 @@
 };
 
 std::string
-SerializeUpdate(const FleetUpdate& aNews);
+SerializeUpdate(const FleetUpdate& aUpdate);
 FieldResult<FleetUpdate>
 ParseUpdate(std::string_view aText);
 
--- a/Libraries/LibFleet/FleetView.cpp
+++ b/Libraries/LibFleet/FleetView.cpp
@@ -21,7 +21,7 @@
 }
 
 bool
-FleetView::Take(Instant aNow, const TableView& aView)
+FleetView::Merge(Instant aNow, const TableView& aView)
 {
   NoteEpoch(aNow, aView.version_);
   const bool isNew = !mirror_.IsKnown(aView.table_);
@@ -42,7 +42,7 @@
     }
   }
   if (aView.table_ == FleetTable::Fleet) {
-    TakeFleetRows(aNow, aView);
+    ApplyFleetRows(aNow, aView);
   }
   if (aView.table_ == FleetTable::Servers && (isNew || !changes->empty())) {
     listener_.OnDirectoryChanged();
@@ -69,20 +69,20 @@
 }
 
 void
-FleetView::TakeFleetRows(Instant aNow, const TableView& aView)
+FleetView::ApplyFleetRows(Instant aNow, const TableView& aView)
 {
   for (const auto& change : aView.rows_) {
     if (!change.isRemoved_) {
-      TakeFleetRow(aNow, change.row_);
+      ApplyFleetRow(aNow, change.row_);
     }
   }
   if (aView.isWhole_) {
-    ForgetLostRows(aNow, aView);
+    DropLostRows(aNow, aView);
   }
 }
 
 void
-FleetView::ForgetLostRows(Instant aNow, const TableView& aView)
+FleetView::DropLostRows(Instant aNow, const TableView& aView)
 {
   std::set<std::string> present;
   for (const auto& change : aView.rows_) {
@@ -106,43 +106,43 @@
 }
 
 bool
-FleetView::Take(Instant aNow, const FleetUpdate& aNews, bool aOwnRowsOnly)
+FleetView::Merge(Instant aNow, const FleetUpdate& aUpdate, bool aOwnRowsOnly)
 {
   bool isWhole = true;
   if (!aOwnRowsOnly) {
-    for (const auto& view : aNews.views_) {
-      isWhole = Take(aNow, view) && isWhole;
+    for (const auto& view : aUpdate.views_) {
+      isWhole = Merge(aNow, view) && isWhole;
     }
   }
-  if (aNews.placer_) {
-    TakeFleetRow(aNow, *aNews.placer_);
+  if (aUpdate.placer_) {
+    ApplyFleetRow(aNow, *aUpdate.placer_);
   }
-  for (const auto& news : aNews.owners_) {
-    isWhole = TakeOwners(news) && isWhole;
+  for (const auto& update : aUpdate.owners_) {
+    isWhole = ApplyOwnershipUpdate(update) && isWhole;
   }
   return isWhole;
 }
 
 bool
-FleetView::TakeOwners(const OwnershipUpdate& aNews)
+FleetView::ApplyOwnershipUpdate(const OwnershipUpdate& aUpdate)
 {
-  const auto& service = aNews.ownership_.service_;
+  const auto& service = aUpdate.ownership_.service_;
   const auto known = owners_.find(service);
   const RowVersion version = known == owners_.end() ? 0 : known->second.version_;
-  if (aNews.version_ <= version) {
+  if (aUpdate.version_ <= version) {
     return true;
   }
-  if (aNews.base_ > version) {
+  if (aUpdate.base_ > version) {
     return false;
   }
-  TakeOwnership(aNews.version_,
-                aNews.base_ == 0 ? aNews.ownership_
-                                 : Overlay(known->second.ownership_, aNews.ownership_));
+  ApplyOwnership(aUpdate.version_,
+                 aUpdate.base_ == 0 ? aUpdate.ownership_
+                                    : Overlay(known->second.ownership_, aUpdate.ownership_));
   return true;
 }
 
 void
-FleetView::TakeOwnership(RowVersion aVersion, const KeyOwnership& aOwnership)
+FleetView::ApplyOwnership(RowVersion aVersion, const KeyOwnership& aOwnership)
 {
   const auto [entry, isFirst] = owners_.try_emplace(aOwnership.service_);
   auto& owned = entry->second;
@@ -168,7 +168,7 @@
 }
 
 void
-FleetView::TakeFleetRow(Instant aNow, const Row& aRow)
+FleetView::ApplyFleetRow(Instant aNow, const Row& aRow)
 {
   if (aRow.key_ == kPlacerKey) {
     OnPlacerRow(aNow, aRow);
@@ -291,7 +291,7 @@
     events_.Record(Event::RecordRejected, "row=" + aRow.key_ + " reason=\"" + problem + "\"");
     return;
   }
-  TakeOwnership(aRow.version_, ownership.value());
+  ApplyOwnership(aRow.version_, ownership.value());
 }
 
 RowVersion
@@ -304,24 +304,24 @@
 FleetUpdate
 FleetView::UpdateSince(const TableVersions& aVersions) const
 {
-  FleetUpdate news;
+  FleetUpdate update;
   for (const auto table : { FleetTable::Configuration, FleetTable::Servers }) {
     const auto index = static_cast<std::size_t>(table);
     const auto has = aVersions.at(index);
     if (mirror_.IsKnown(table) && (has == 0 || mirror_.LastChangeOf(table) > has)) {
-      news.views_.push_back(mirror_.Since(table, has));
+      update.views_.push_back(mirror_.Since(table, has));
     }
   }
   const auto known = aVersions.at(static_cast<std::size_t>(FleetTable::Fleet));
   if (PlacerVersion() > known) {
-    news.placer_ = placer_;
+    update.placer_ = placer_;
   }
   for (const auto& [service, owned] : owners_) {
     if (owned.version_ > known) {
-      news.owners_.push_back({ 0, owned.version_, owned.ownership_ });
+      update.owners_.push_back({ 0, owned.version_, owned.ownership_ });
     }
   }
-  return news;
+  return update;
 }
 
 TableVersions
--- a/Libraries/LibFleet/FleetView.h
+++ b/Libraries/LibFleet/FleetView.h
@@ -89,14 +89,14 @@
 
   // Applies a table or changes read from the store; false if the changes begin after the known
   // version.
-  bool Take(Instant aNow, const TableView& aView);
+  bool Merge(Instant aNow, const TableView& aView);
   // Applies an update of another instance; false if some changes in it begin after the known
   // version. With aOwnRowsOnly, only the fleet's own rows are applied.
-  bool Take(Instant aNow, const FleetUpdate& aNews, bool aOwnRowsOnly);
+  bool Merge(Instant aNow, const FleetUpdate& aUpdate, bool aOwnRowsOnly);
   // Applies a row of the fleet table.
-  void TakeFleetRow(Instant aNow, const Row& aRow);
+  void ApplyFleetRow(Instant aNow, const Row& aRow);
   // Applies owners that this instance wrote, or received, as version aVersion of their row.
-  void TakeOwnership(RowVersion aVersion, const KeyOwnership& aOwnership);
+  void ApplyOwnership(RowVersion aVersion, const KeyOwnership& aOwnership);
   // The changes of a table since aVersion.
   TableView ChangesSince(FleetTable aTable, RowVersion aVersion) const
   {
@@ -138,12 +138,12 @@
   FieldResult<ServerRecord> DecodeServer(const Row& aRow) const;
   void OnPlacerRow(Instant aNow, const Row& aRow);
   void OnOwnershipRow(const Row& aRow);
-  bool TakeOwners(const OwnershipUpdate& aNews);
+  bool ApplyOwnershipUpdate(const OwnershipUpdate& aUpdate);
   // Detects that the store was restored, by the epoch of a version.
   void NoteEpoch(Instant aNow, RowVersion aVersion);
-  void TakeFleetRows(Instant aNow, const TableView& aView);
+  void ApplyFleetRows(Instant aNow, const TableView& aView);
   // Drops the rows of the fleet that a whole table of a later epoch lacks.
-  void ForgetLostRows(Instant aNow, const TableView& aView);
+  void DropLostRows(Instant aNow, const TableView& aView);
 
   const RowDecoder& decoder_;
   FleetViewListener& listener_;
--- a/Libraries/LibFleet/PlacerElection.cpp
+++ b/Libraries/LibFleet/PlacerElection.cpp
@@ -12,12 +12,12 @@
 // grants are valid several times as long.
 constexpr Duration kSilenceLimit = milliseconds(1800);
 // Maximum jitter between claims of instances with equal processor shares.
-constexpr Duration kSpread = milliseconds(160);
+constexpr Duration kMaxJitter = milliseconds(160);
 // Additional delay of the weakest instance. It is a report interval, since one instance may have
 // missed the placer's last answer by that much earlier than another.
-constexpr Duration kWeakWait = milliseconds(900);
+constexpr Duration kMaxCapacityDelay = milliseconds(900);
 // Delay after a failed claim, in which the row is read again.
-constexpr Duration kClaimPause = milliseconds(500);
+constexpr Duration kClaimRetryDelay = milliseconds(500);
 
 } // namespace
 
@@ -46,19 +46,19 @@
   return 1 - std::min(1.0, aShare / aStrongestShare);
 }
 
-PlacerElection::PlacerElection(PlacerRow aSelf, double aChance, double aWeakness)
+PlacerElection::PlacerElection(PlacerRow aSelf, double aJitter, double aCapacityDeficit)
   : self_(std::move(aSelf))
-  , chance_(aChance)
+  , jitter_(aJitter)
 {
-  SetWeakness(aWeakness);
+  SetCapacityDeficit(aCapacityDeficit);
 }
 
 void
-PlacerElection::SetWeakness(double aWeakness)
+PlacerElection::SetCapacityDeficit(double aCapacityDeficit)
 {
-  spread_ =
-    Duration(static_cast<Duration::rep>(static_cast<double>(kSpread.count()) * chance_ +
-                                        static_cast<double>(kWeakWait.count()) * aWeakness));
+  claimDelay_ = Duration(
+    static_cast<Duration::rep>(static_cast<double>(kMaxJitter.count()) * jitter_ +
+                               static_cast<double>(kMaxCapacityDelay.count()) * aCapacityDeficit));
 }
 
 void
@@ -75,29 +75,30 @@
 void
 PlacerElection::OnPlacerResponsive(Instant aNow)
 {
-  heardAt_ = aNow;
+  placerContactAt_ = aNow;
 }
 
 void
 PlacerElection::OnClaimFailed(Instant aNow)
 {
-  notBefore_ = aNow + kClaimPause + spread_;
+  noClaimBefore_ = aNow + kClaimRetryDelay + claimDelay_;
 }
 
 bool
 PlacerElection::IsPlacerSilent(Instant aNow) const
 {
-  return row_ && !IsPlacer() && aNow - std::max(heardAt_, rowSince_) >= kSilenceLimit + spread_;
+  return row_ && !IsPlacer() &&
+         aNow - std::max(placerContactAt_, rowSince_) >= kSilenceLimit + claimDelay_;
 }
 
 bool
 PlacerElection::ShouldClaim(Instant aNow) const
 {
-  if (!isRowKnown_ || IsPlacer() || aNow < notBefore_) {
+  if (!isRowKnown_ || IsPlacer() || aNow < noClaimBefore_) {
     return false;
   }
   if (!row_) {
-    return aNow - rowSince_ >= spread_;
+    return aNow - rowSince_ >= claimDelay_;
   }
   // If the row names an earlier run of this instance, that run has certainly ended.
   return row_->instance_ == self_.instance_ || IsPlacerSilent(aNow);
--- a/Libraries/LibFleet/PlacerElection.h
+++ b/Libraries/LibFleet/PlacerElection.h
@@ -39,13 +39,13 @@
 class PlacerElection
 {
 public:
-  // aChance, 0 to 1, is this instance's jitter, so that instances do not all claim at the same
-  // moment. aWeakness, 0 to 1 as from CapacityDeficit, delays claims of instances with little
-  // processor, so that larger ones claim first.
-  PlacerElection(PlacerRow aSelf, double aChance, double aWeakness);
+  // aJitter, 0 to 1, is this instance's jitter, so that instances do not all claim at the same
+  // moment. aCapacityDeficit, 0 to 1 as from CapacityDeficit, delays claims of instances with
+  // little processor, so that larger ones claim first.
+  PlacerElection(PlacerRow aSelf, double aJitter, double aCapacityDeficit);
 
   // Updates the delay once the largest processor share of the fleet is known.
-  void SetWeakness(double aWeakness);
+  void SetCapacityDeficit(double aCapacityDeficit);
 
   // Sets the current row; no value if there is none.
   void OnRow(Instant aNow, std::optional<PlacerRow> aRow);
@@ -63,15 +63,15 @@
 
 private:
   PlacerRow self_;
-  double chance_;
+  double jitter_;
   // Delay of this instance's claims beyond the silence limit.
-  Duration spread_{ 0 };
+  Duration claimDelay_{ 0 };
   std::optional<PlacerRow> row_;
   bool isRowKnown_ = false;
   // When the row last changed.
   Instant rowSince_{ 0 };
-  Instant heardAt_{ 0 };
-  Instant notBefore_ = Instant::min();
+  Instant placerContactAt_{ 0 };
+  Instant noClaimBefore_ = Instant::min();
 };
 
 } // namespace latchslip
--- a/Libraries/LibFleet/PlacerMonitor.cpp
+++ b/Libraries/LibFleet/PlacerMonitor.cpp
@@ -9,11 +9,11 @@
 // The longest time without an answer before the store is polled again. Together with the time that
 // a placer needs to detect an outage, it is within the two seconds after which a leaving server
 // must get no new work.
-constexpr Duration kAnswerBound = milliseconds(1500);
+constexpr Duration kAnswerLifetime = milliseconds(1500);
 
 // Updates and responses to reports are sent separately: for this long after a response, the updates
 // that it refers to may still be in transit.
-constexpr Duration kNewsTime = milliseconds(400);
+constexpr Duration kUpdateTransitTime = milliseconds(400);
 
 } // namespace
 
@@ -22,29 +22,29 @@
                         const TableVersions& aLastChanges,
                         const TableVersions& aKnown)
 {
-  const bool wasRelayed = IsRelayed(aNow, aKnown);
+  const bool wasReliable = IsReliable(aNow, aKnown);
   isAnswered_ = true;
-  end_ = PlacerFault::None;
+  fault_ = PlacerFault::None;
   answeredAt_ = aNow;
   lastChanges_ = aLastChanges;
-  isCatchingUp_ = wasRelayed && IsBehind(aKnown, aLastChanges);
+  isCatchingUp_ = wasReliable && IsBehind(aKnown, aLastChanges);
 }
 
 void
 PlacerMonitor::OnFailure(PlacerFault aReason)
 {
-  end_ = aReason;
+  fault_ = aReason;
   isAnswered_ = false;
   isCatchingUp_ = false;
 }
 
 bool
-PlacerMonitor::IsRelayed(Instant aNow, const TableVersions& aKnown) const
+PlacerMonitor::IsReliable(Instant aNow, const TableVersions& aKnown) const
 {
-  if (!isAnswered_ || aNow - answeredAt_ >= kAnswerBound) {
+  if (!isAnswered_ || aNow - answeredAt_ >= kAnswerLifetime) {
     return false;
   }
-  const bool mayCatchUp = isCatchingUp_ && aNow - answeredAt_ < kNewsTime;
+  const bool mayCatchUp = isCatchingUp_ && aNow - answeredAt_ < kUpdateTransitTime;
   return mayCatchUp || !IsBehind(aKnown, lastChanges_);
 }
 
@@ -58,7 +58,7 @@
     }
     return text;
   };
-  return "relay_end=" + std::string(kPlacerFaultNames.NameOf(end_)) +
+  return "relay_end=" + std::string(kPlacerFaultNames.NameOf(fault_)) +
          " answer_age_us=" + std::to_string((aNow - answeredAt_).count()) +
          " named=" + list(lastChanges_) + " known=" + list(aKnown);
 }
--- a/Libraries/LibFleet/PlacerMonitor.h
+++ b/Libraries/LibFleet/PlacerMonitor.h
@@ -42,7 +42,7 @@
   void OnFailure(PlacerFault aReason);
 
   // Whether an instance with these versions can rely on the placer.
-  bool IsRelayed(Instant aNow, const TableVersions& aKnown) const;
+  bool IsReliable(Instant aNow, const TableVersions& aKnown) const;
 
   // The reasons for the decision as a log text: the last fault, the age and the versions of the
   // last answer, and the known versions.
@@ -53,7 +53,7 @@
   static bool IsBehind(const TableVersions& aKnown, const TableVersions& aLastChanges);
 
   // The last fault, for the log; None while isAnswered_.
-  PlacerFault end_ = PlacerFault::NoAnswer;
+  PlacerFault fault_ = PlacerFault::NoAnswer;
   // Whether the last report was answered by a placer that reaches the store.
   bool isAnswered_ = false;
   // Whether updates were missing at the last answer, though none were missing before it.
--- a/Libraries/LibFleet/ReaderPoller.h
+++ b/Libraries/LibFleet/ReaderPoller.h
@@ -20,33 +20,33 @@
 {
 public:
   // The placer can be relied on again; polling ends.
-  void OnRelayed() { isAsking_ = false; }
+  void OnPlacerReliable() { isPolling_ = false; }
   // The placer cannot be relied on; polling starts, unless it is under way.
-  void OnRelayEnded(Instant aNow);
+  void OnPlacerUnreliable(Instant aNow);
   // A reader answered with an update and whether it reaches the store; None also stands for a
   // request without an answer.
-  void OnAnswer(Instant aNow, const std::string& aReader, StoreReachability aSight);
+  void OnAnswer(Instant aNow, const std::string& aReader, StoreReachability aReachability);
 
   // Whether the readers can be relied on at present.
-  bool IsGuided(Instant aNow) const { return isAsking_ && aNow < guidedUntil_; }
+  bool AreReadersReliable(Instant aNow) const { return isPolling_ && aNow < reliableUntil_; }
   // Whether a request to a reader is due.
-  bool IsDue(Instant aNow) const { return isAsking_ && aNow >= nextAsk_; }
+  bool IsRequestDue(Instant aNow) const { return isPolling_ && aNow >= nextRequestAt_; }
   // The address of the reader to ask; no value if no request is due or there is no reader. aReaders
   // lists those of the own hall first.
-  std::optional<std::string> Next(Instant aNow,
-                                  const std::vector<FleetPeer>& aReaders,
-                                  std::minstd_rand& aRandom);
+  std::optional<std::string> NextReader(Instant aNow,
+                                        const std::vector<FleetPeer>& aReaders,
+                                        std::minstd_rand& aRandom);
 
 private:
-  bool isAsking_ = false;
+  bool isPolling_ = false;
   // The last reader that reached the store, which is asked again; empty if there is none.
-  std::string heard_;
+  std::string reachableReader_;
   // Readers that were asked since and did not reach the store, or did not answer.
-  std::set<std::string> inVain_;
+  std::set<std::string> failedReaders_;
   // Consecutive answers of readers that could not reach the store.
-  unsigned withoutStore_ = 0;
-  Instant guidedUntil_ = Instant::min();
-  Instant nextAsk_ = Instant::min();
+  unsigned storelessAnswers_ = 0;
+  Instant reliableUntil_ = Instant::min();
+  Instant nextRequestAt_ = Instant::min();
 };
 
 } // namespace latchslip
--- a/Libraries/LibFleet/RowMirror.cpp
+++ b/Libraries/LibFleet/RowMirror.cpp
@@ -11,7 +11,7 @@
 
 // Number of changes that are remembered, enough for all servers of a large fleet that write their
 // records.
-constexpr std::size_t kMostChanges = 1024;
+constexpr std::size_t kMaxChanges = 1024;
 
 } // namespace
 
@@ -87,7 +87,7 @@
 RowMirror::Remember(Table& aTable, const std::vector<RowChange>& aChanges)
 {
   aTable.changes_.insert(aTable.changes_.end(), aChanges.begin(), aChanges.end());
-  while (aTable.changes_.size() > kMostChanges) {
+  while (aTable.changes_.size() > kMaxChanges) {
     aTable.changesFrom_ = std::max(aTable.changesFrom_, aTable.changes_.front().row_.version_);
     aTable.changes_.pop_front();
   }
--- a/Libraries/LibFleet/ServerSpeeds.cpp
+++ b/Libraries/LibFleet/ServerSpeeds.cpp
@@ -13,12 +13,12 @@
 constexpr Duration kHalfLife = milliseconds(2000);
 // Below this weight of answers there is no estimate: a single answer may take several times the
 // mean.
-constexpr double kLeastAnswers = 4;
+constexpr double kMinAnswers = 4;
 // Time that the first report of a server covers, about.
-constexpr Duration kFirstSpan = milliseconds(800);
+constexpr Duration kFirstReportSpan = milliseconds(800);
 // A server that has lost all its keys gets no requests, so it cannot report that its rate limit
 // ended. After this time the limit is dropped, and the server gets some keys again.
-constexpr Duration kLimitMemory = seconds(15);
+constexpr Duration kRateLimitLifetime = seconds(15);
 
 } // namespace
 
@@ -28,7 +28,7 @@
   const auto [entry, isNew] = servers_.try_emplace(aServer);
   auto& recent = entry->second;
   if (isNew) {
-    recent.span_ = static_cast<double>(kFirstSpan.count());
+    recent.span_ = static_cast<double>(kFirstReportSpan.count());
     recent.updatedAt_ = aNow;
   }
   const auto halfLife = static_cast<double>(kHalfLife.count());
@@ -51,21 +51,21 @@
 ServerSpeeds::ServiceTimeOf(const std::string& aServer, unsigned aSlots) const
 {
   const auto found = servers_.find(aServer);
-  if (found == servers_.end() || found->second.answers_ < kLeastAnswers) {
+  if (found == servers_.end() || found->second.answers_ < kMinAnswers) {
     return std::nullopt;
   }
   // At most as many requests as slots are processed at the same time; the rest of the time was
   // spent waiting for a slot.
   const auto& recent = found->second;
-  const double most = recent.span_ * std::max(1U, aSlots);
-  return Duration(static_cast<Duration::rep>(std::min(recent.busy_, most) / recent.answers_));
+  const double maxBusy = recent.span_ * std::max(1U, aSlots);
+  return Duration(static_cast<Duration::rep>(std::min(recent.busy_, maxBusy) / recent.answers_));
 }
 
 double
 ServerSpeeds::RateLimitOf(Instant aNow, const std::string& aServer) const
 {
   const auto found = servers_.find(aServer);
-  if (found == servers_.end() || aNow - found->second.updatedAt_ >= kLimitMemory) {
+  if (found == servers_.end() || aNow - found->second.updatedAt_ >= kRateLimitLifetime) {
     return kNoRateLimit;
   }
   return found->second.rateLimit_;
--- a/Libraries/LibFleet/ServerSpeeds.h
+++ b/Libraries/LibFleet/ServerSpeeds.h
@@ -28,7 +28,7 @@
 
 private:
   // Exponentially decaying sums.
-  struct Recent
+  struct RecentWork
   {
     double answers_ = 0;
     // Time in microseconds: busy_ of all requests, span_ of observation.
@@ -38,7 +38,7 @@
     double rateLimit_ = kNoRateLimit;
   };
 
-  std::map<std::string, Recent> servers_;
+  std::map<std::string, RecentWork> servers_;
 };
 
 } // namespace latchslip
--- a/Libraries/LibFleet/ServicePlacer.h
+++ b/Libraries/LibFleet/ServicePlacer.h
@@ -29,9 +29,9 @@
                        record->IsLeaving(),
                        directory.HasEnded(aServer) };
   }
-  void Doubt(Instant aNow, const std::string& aServer, Duration aHolds) override
+  void Doubt(Instant aNow, const std::string& aServer, Duration aDuration) override
   {
-    member_.SpreadDoubt(aNow, { aServer, aHolds });
+    member_.BroadcastUncertainLease(aNow, { aServer, aDuration });
   }
   void Write(const KeyOwnership& aOwnership) override { member_.QueueWrite(aOwnership); }
 
--- a/Libraries/LibFleet/StartupDeadline.h
+++ b/Libraries/LibFleet/StartupDeadline.h
@@ -18,12 +18,12 @@
   void OnPlacerAnswered(Instant aNow);
 
   // Whether the instance should read the tables itself.
-  bool IsOver(Instant aNow) const { return hasStarted_ && aNow >= until_; }
+  bool HasExpired(Instant aNow) const { return hasStarted_ && aNow >= readTablesAt_; }
 
 private:
   bool hasStarted_ = false;
-  bool isPlacerHeard_ = false;
-  Instant until_ = Instant::min();
+  bool hasPlacerAnswered_ = false;
+  Instant readTablesAt_ = Instant::min();
 };
 
 } // namespace latchslip
--- a/Libraries/LibFleet/UnresponsivePeers.cpp
+++ b/Libraries/LibFleet/UnresponsivePeers.cpp
@@ -6,26 +6,26 @@
 
 // How long an instance that did not accept a message is avoided. It is half of the time after which
 // the placer removes it, so that an instance that returns is used again soon.
-constexpr Duration kSilence = seconds(2);
+constexpr Duration kAvoidanceTime = seconds(2);
 
 } // namespace
 
 void
-UnresponsivePeers::OnSent(Instant aNow, const std::string& aAddress, bool aIsTaken)
+UnresponsivePeers::OnSent(Instant aNow, const std::string& aAddress, bool aIsAccepted)
 {
-  if (aIsTaken) {
-    until_.erase(aAddress);
+  if (aIsAccepted) {
+    avoidUntil_.erase(aAddress);
   } else {
-    until_[aAddress] = aNow + kSilence;
+    avoidUntil_[aAddress] = aNow + kAvoidanceTime;
   }
-  std::erase_if(until_, [&](const auto& aEntry) { return aEntry.second <= aNow; });
+  std::erase_if(avoidUntil_, [&](const auto& aEntry) { return aEntry.second <= aNow; });
 }
 
 bool
 UnresponsivePeers::IsUnresponsive(Instant aNow, const std::string& aAddress) const
 {
-  const auto silent = until_.find(aAddress);
-  return silent != until_.end() && aNow < silent->second;
+  const auto silent = avoidUntil_.find(aAddress);
+  return silent != avoidUntil_.end() && aNow < silent->second;
 }
 
 } // namespace latchslip
--- a/Libraries/LibFleet/UnresponsivePeers.h
+++ b/Libraries/LibFleet/UnresponsivePeers.h
@@ -14,12 +14,12 @@
 {
 public:
   // Records whether an instance accepted a message.
-  void OnSent(Instant aNow, const std::string& aAddress, bool aIsTaken);
+  void OnSent(Instant aNow, const std::string& aAddress, bool aIsAccepted);
   bool IsUnresponsive(Instant aNow, const std::string& aAddress) const;
 
 private:
   // Until when each address is avoided.
-  std::map<std::string, Instant> until_;
+  std::map<std::string, Instant> avoidUntil_;
 };
 
 } // namespace latchslip
--- a/Libraries/LibFleet/UpdateTree.cpp
+++ b/Libraries/LibFleet/UpdateTree.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 // Up to this many receivers get the message directly; a tree would only add latency.
-constexpr std::size_t kFewReceivers = 16;
+constexpr std::size_t kMaxDirectReceivers = 16;
 // Number of instances to which one instance forwards a message: a hall of 60 is reached in two
 // steps, and one of the slowest links (20 Mbit/s) carries eight messages of 1 KB in 3 ms.
 constexpr std::size_t kFanOut = 8;
@@ -45,7 +45,7 @@
                 [&](const FleetPeer& aPeer) { return aPeer.address_ == aSelf.address_; });
   std::sort(aReceivers.begin(), aReceivers.end(), StrongerFirst);
   std::vector<UpdateBranch> branches;
-  if (aReceivers.size() <= kFewReceivers) {
+  if (aReceivers.size() <= kMaxDirectReceivers) {
     for (const auto& peer : aReceivers) {
       branches.push_back({ peer.address_, {} });
     }
@@ -68,31 +68,31 @@
 }
 
 std::vector<UpdateBranch>
-SplitForwarding(const std::vector<std::string>& aOnward)
+SplitForwarding(const std::vector<std::string>& aForwardTo)
 {
   std::vector<UpdateBranch> branches;
-  for (std::size_t index = 0; index < aOnward.size(); ++index) {
+  for (std::size_t index = 0; index < aForwardTo.size(); ++index) {
     if (index < kFanOut) {
-      branches.push_back({ aOnward[index], {} });
+      branches.push_back({ aForwardTo[index], {} });
     } else {
-      branches[index % kFanOut].forwardTo_.push_back(aOnward[index]);
+      branches[index % kFanOut].forwardTo_.push_back(aForwardTo[index]);
     }
   }
   return branches;
 }
 
 std::string
-EncodeUpdateMessage(const std::vector<std::string>& aOnward, std::string_view aNews)
+EncodeUpdateMessage(const std::vector<std::string>& aForwardTo, std::string_view aUpdate)
 {
   std::string text;
-  for (const auto& address : aOnward) {
+  for (const auto& address : aForwardTo) {
     if (!text.empty()) {
       text += kSeparator;
     }
     text += address;
   }
   text += kListEnd;
-  text += aNews;
+  text += aUpdate;
   return text;
 }
 
--- a/Libraries/LibFleet/UpdateTree.h
+++ b/Libraries/LibFleet/UpdateTree.h
@@ -47,7 +47,7 @@
 // Plans how a receiver of an update forwards it. A sender whose message is not accepted by a
 // receiver sends it to the addresses in that receiver's branch itself.
 std::vector<UpdateBranch>
-SplitForwarding(const std::vector<std::string>& aOnward);
+SplitForwarding(const std::vector<std::string>& aForwardTo);
 
 // An update in transit; the receiver can forward it without decoding it.
 struct UpdateMessage
@@ -57,7 +57,7 @@
 };
 
 std::string
-EncodeUpdateMessage(const std::vector<std::string>& aOnward, std::string_view aNews);
+EncodeUpdateMessage(const std::vector<std::string>& aForwardTo, std::string_view aUpdate);
 FieldResult<UpdateMessage>
 DecodeUpdateMessage(std::string_view aText);
 
--- a/Tests/LibFleet/FleetMemberFixture.h
+++ b/Tests/LibFleet/FleetMemberFixture.h
@@ -12,7 +12,7 @@
 
 // Decodes rows of a minimal format: the version number for a configuration with one keyed service;
 // "leaving", "ready", "broken" or the number of its incarnation for a server.
-class PlainDecoder : public RowDecoder
+class MinimalDecoder : public RowDecoder
 {
 public:
   FieldResult<std::optional<RoutingConfiguration>> DecodeConfiguration(
@@ -53,13 +53,13 @@
 };
 
 // Records the actions that a member requests.
-class RecordedFleet : public FleetActions
+class RecordingFleetActions : public FleetActions
 {
 public:
   void Transact(const Transaction& aTransaction) override { transactions_.push_back(aTransaction); }
   void Follow(StorePollMode aHow, const TableVersions& aKnown) override
   {
-    following_ = aHow;
+    pollMode_ = aHow;
     hasFollowed_ = true;
     hasFollowedAlone_ = hasFollowedAlone_ || aHow == StorePollMode::LongWaits;
     followFrom_ = aKnown;
@@ -73,12 +73,12 @@
     reports_.push_back(aAddress);
     lastReport_ = aReport;
   }
-  void SendUpdate(const std::vector<UpdateBranch>& aBranches, const FleetUpdate& aNews) override
+  void SendUpdate(const std::vector<UpdateBranch>& aBranches, const FleetUpdate& aUpdate) override
   {
     for (const auto& branch : aBranches) {
-      news_.emplace_back(branch.to_, aNews);
+      updates_.emplace_back(branch.to_, aUpdate);
       for (const auto& address : branch.forwardTo_) {
-        news_.emplace_back(address, aNews);
+        updates_.emplace_back(address, aUpdate);
       }
     }
   }
@@ -106,14 +106,14 @@
   ServerWork TakeWorkOf(const std::string&) override { return { 1, milliseconds(20) }; }
 
   std::vector<Transaction> transactions_;
-  StorePollMode following_ = StorePollMode::LongWaits;
+  StorePollMode pollMode_ = StorePollMode::LongWaits;
   TableVersions followFrom_{};
   std::vector<KeyOrder> orders_;
   std::vector<std::string> reports_;
   InstanceReport lastReport_;
   bool hasFollowed_ = false;
   bool hasFollowedAlone_ = false;
-  std::vector<std::pair<std::string, FleetUpdate>> news_;
+  std::vector<std::pair<std::string, FleetUpdate>> updates_;
   std::vector<std::string> fetches_;
   int configurationReads_ = 0;
   std::vector<std::pair<std::string, UseReport>> uses_;
@@ -141,10 +141,10 @@
 
 // A fleet member with a simulated clock. The test passes it the store's tables and checks the
 // recorded actions.
-class MemberOfAFleet : public testing::Test
+class FleetMemberTest : public testing::Test
 {
 protected:
-  explicit MemberOfAFleet(std::optional<Duration> aApiKeyBound = std::nullopt)
+  explicit FleetMemberTest(std::optional<Duration> aApiKeyBound = std::nullopt)
     : apiKeyBound_(aApiKeyBound)
   {
   }
@@ -171,7 +171,7 @@
     return SerializePlacerRow({ aInstance, aRun, aAddress });
   }
 
-  void Pass(Duration aTime)
+  void Advance(Duration aTime)
   {
     const auto end = now_ + aTime;
     while (now_ < end) {
@@ -185,7 +185,7 @@
     const auto end = now_ + aTime;
     while (now_ < end) {
       const auto sent = fleet_.reports_.size();
-      Pass(milliseconds(50));
+      Advance(milliseconds(50));
       if (fleet_.reports_.size() > sent) {
         member_.OnReportAnswered(now_, ReportAnswer{ true, kBoth, aVersions });
       }
@@ -196,14 +196,14 @@
   {
     ShowTables();
     Show(FleetTable::Fleet, 7, {});
-    Pass(milliseconds(600));
+    Advance(milliseconds(600));
     ASSERT_EQ(fleet_.transactions_.size(), 1U);
-    Done(10);
+    Acknowledge(10);
     ASSERT_TRUE(member_.IsPlacer());
   }
 
   // Acknowledges the last transaction as version aVersion.
-  void Done(RowVersion aVersion)
+  void Acknowledge(RowVersion aVersion)
   {
     const auto& write = fleet_.transactions_.back().writes_.front();
     member_.OnTransactEnded(now_,
@@ -213,8 +213,8 @@
   std::optional<Duration> apiKeyBound_;
   Instant now_ = seconds(100);
   CountedEvents events_;
-  PlainDecoder decoder_;
-  RecordedFleet fleet_;
+  MinimalDecoder decoder_;
+  RecordingFleetActions fleet_;
   FleetMember member_{
     { { "i1", "run2", kSelf }, { "10.0.0.3:9" }, 1, {}, 1, "hall", apiKeyBound_ },
     decoder_,
--- a/Tests/LibFleet/TestConfigurationProof.cpp
+++ b/Tests/LibFleet/TestConfigurationProof.cpp
@@ -10,72 +10,72 @@
 
 namespace {
 
-class WatchOfAConfiguration : public testing::Test
+class ConfigurationFreshnessTest : public testing::Test
 {
 protected:
-  ConfigurationFreshness watch_;
+  ConfigurationFreshness freshness_;
 };
 
-TEST_F(WatchOfAConfiguration, NothingIsProven_NothingIsTold)
+TEST_F(ConfigurationFreshnessTest, NoProof_SendsNone)
 {
-  watch_.OnKnown(5);
-  EXPECT_EQ(watch_.ProvenAt(), Instant::min());
-  EXPECT_FALSE(watch_.Tell(seconds(10)));
+  freshness_.OnKnown(5);
+  EXPECT_EQ(freshness_.ProvenAt(), Instant::min());
+  EXPECT_FALSE(freshness_.CurrentProof(seconds(10)));
 }
 
-TEST_F(WatchOfAConfiguration, ProofOfWhatIsKnown_CountsFromWhenItWasAskedFor)
+TEST_F(ConfigurationFreshnessTest, ProofOfKnownVersion_CountsFromRequestTime)
 {
-  watch_.OnKnown(5);
-  watch_.OnProof(seconds(9), 5);
-  EXPECT_EQ(watch_.ProvenAt(), seconds(9));
-  EXPECT_EQ(watch_.Tell(seconds(10)), (ConfigurationProof{ 5, seconds(1) }));
+  freshness_.OnKnown(5);
+  freshness_.OnProof(seconds(9), 5);
+  EXPECT_EQ(freshness_.ProvenAt(), seconds(9));
+  EXPECT_EQ(freshness_.CurrentProof(seconds(10)), (ConfigurationProof{ 5, seconds(1) }));
 }
 
-TEST_F(WatchOfAConfiguration, ProofOfALaterConfiguration_CountsOnceThatIsKnown)
+TEST_F(ConfigurationFreshnessTest, ProofOfLaterVersion_CountsOnceThatVersionIsKnown)
 {
-  watch_.OnKnown(5);
-  watch_.OnProof(seconds(9), 7);
-  EXPECT_EQ(watch_.ProvenAt(), Instant::min());
-  watch_.OnKnown(7);
-  EXPECT_EQ(watch_.ProvenAt(), seconds(9));
+  freshness_.OnKnown(5);
+  freshness_.OnProof(seconds(9), 7);
+  EXPECT_EQ(freshness_.ProvenAt(), Instant::min());
+  freshness_.OnKnown(7);
+  EXPECT_EQ(freshness_.ProvenAt(), seconds(9));
 }
 
-TEST_F(WatchOfAConfiguration, OlderProofComesLater_TakesNothingBack)
+TEST_F(ConfigurationFreshnessTest, OlderProofArrivesLater_KeepsNewerProof)
 {
-  watch_.OnKnown(5);
-  watch_.OnProof(seconds(9), 5);
-  watch_.OnProof(seconds(8), 5);
-  EXPECT_EQ(watch_.ProvenAt(), seconds(9));
+  freshness_.OnKnown(5);
+  freshness_.OnProof(seconds(9), 5);
+  freshness_.OnProof(seconds(8), 5);
+  EXPECT_EQ(freshness_.ProvenAt(), seconds(9));
 }
 
-TEST_F(WatchOfAConfiguration, ProofIsOfAnotherEpoch_IsNone)
+TEST_F(ConfigurationFreshnessTest, ProofOfAnotherEpoch_IsIgnored)
 {
-  watch_.OnKnown(VersionIn(1, 3));
-  watch_.OnProof(seconds(9), VersionIn(0, 7));
-  EXPECT_EQ(watch_.ProvenAt(), Instant::min());
-  watch_.OnProof(seconds(9), VersionIn(2, 1));
-  EXPECT_EQ(watch_.ProvenAt(), Instant::min());
+  freshness_.OnKnown(VersionIn(1, 3));
+  freshness_.OnProof(seconds(9), VersionIn(0, 7));
+  EXPECT_EQ(freshness_.ProvenAt(), Instant::min());
+  freshness_.OnProof(seconds(9), VersionIn(2, 1));
+  EXPECT_EQ(freshness_.ProvenAt(), Instant::min());
 }
 
 // The copy that the store was restored from may lack the configuration that was proven.
-TEST_F(WatchOfAConfiguration, StoreComesBack_EarlierProofIsToldNoMore)
+TEST_F(ConfigurationFreshnessTest, StoreIsRestored_EarlierProofIsNotSent)
 {
-  watch_.OnKnown(5);
-  watch_.OnProof(seconds(9), 5);
-  watch_.OnKnown(VersionIn(1, 4));
-  EXPECT_FALSE(watch_.Tell(seconds(10)));
-  EXPECT_EQ(watch_.ProvenAt(), seconds(9));
+  freshness_.OnKnown(5);
+  freshness_.OnProof(seconds(9), 5);
+  freshness_.OnKnown(VersionIn(1, 4));
+  EXPECT_FALSE(freshness_.CurrentProof(seconds(10)));
+  EXPECT_EQ(freshness_.ProvenAt(), seconds(9));
 }
 
 // A randomized model check: instances exchange proofs with random message delays, partitions,
 // freezes and configuration changes in quick succession. No instance may ever regard its
 // configuration as proven at a time at which the store held a later one.
-class WalkOfProofs : public testing::TestWithParam<unsigned>
+class ConfigurationProofModelCheck : public testing::TestWithParam<unsigned>
 {
 protected:
   struct Instance
   {
-    ConfigurationFreshness watch_;
+    ConfigurationFreshness freshness_;
     Instant frozenUntil_ = Instant::min();
     bool reachesStore_ = true;
     bool reachesPeers_ = true;
@@ -86,7 +86,7 @@
     Instant at_;
     std::size_t to_;
     // An update with a version, or the response to a request sent at askedAt_.
-    RowVersion news_ = 0;
+    RowVersion updateVersion_ = 0;
     Instant askedAt_{ 0 };
     std::optional<ConfigurationProof> proof_;
     std::optional<RowVersion> read_;
@@ -99,14 +99,14 @@
       changes_.push_back(now_);
     }
     for (std::size_t index = 0; index < instances_.size(); ++index) {
-      Disturb(instances_[index]);
-      Talk(index);
+      InjectFault(instances_[index]);
+      SendMessages(index);
     }
     Deliver();
     Check();
   }
 
-  void Disturb(Instance& aInstance)
+  void InjectFault(Instance& aInstance)
   {
     const auto draw = random_() % 2000;
     if (draw == 0) {
@@ -118,9 +118,9 @@
     }
   }
 
-  Instant Way() { return now_ + milliseconds(1 + random_() % 400); }
+  Instant ArrivalTime() { return now_ + milliseconds(1 + random_() % 400); }
 
-  void Talk(std::size_t aIndex)
+  void SendMessages(std::size_t aIndex)
   {
     auto& instance = instances_[aIndex];
     if (now_ < instance.frozenUntil_ || random_() % 20 != 0) {
@@ -129,16 +129,16 @@
     const auto newest = static_cast<RowVersion>(changes_.size());
     if (instance.reachesStore_ && random_() % 2 == 0) {
       // The store reads the version at some time between request and response.
-      messages_.push_back({ Way(), aIndex, 0, now_, std::nullopt, newest });
-      messages_.push_back({ Way(), aIndex, newest, now_, std::nullopt, std::nullopt });
+      messages_.push_back({ ArrivalTime(), aIndex, 0, now_, std::nullopt, newest });
+      messages_.push_back({ ArrivalTime(), aIndex, newest, now_, std::nullopt, std::nullopt });
     }
     const auto other = random_() % instances_.size();
     if (instance.reachesPeers_ && instances_[other].reachesPeers_ &&
         now_ >= instances_[other].frozenUntil_) {
-      const auto proof = instances_[other].watch_.Tell(now_);
-      const auto known = instances_[other].watch_.Known();
-      messages_.push_back({ Way(), aIndex, 0, now_, proof, std::nullopt });
-      messages_.push_back({ Way(), aIndex, known, now_, std::nullopt, std::nullopt });
+      const auto proof = instances_[other].freshness_.CurrentProof(now_);
+      const auto known = instances_[other].freshness_.KnownVersion();
+      messages_.push_back({ ArrivalTime(), aIndex, 0, now_, proof, std::nullopt });
+      messages_.push_back({ ArrivalTime(), aIndex, known, now_, std::nullopt, std::nullopt });
     }
   }
 
@@ -153,15 +153,15 @@
       return isDue;
     });
     for (const auto& message : due) {
-      auto& watch = instances_[message.to_].watch_;
-      if (message.news_ > 0) {
-        watch.OnKnown(message.news_);
+      auto& freshness = instances_[message.to_].freshness_;
+      if (message.updateVersion_ > 0) {
+        freshness.OnKnown(message.updateVersion_);
       }
       if (message.read_ && *message.read_ > 0) {
-        watch.OnProof(message.askedAt_, *message.read_);
+        freshness.OnProof(message.askedAt_, *message.read_);
       }
       if (message.proof_) {
-        watch.OnProof(message.askedAt_ - message.proof_->age_, message.proof_->version_);
+        freshness.OnProof(message.askedAt_ - message.proof_->age_, message.proof_->version_);
       }
     }
   }
@@ -169,11 +169,11 @@
   void Check()
   {
     for (const auto& instance : instances_) {
-      const auto provenAt = instance.watch_.ProvenAt();
+      const auto provenAt = instance.freshness_.ProvenAt();
       if (provenAt == Instant::min()) {
         continue;
       }
-      const auto later = static_cast<std::size_t>(instance.watch_.Known());
+      const auto later = static_cast<std::size_t>(instance.freshness_.KnownVersion());
       if (later < changes_.size()) {
         EXPECT_GE(changes_[later], provenAt);
       }
@@ -190,7 +190,7 @@
   std::size_t proven_ = 0;
 };
 
-TEST_P(WalkOfProofs, CutsFreezesAndChanges_NobodyIsProvenWrongly)
+TEST_P(ConfigurationProofModelCheck, PartitionsFreezesAndChanges_NoFalseProof)
 {
   for (int step = 0; step < 4000; ++step) {
     Step();
@@ -198,15 +198,15 @@
   EXPECT_GT(proven_, 10000U);
 }
 
-INSTANTIATE_TEST_SUITE_P(Seeds, WalkOfProofs, testing::Range(1U, 25U));
+INSTANTIATE_TEST_SUITE_P(Seeds, ConfigurationProofModelCheck, testing::Range(1U, 25U));
 
-class MemberWithApiKeys : public MemberOfAFleet
+class MemberWithApiKeys : public FleetMemberTest
 {
 protected:
   static constexpr Duration kBound = seconds(5);
 
   MemberWithApiKeys()
-    : MemberOfAFleet(kBound)
+    : FleetMemberTest(kBound)
   {
     decoder_.groups_ = { { "g", { "key" }, 0, 10, 10 } };
   }
@@ -230,10 +230,10 @@
   }
 };
 
-TEST_F(MemberWithApiKeys, FollowsTheStoreItself_AsksForProofsAndServesWhileItHasOne)
+TEST_F(MemberWithApiKeys, PollsTheStore_ReadsProofsAndServesWhileOneIsValid)
 {
   ShowTables();
-  Pass(milliseconds(200));
+  Advance(milliseconds(200));
   EXPECT_EQ(fleet_.configurationReads_, 1);
   EXPECT_TRUE(member_.IsReady());
   EXPECT_FALSE(member_.IsServing(now_));
@@ -245,12 +245,12 @@
   EXPECT_FALSE(member_.IsServing(askedAt + kBound));
 }
 
-TEST_F(MemberWithApiKeys, PlacerTells_NothingIsAskedOfTheStore)
+TEST_F(MemberWithApiKeys, PlacerSendsProofs_DoesNotReadThemFromTheStore)
 {
   ShowTables();
   ShowPlacer();
   for (int count = 0; count < 10; ++count) {
-    Pass(milliseconds(400));
+    Advance(milliseconds(400));
     member_.OnReportAnswered(now_, AnswerWith({ 5, milliseconds(300) }), milliseconds(10));
   }
   EXPECT_TRUE(member_.IsServing(now_));
@@ -258,124 +258,124 @@
   EXPECT_LE(fleet_.configurationReads_, 2);
 }
 
-TEST_F(MemberWithApiKeys, ConfigurationInTheStoreIsLater_NothingIsProvenBeforeItIsKnown)
+TEST_F(MemberWithApiKeys, StoreHasLaterConfiguration_ProofCountsOnceItIsKnown)
 {
   ShowTables();
-  Pass(milliseconds(200));
+  Advance(milliseconds(200));
   member_.OnConfigurationRead(now_, now_, 9);
   EXPECT_FALSE(member_.IsServing(now_));
   ShowTables(9);
-  Pass(milliseconds(50));
+  Advance(milliseconds(50));
   EXPECT_TRUE(member_.IsServing(now_));
 }
 
-TEST_F(MemberWithApiKeys, ConfigurationCannotBeRead_ItsProofIsNone)
+TEST_F(MemberWithApiKeys, ConfigurationCannotBeDecoded_ProofIsIgnored)
 {
   ShowTables();
-  Pass(milliseconds(200));
+  Advance(milliseconds(200));
   Show(FleetTable::Configuration, 9, { { "config", 9, "broken" } });
   member_.OnConfigurationRead(now_, now_, 9);
-  Pass(milliseconds(50));
+  Advance(milliseconds(50));
   EXPECT_FALSE(member_.IsServing(now_));
 }
 
-TEST_F(MemberWithApiKeys, HearsNobodyAfterAProof_StopsWithinTheBound)
+TEST_F(MemberWithApiKeys, NoContactAfterAProof_StopsServingWithinTheBound)
 {
   ShowTables();
   ShowPlacer();
-  Pass(milliseconds(100));
+  Advance(milliseconds(100));
   member_.OnReportAnswered(now_, AnswerWith({ 5, milliseconds(0) }));
   const auto provenAt = now_;
   ASSERT_TRUE(member_.IsServing(now_));
   member_.OnStoreLost(now_);
-  Pass(kBound - milliseconds(100));
+  Advance(kBound - milliseconds(100));
   EXPECT_FALSE(member_.IsServing(now_));
   EXPECT_LE(*fleet_.apiKeysUntil_, provenAt + kBound);
 }
 
-TEST_F(MemberWithApiKeys, WakesFromAFreeze_ReportsAtOnceAndServesWithTheAnswer)
+TEST_F(MemberWithApiKeys, ResumesAfterAFreeze_ReportsAtOnceAndServesAfterTheAnswer)
 {
   ShowTables();
   ShowPlacer();
-  Pass(milliseconds(100));
+  Advance(milliseconds(100));
   member_.OnReportAnswered(now_, AnswerWith({ 5, milliseconds(0) }));
   now_ += seconds(20);
   EXPECT_FALSE(member_.IsServing(now_));
   const auto reports = fleet_.reports_.size();
-  Pass(milliseconds(50));
+  Advance(milliseconds(50));
   EXPECT_GT(fleet_.reports_.size(), reports);
   member_.OnReportAnswered(now_, AnswerWith({ 5, milliseconds(100) }), milliseconds(5));
   EXPECT_TRUE(member_.IsServing(now_));
 }
 
 // The copy may contain API keys that were revoked just before the restore.
-TEST_F(MemberWithApiKeys, StoreComesBackFromACopy_ItsReadsProveNothingAtFirst)
+TEST_F(MemberWithApiKeys, StoreIsRestoredFromACopy_ReadsProveNothingAtFirst)
 {
   ShowTables();
-  Pass(milliseconds(200));
+  Advance(milliseconds(200));
   const auto copied = VersionIn(1, 5);
   Show(FleetTable::Configuration, VersionIn(1, 6), { { "config", copied, "1" } });
-  Pass(milliseconds(50));
+  Advance(milliseconds(50));
   member_.OnConfigurationRead(now_, now_, copied);
   EXPECT_FALSE(member_.IsServing(now_));
-  Pass(kReturnAfterOutage);
+  Advance(kReturnAfterOutage);
   member_.OnConfigurationRead(now_, now_, copied);
   EXPECT_TRUE(member_.IsServing(now_));
 }
 
-TEST_F(MemberWithApiKeys, NewsAreAskedFor_TheirProofCounts)
+TEST_F(MemberWithApiKeys, UpdateIsFetched_ItsProofCounts)
 {
   ShowTables();
-  FleetUpdate news;
-  news.proof_ = ConfigurationProof{ 5, milliseconds(700) };
-  member_.OnUpdateFetched(now_, news, milliseconds(20));
+  FleetUpdate update;
+  update.proof_ = ConfigurationProof{ 5, milliseconds(700) };
+  member_.OnUpdateFetched(now_, update, milliseconds(20));
   EXPECT_TRUE(member_.IsServing(now_));
   EXPECT_EQ(*fleet_.apiKeysUntil_, now_ - milliseconds(720) + Scale(kBound, 0.95));
 }
 
-TEST_F(MemberWithApiKeys, RequestsOfALimitedGroup_AreToldToThePlacer)
+TEST_F(MemberWithApiKeys, RequestsOfALimitedGroup_AreReportedToThePlacer)
 {
   ShowTables();
   ShowPlacer();
-  Pass(milliseconds(100));
+  Advance(milliseconds(100));
   EXPECT_TRUE(member_.Gate().TryPass(now_, { "g", {}, 0, 10, 10 }, false));
-  Pass(milliseconds(300));
+  Advance(milliseconds(300));
   ASSERT_EQ(fleet_.uses_.size(), 1U);
   EXPECT_EQ(fleet_.uses_[0].first, kOther);
   EXPECT_EQ(fleet_.uses_[0].second, (UseReport{ kSelf, { { "g", 1, 0, 1 } } }));
 }
 
-TEST_F(MemberWithApiKeys, PlacerSaysAGroupHasHadItsLimit_NoneOfItIsLetThrough)
+TEST_F(MemberWithApiKeys, AdmittedShareIsZero_RejectsTheGroupsRequests)
 {
   ShowTables();
   ShowPlacer();
-  FleetUpdate news;
-  news.parts_ = { { "g", 0, 0 } };
-  member_.OnUpdate(now_, news);
+  FleetUpdate update;
+  update.parts_ = { { "g", 0, 0 } };
+  member_.OnUpdate(now_, update);
   EXPECT_FALSE(member_.Gate().TryPass(now_, { "g", {}, 0, 10, 10 }, false));
 }
 
-TEST_F(MemberWithApiKeys, IsNotThePlacer_CountsForNobody)
+TEST_F(MemberWithApiKeys, IsNotThePlacer_RejectsUsageReports)
 {
   ShowTables();
   ShowPlacer();
   EXPECT_FALSE(member_.OnUsage(now_, { kOther, { { "g", 1, 0, 1 } } }));
 }
 
-TEST(FleetUpdate, WithProofAndParts_WrittenAndReadIsTheSame)
+TEST(FleetUpdate, WithProofAndShares_RoundTrips)
 {
-  FleetUpdate news;
-  news.proof_ = ConfigurationProof{ VersionIn(2, 77), milliseconds(321) };
-  news.parts_ = { { "g", 0.5, 0.25 } };
-  const auto read = ParseUpdate(SerializeUpdate(news)).value();
-  EXPECT_EQ(read.proof_, news.proof_);
-  EXPECT_EQ(read.parts_, news.parts_);
+  FleetUpdate update;
+  update.proof_ = ConfigurationProof{ VersionIn(2, 77), milliseconds(321) };
+  update.parts_ = { { "g", 0.5, 0.25 } };
+  const auto read = ParseUpdate(SerializeUpdate(update)).value();
+  EXPECT_EQ(read.proof_, update.proof_);
+  EXPECT_EQ(read.parts_, update.parts_);
   ReportAnswer answer;
-  answer.proof_ = news.proof_;
-  EXPECT_EQ(ParseReportAnswer(SerializeReportAnswer(answer)).value().proof_, news.proof_);
+  answer.proof_ = update.proof_;
+  EXPECT_EQ(ParseReportAnswer(SerializeReportAnswer(answer)).value().proof_, update.proof_);
 }
 
-TEST(FleetUpdate, ProofWithoutAge_IsNeverFresh)
+TEST(FleetUpdate, ProofWithoutAge_IsNotFresh)
 {
   auto text = SerializeUpdate({});
   text.insert(1, R"("proof":{"version":5},)");
--- a/Tests/LibFleet/TestFleetMember.cpp
+++ b/Tests/LibFleet/TestFleetMember.cpp
@@ -6,27 +6,27 @@
 
 namespace {
 
-TEST_F(MemberOfAFleet, ServerRecordCannotBeReadAnyMore_NamesNoServerAndTheOthersHold)
+TEST_F(FleetMemberTest, ServerRecordCannotBeDecoded_IsDroppedAndTheOthersStay)
 {
   ShowTables();
   Show(FleetTable::Servers, 9, { { "s1", 9, "broken" }, { "s2", 3, "ready" } });
-  Pass(seconds(1));
+  Advance(seconds(1));
   EXPECT_EQ(member_.Directory().Find("s1"), nullptr);
   EXPECT_NE(member_.Directory().Find("s2"), nullptr);
   Show(FleetTable::Servers, 11, { { "s1", 11, "ready" }, { "s2", 3, "ready" } });
-  Pass(seconds(1));
+  Advance(seconds(1));
   EXPECT_NE(member_.Directory().Find("s1"), nullptr);
 }
 
 // Such a record was written late by the former incarnation, or by one whose clock was set back.
-TEST_F(MemberOfAFleet, ServerRecordIsOfAnEarlierLife_NamesNoServerBeforeALaterOneIsSeen)
+TEST_F(FleetMemberTest, ServerRecordIsOfAnEarlierIncarnation_IsIgnoredUntilALaterOneArrives)
 {
   Show(FleetTable::Servers, 6, { { "s1", 6, "200" } });
   Show(FleetTable::Servers, 9, { { "s1", 9, "100" } });
-  Pass(seconds(1));
+  Advance(seconds(1));
   EXPECT_EQ(member_.Directory().Find("s1"), nullptr);
   Show(FleetTable::Servers, 11, { { "s1", 11, "ready" } });
-  Pass(seconds(1));
+  Advance(seconds(1));
   EXPECT_EQ(member_.Directory().Find("s1"), nullptr);
   Show(FleetTable::Servers, 12, { { "s1", 12, "200" } });
   ASSERT_NE(member_.Directory().Find("s1"), nullptr);
@@ -34,7 +34,7 @@
   EXPECT_EQ(member_.Directory().Find("s1")->life_, 300U);
 }
 
-TEST_F(MemberOfAFleet, AnswersSayThatAServerLeaves_IsLoggedOnceALife)
+TEST_F(FleetMemberTest, AnswersAnnounceThatAServerLeaves_IsLoggedOncePerIncarnation)
 {
   Show(FleetTable::Servers, 6, { { "s1", 6, "100" } });
   member_.OnServerReportedLeaving(now_, "s1", 100);
@@ -49,16 +49,16 @@
 }
 
 // Unless its keys are moved, they have no owner until the server has shut down.
-TEST_F(MemberOfAFleet, PlacerIsToldByAnAnswerThatAServerLeaves_GivesItsKeysToOthers)
+TEST_F(FleetMemberTest, AnswerAnnouncesThatAServerLeaves_PlacerMovesItsKeys)
 {
   BecomePlacer();
-  Pass(seconds(2));
+  Advance(seconds(2));
   ASSERT_EQ(fleet_.transactions_.size(), 2U);
-  Done(11);
+  Acknowledge(11);
   const auto changes = fleet_.directoryChanges_;
   member_.OnServerReportedLeaving(now_, "s1", 0);
   EXPECT_EQ(fleet_.directoryChanges_, changes + 1);
-  Pass(seconds(1));
+  Advance(seconds(1));
   ASSERT_EQ(fleet_.transactions_.size(), 3U);
   const auto written = ParseOwnership(fleet_.transactions_.back().writes_.front().value_);
   ASSERT_TRUE(written) << "no owners are written";
@@ -69,11 +69,11 @@
 
 // Guards against an owner with a low rate limit that keeps as many keys as others. All keys are
 // requested equally often, and both owners are equally fast.
-TEST_F(MemberOfAFleet, OwnerNamesARateLimit_PlacerPassesMostOfItsKeysToOthers)
+TEST_F(FleetMemberTest, OwnerStatesARateLimit_PlacerMovesMostOfItsKeys)
 {
   BecomePlacer();
-  Pass(seconds(2));
-  Done(11);
+  Advance(seconds(2));
+  Acknowledge(11);
   auto report = ReportOf("i2", kOther);
   for (KeyNumber key = 0; key < kLastKey; key += 256) {
     report.keyCounts_["rates"].push_back({ key, 1 });
@@ -86,9 +86,9 @@
     for (int step = 0; step < 16; ++step) {
       const auto written = fleet_.transactions_.size();
       fleet_.orders_.clear();
-      Pass(milliseconds(50));
+      Advance(milliseconds(50));
       if (fleet_.transactions_.size() > written) {
-        Done(version++);
+        Acknowledge(version++);
       }
       const auto orders = fleet_.orders_;
       for (const auto& order : orders) {
@@ -105,14 +105,14 @@
   EXPECT_LT(kept, (kLastKey + 1) / 4);
 }
 
-TEST_F(MemberOfAFleet, TablesAreKnown_IsReady)
+TEST_F(FleetMemberTest, TablesAreKnown_IsReady)
 {
   EXPECT_FALSE(member_.IsReady());
   ShowTables();
   EXPECT_TRUE(member_.IsReady());
 }
 
-TEST_F(MemberOfAFleet, OlderConfigurationComes_IsNotTaken)
+TEST_F(FleetMemberTest, OlderConfigurationArrives_IsIgnored)
 {
   ShowTables();
   Show(FleetTable::Configuration, 8, { { "config", 8, "3" } });
@@ -120,7 +120,7 @@
   EXPECT_EQ(fleet_.versions_, (std::vector<std::uint64_t>{ 1, 3 }));
 }
 
-TEST_F(MemberOfAFleet, ConfigurationCannotBeRead_LastGoodOneStays)
+TEST_F(FleetMemberTest, ConfigurationCannotBeDecoded_LastGoodOneStays)
 {
   ShowTables();
   Show(FleetTable::Configuration, 8, { { "config", 8, "broken" } });
@@ -128,36 +128,36 @@
   EXPECT_TRUE(member_.IsReady());
 }
 
-TEST_F(MemberOfAFleet, NoPlacer_ClaimsOnConditionThatThereIsNone)
+TEST_F(FleetMemberTest, NoPlacer_ClaimIsConditionalOnTheMissingRow)
 {
   ShowTables();
   Show(FleetTable::Fleet, 7, {});
-  Pass(milliseconds(600));
+  Advance(milliseconds(600));
   ASSERT_EQ(fleet_.transactions_.size(), 1U);
   EXPECT_EQ(fleet_.transactions_[0].conditions_,
             (std::vector<RowStamp>{ { "placer", 0 }, { "ownership/rates", 0 } }));
 }
 
-TEST_F(MemberOfAFleet, ClaimIsLost_TheWinnerIsThePlacer)
+TEST_F(FleetMemberTest, ClaimFails_ReportsToTheWinner)
 {
   ShowTables();
   Show(FleetTable::Fleet, 7, {});
-  Pass(milliseconds(600));
+  Advance(milliseconds(600));
   member_.OnTransactEnded(now_,
                           { StoreStatus::Conflict, { { "placer", 9, Placer("i2", kOther) } } });
-  Pass(milliseconds(500));
+  Advance(milliseconds(500));
   EXPECT_FALSE(member_.IsPlacer());
   EXPECT_EQ(fleet_.transactions_.size(), 1U);
   EXPECT_EQ(fleet_.reports_.back(), kOther);
 }
 
-TEST_F(MemberOfAFleet, AnswerToAClaimIsLost_SameClaimIsSentAgainAndRecognised)
+TEST_F(FleetMemberTest, AnswerToAClaimIsLost_RetryRecognisesItsOwnRow)
 {
   ShowTables();
   Show(FleetTable::Fleet, 7, {});
-  Pass(milliseconds(600));
+  Advance(milliseconds(600));
   member_.OnTransactEnded(now_, { StoreStatus::Unsure, {} });
-  Pass(milliseconds(300));
+  Advance(milliseconds(300));
   ASSERT_EQ(fleet_.transactions_.size(), 2U);
   const auto& write = fleet_.transactions_[1].writes_.front();
   EXPECT_EQ(write.value_, fleet_.transactions_[0].writes_.front().value_);
@@ -165,96 +165,96 @@
   EXPECT_TRUE(member_.IsPlacer());
 }
 
-TEST_F(MemberOfAFleet, IsPlacer_FollowsCloselyAndWritesOwnersBeforeAnyGrant)
+TEST_F(FleetMemberTest, IsPlacer_PollsWithShortWaitsAndWritesOwnersBeforeAnyGrant)
 {
   BecomePlacer();
-  Pass(seconds(3));
-  EXPECT_EQ(fleet_.following_, StorePollMode::ShortWaits);
+  Advance(seconds(3));
+  EXPECT_EQ(fleet_.pollMode_, StorePollMode::ShortWaits);
   ASSERT_EQ(fleet_.transactions_.size(), 2U);
   EXPECT_TRUE(fleet_.orders_.empty());
   EXPECT_EQ(fleet_.transactions_[1].conditions_,
             (std::vector<RowStamp>{ { "placer", 10 }, { "ownership/rates", 0 } }));
-  Done(11);
-  Pass(milliseconds(100));
+  Acknowledge(11);
+  Advance(milliseconds(100));
   EXPECT_FALSE(fleet_.orders_.empty());
   EXPECT_TRUE(fleet_.ownership_);
 }
 
-TEST_F(MemberOfAFleet, PlacerLearnsOfAChange_ItTellsThoseThatReport)
+TEST_F(FleetMemberTest, PlacerReadsAChange_SendsItToReportingInstances)
 {
   BecomePlacer();
   member_.OnReport(now_, ReportOf("i2", kOther));
   member_.OnView(now_,
                  { FleetTable::Servers, 20, false, 6, { { { "s1", 20, "leaving" }, false } } });
-  ASSERT_FALSE(fleet_.news_.empty());
-  EXPECT_EQ(fleet_.news_.back().first, kOther);
-  EXPECT_EQ(fleet_.news_.back().second.views_.front().version_, 20U);
+  ASSERT_FALSE(fleet_.updates_.empty());
+  EXPECT_EQ(fleet_.updates_.back().first, kOther);
+  EXPECT_EQ(fleet_.updates_.back().second.views_.front().version_, 20U);
 }
 
-TEST_F(MemberOfAFleet, PlacerLearnsOfAChangeAfterAQuietTime_ItTellsFromTheLastChangeOn)
+TEST_F(FleetMemberTest, PlacerReadsAChangeAfterAQuietTime_UpdateStartsAtTheLastChange)
 {
   BecomePlacer();
   member_.OnReport(now_, ReportOf("i2", kOther));
   member_.OnView(now_, { FleetTable::Servers, 50, false, 6, {} });
   member_.OnView(now_,
                  { FleetTable::Servers, 60, false, 50, { { { "s1", 60, "leaving" }, false } } });
-  ASSERT_FALSE(fleet_.news_.empty());
-  EXPECT_EQ(fleet_.news_.back().second.views_.front().base_, 3U);
+  ASSERT_FALSE(fleet_.updates_.empty());
+  EXPECT_EQ(fleet_.updates_.back().second.views_.front().base_, 3U);
 }
 
-TEST_F(MemberOfAFleet, PlacerReadsItsWriteBeforeTheAnswer_NewsFollowOnWhatTheOthersHave)
+TEST_F(FleetMemberTest, PlacerReadsItsWriteBeforeTheAnswer_UpdateStartsAtTheOthersVersion)
 {
   BecomePlacer();
   member_.OnReport(now_, ReportOf("i2", kOther));
-  Pass(seconds(3));
+  Advance(seconds(3));
   const auto write = fleet_.transactions_.back().writes_.front();
   Show(FleetTable::Fleet, 11, { { write.key_, 11, write.value_ } });
-  Done(11);
-  ASSERT_FALSE(fleet_.news_.empty());
-  const auto& owners = fleet_.news_.back().second.owners_;
+  Acknowledge(11);
+  ASSERT_FALSE(fleet_.updates_.empty());
+  const auto& owners = fleet_.updates_.back().second.owners_;
   ASSERT_EQ(owners.size(), 1U);
   EXPECT_EQ(owners.front().base_, 0U);
   EXPECT_EQ(owners.front().version_, 11U);
   EXPECT_FALSE(owners.front().ownership_.ranges_.empty());
 }
 
-TEST_F(MemberOfAFleet, PlacerLosesTheStore_ItSaysSoAtOnceAndToEveryReport)
+TEST_F(FleetMemberTest, PlacerLosesTheStore_PausesUpdatesAndAnswersThatItIsNotWorking)
 {
   BecomePlacer();
   member_.OnReport(now_, ReportOf("i2", kOther));
   member_.OnStoreLost(now_);
-  EXPECT_TRUE(fleet_.news_.back().second.pausesUpdates_);
+  EXPECT_TRUE(fleet_.updates_.back().second.pausesUpdates_);
   EXPECT_FALSE(member_.OnReport(now_, ReportOf("i2", kOther)).isWorking_);
 }
 
-TEST_F(MemberOfAFleet, AnotherClaimsItsPlace_ItGivesNoMoreOrders)
+TEST_F(FleetMemberTest, AnotherInstanceClaimsTheRole_SendsNoMoreCommands)
 {
   BecomePlacer();
-  Pass(seconds(3));
-  Done(11);
-  Pass(milliseconds(100));
-  FleetUpdate news;
-  news.placer_ = Row{ "placer", 30, Placer("i2", kOther) };
-  member_.OnUpdate(now_, news);
+  Advance(seconds(3));
+  Acknowledge(11);
+  Advance(milliseconds(100));
+  FleetUpdate update;
+  update.placer_ = Row{ "placer", 30, Placer("i2", kOther) };
+  member_.OnUpdate(now_, update);
   const auto orders = fleet_.orders_.size();
-  Pass(seconds(10));
+  Advance(seconds(10));
   EXPECT_FALSE(member_.IsPlacer());
   EXPECT_EQ(fleet_.orders_.size(), orders);
 }
 
-TEST_F(MemberOfAFleet, PlacerHearsNobodyAndItsOrdersAreAnswered_ItStopsInTime)
+TEST_F(FleetMemberTest, PlacerIsIsolatedAndItsCommandsAreAnswered_StopsInTime)
 {
   BecomePlacer();
-  Pass(seconds(3));
-  Done(11);
+  Advance(seconds(3));
+  Acknowledge(11);
   member_.OnReport(now_, ReportOf("i2", kOther));
-  Pass(seconds(1));
+  Advance(seconds(1));
   member_.OnStoreLost(now_);
   std::size_t answered = 0;
   const auto answerOrders = [&](Duration aTime) {
     const auto end = now_ + aTime;
     while (now_ < end) {
-      Pass(milliseconds(50));
+      Advance(milliseconds(50));
       for (; answered < fleet_.orders_.size(); ++answered) {
         member_.OnOrderEnded(
           now_, "rates", fleet_.orders_[answered].number_, { OrderEnd::Done, "" });
@@ -268,16 +268,16 @@
   EXPECT_EQ(fleet_.orders_.size(), orders);
 }
 
-TEST_F(MemberOfAFleet, PlacerLosesTheStoreButMostReport_ItGoesOn)
+TEST_F(FleetMemberTest, PlacerLosesTheStoreButMostInstancesReport_Continues)
 {
   BecomePlacer();
-  Pass(seconds(3));
-  Done(11);
+  Advance(seconds(3));
+  Acknowledge(11);
   member_.OnStoreLost(now_);
   std::size_t answered = 0;
   for (int round = 0; round < 400; ++round) {
     member_.OnReport(now_, ReportOf("i2", kOther));
-    Pass(milliseconds(50));
+    Advance(milliseconds(50));
     for (; answered < fleet_.orders_.size(); ++answered) {
       member_.OnOrderEnded(now_, "rates", fleet_.orders_[answered].number_, { OrderEnd::Done, "" });
     }
@@ -286,295 +286,295 @@
   EXPECT_GT(fleet_.orders_.size(), 600U);
 }
 
-TEST_F(MemberOfAFleet, AnswerToAWriteComesAfterTheClaimWasLost_IsNotTakenForALaterOne)
+TEST_F(FleetMemberTest, WriteIsAnsweredAfterTheClaimWasLost_IsNotTakenForALaterWrite)
 {
   BecomePlacer();
-  Pass(seconds(3));
+  Advance(seconds(3));
   ASSERT_EQ(fleet_.transactions_.size(), 2U);
-  FleetUpdate news;
-  news.placer_ = Row{ "placer", 30, Placer("i2", kOther) };
-  member_.OnUpdate(now_, news);
-  Pass(seconds(4));
+  FleetUpdate update;
+  update.placer_ = Row{ "placer", 30, Placer("i2", kOther) };
+  member_.OnUpdate(now_, update);
+  Advance(seconds(4));
   // The other placer is silent, but no claim is sent before the result of the pending write.
   EXPECT_EQ(fleet_.transactions_.size(), 2U);
   member_.OnTransactEnded(now_, { StoreStatus::Done, { { "ownership/rates", 31, "" } } });
   EXPECT_FALSE(member_.IsPlacer());
-  Pass(seconds(1));
+  Advance(seconds(1));
   EXPECT_EQ(fleet_.transactions_.size(), 3U);
 }
 
-TEST_F(MemberOfAFleet, PlacerHearsNeitherStoreNorInstances_ItGivesNoMoreOrders)
+TEST_F(FleetMemberTest, PlacerReachesNeitherStoreNorInstances_SendsNoMoreCommands)
 {
   BecomePlacer();
   member_.OnReport(now_, ReportOf("i2", kOther));
   member_.OnReport(now_, ReportOf("i3", "10.0.0.3:9"));
-  Pass(seconds(3));
-  Done(11);
+  Advance(seconds(3));
+  Acknowledge(11);
   member_.OnStoreLost(now_);
-  Pass(seconds(7));
+  Advance(seconds(7));
   const auto orders = fleet_.orders_.size();
-  Pass(seconds(5));
+  Advance(seconds(5));
   EXPECT_EQ(fleet_.orders_.size(), orders);
 }
 
-TEST_F(MemberOfAFleet, PlacerAnswersReports_StoreIsNotFollowed)
+TEST_F(FleetMemberTest, PlacerAnswersReports_PollsOnlyTheConfiguration)
 {
   ShowTables();
   Show(FleetTable::Fleet, 7, { { "placer", 7, Placer("i2", kOther) } });
   AnswerReports(seconds(2), { 5, 6, 7 });
-  EXPECT_EQ(fleet_.following_, StorePollMode::ConfigurationOnly);
+  EXPECT_EQ(fleet_.pollMode_, StorePollMode::ConfigurationOnly);
   EXPECT_EQ(fleet_.instances_, 2U);
 }
 
-TEST_F(MemberOfAFleet, PlacerKnowsMoreFromTheStart_StoreIsFollowed)
+TEST_F(FleetMemberTest, PlacerHasLaterChangesFromTheStart_PollsTheStore)
 {
   ShowTables();
   Show(FleetTable::Fleet, 7, { { "placer", 7, Placer("i2", kOther) } });
   AnswerReports(seconds(2), { 5, 9, 7 });
-  EXPECT_EQ(fleet_.following_, StorePollMode::LongWaits);
+  EXPECT_EQ(fleet_.pollMode_, StorePollMode::LongWaits);
 }
 
-TEST_F(MemberOfAFleet, ConfigurationChangesAndIsNotHeardOf_StoreIsAskedForIt)
+TEST_F(FleetMemberTest, ConfigurationUpdateIsMissed_PollsTheStore)
 {
   ShowTables();
   Show(FleetTable::Fleet, 7, { { "placer", 7, Placer("i2", kOther) } });
   AnswerReports(seconds(2), { 5, 6, 7 });
-  ASSERT_EQ(fleet_.following_, StorePollMode::ConfigurationOnly);
+  ASSERT_EQ(fleet_.pollMode_, StorePollMode::ConfigurationOnly);
   member_.OnReportAnswered(now_, ReportAnswer{ true, kBoth, { 30, 6, 7 } });
-  Pass(milliseconds(600));
-  EXPECT_EQ(fleet_.following_, StorePollMode::LongWaits);
+  Advance(milliseconds(600));
+  EXPECT_EQ(fleet_.pollMode_, StorePollMode::LongWaits);
   EXPECT_EQ(fleet_.followFrom_, (TableVersions{ 5, 6, 7 }));
 }
 
-TEST_F(MemberOfAFleet, PlacerSeesAConfiguration_ItSendsNothingAndNamesTheChangeInAnswers)
+TEST_F(FleetMemberTest, PlacerReadsAConfiguration_OnlyAnswersReferToIt)
 {
   BecomePlacer();
   member_.OnReport(now_, ReportOf("i2", kOther));
-  const auto sent = fleet_.news_.size();
+  const auto sent = fleet_.updates_.size();
   Show(FleetTable::Configuration, 30, { { "config", 29, "2" } });
-  EXPECT_EQ(fleet_.news_.size(), sent);
+  EXPECT_EQ(fleet_.updates_.size(), sent);
   EXPECT_EQ(member_.OnReport(now_, ReportOf("i2", kOther)).lastChanges_.front(), 29U);
 }
 
-TEST_F(MemberOfAFleet, PlacerFallsSilent_StoreIsFollowedFromWhatIsKnownAndThenClaimed)
+TEST_F(FleetMemberTest, PlacerFallsSilent_PollsTheStoreFromKnownVersionsAndThenClaims)
 {
   ShowTables();
   Show(FleetTable::Fleet, 7, { { "placer", 7, Placer("i2", kOther) } });
   AnswerReports(seconds(2), { 5, 6, 7 });
   member_.OnReportAnswered(now_, std::nullopt);
-  Pass(milliseconds(50));
-  EXPECT_EQ(fleet_.following_, StorePollMode::LongWaits);
+  Advance(milliseconds(50));
+  EXPECT_EQ(fleet_.pollMode_, StorePollMode::LongWaits);
   EXPECT_EQ(fleet_.followFrom_, (TableVersions{ 5, 6, 7 }));
-  Pass(seconds(3));
+  Advance(seconds(3));
   EXPECT_EQ(fleet_.transactions_.size(), 1U);
 }
 
-TEST_F(MemberOfAFleet, PlacerToldOfAMuchStrongerOneAndFallsSilent_ThatOneMayClaimFirst)
+TEST_F(FleetMemberTest, PlacerFallsSilent_MuchStrongerInstanceClaimsFirst)
 {
   ShowTables();
   Show(FleetTable::Fleet, 7, { { "placer", 7, Placer("i2", kOther) } });
   AnswerReports(seconds(2), { 5, 6, 7 });
   member_.OnReportAnswered(now_, ReportAnswer{ true, kBoth, { 5, 6, 7 }, 10 });
   // An instance with an equal share would claim earlier by more than a report interval.
-  Pass(milliseconds(2550));
+  Advance(milliseconds(2550));
   EXPECT_TRUE(fleet_.transactions_.empty());
-  Pass(milliseconds(400));
+  Advance(milliseconds(400));
   EXPECT_EQ(fleet_.transactions_.size(), 1U);
 }
 
-TEST_F(MemberOfAFleet, StoreReturnsAfterAnOutageOfAll_LivingPlacerIsNotReplaced)
+TEST_F(FleetMemberTest, StoreReturnsAfterAnOutage_LivingPlacerIsNotReplaced)
 {
   ShowTables();
   Show(FleetTable::Fleet, 7, { { "placer", 7, Placer("i2", kOther) } });
   AnswerReports(seconds(2), { 5, 6, 7 });
   member_.OnStoreLost(now_);
   for (int round = 0; round < 100; ++round) {
-    Pass(milliseconds(50));
+    Advance(milliseconds(50));
     member_.OnReportAnswered(now_, ReportAnswer{ false, kBoth, {} });
   }
   member_.OnStoreRegained(now_);
-  Pass(seconds(1));
+  Advance(seconds(1));
   EXPECT_TRUE(fleet_.transactions_.empty());
 }
 
-TEST_F(MemberOfAFleet, StoreIsLostButThePlacerAnswersSlowly_NewsAreNotStale)
+TEST_F(FleetMemberTest, StoreIsLostButThePlacerAnswersSlowly_IsNotStale)
 {
   ShowTables();
   Show(FleetTable::Fleet, 7, { { "placer", 7, Placer("i2", kOther) } });
   member_.OnStoreLost(now_);
   for (int round = 0; round < 60; ++round) {
-    Pass(milliseconds(50));
+    Advance(milliseconds(50));
     member_.OnReportAnswered(now_, ReportAnswer{ true, kBoth, { 5, 6, 7 } }, milliseconds(250));
   }
   EXPECT_FALSE(fleet_.isStale_);
-  Pass(seconds(3));
+  Advance(seconds(3));
   EXPECT_TRUE(fleet_.isStale_);
 }
 
-TEST_F(MemberOfAFleet, PlacerAloneLosesTheStore_IsReplaced)
+TEST_F(FleetMemberTest, OnlyThePlacerLosesTheStore_IsReplaced)
 {
   ShowTables();
   Show(FleetTable::Fleet, 7, { { "placer", 7, Placer("i2", kOther) } });
   AnswerReports(seconds(2), { 5, 6, 7 });
   for (int round = 0; round < 60; ++round) {
-    Pass(milliseconds(50));
+    Advance(milliseconds(50));
     member_.OnReportAnswered(now_, ReportAnswer{ false, kBoth, {} });
   }
   EXPECT_EQ(fleet_.transactions_.size(), 1U);
 }
 
-TEST_F(MemberOfAFleet, PlacerAnswersSlowly_StoreIsFollowedButThePlacerStays)
+TEST_F(FleetMemberTest, PlacerAnswersSlowly_PollsTheStoreButKeepsThePlacer)
 {
   ShowTables();
   Show(FleetTable::Fleet, 7, { { "placer", 7, Placer("i2", kOther) } });
   AnswerReports(seconds(2), { 5, 6, 7 });
-  ASSERT_EQ(fleet_.following_, StorePollMode::ConfigurationOnly);
+  ASSERT_EQ(fleet_.pollMode_, StorePollMode::ConfigurationOnly);
   for (int round = 0; round < 100; ++round) {
-    Pass(milliseconds(50));
+    Advance(milliseconds(50));
     member_.OnReportAnswered(now_, ReportAnswer{ true, kBoth, { 5, 6, 7 } }, milliseconds(250));
   }
-  EXPECT_EQ(fleet_.following_, StorePollMode::LongWaits);
+  EXPECT_EQ(fleet_.pollMode_, StorePollMode::LongWaits);
   EXPECT_TRUE(fleet_.transactions_.empty());
 }
 
-TEST_F(MemberOfAFleet, PlacerSaysItLostTheStore_StoreIsFollowedAtOnce)
+TEST_F(FleetMemberTest, PlacerPausesUpdates_PollsTheStoreAtOnce)
 {
   ShowTables();
   Show(FleetTable::Fleet, 7, { { "placer", 7, Placer("i2", kOther) } });
   AnswerReports(seconds(2), { 5, 6, 7 });
-  FleetUpdate news;
-  news.pausesUpdates_ = true;
-  member_.OnUpdate(now_, news);
-  EXPECT_EQ(fleet_.following_, StorePollMode::LongWaits);
+  FleetUpdate update;
+  update.pausesUpdates_ = true;
+  member_.OnUpdate(now_, update);
+  EXPECT_EQ(fleet_.pollMode_, StorePollMode::LongWaits);
 }
 
-TEST_F(MemberOfAFleet, NewsBeginLaterThanWhatIsKnown_StoreIsFollowed)
+TEST_F(FleetMemberTest, UpdateStartsAfterTheKnownVersion_PollsTheStore)
 {
   ShowTables();
   Show(FleetTable::Fleet, 7, { { "placer", 7, Placer("i2", kOther) } });
   AnswerReports(seconds(2), { 5, 6, 7 });
-  FleetUpdate news;
-  news.views_.push_back({ FleetTable::Servers, 20, false, 15, {} });
-  member_.OnUpdate(now_, news);
-  EXPECT_EQ(fleet_.following_, StorePollMode::LongWaits);
+  FleetUpdate update;
+  update.views_.push_back({ FleetTable::Servers, 20, false, 15, {} });
+  member_.OnUpdate(now_, update);
+  EXPECT_EQ(fleet_.pollMode_, StorePollMode::LongWaits);
 }
 
-TEST_F(MemberOfAFleet, HasJustStarted_OnlyTheFleetsRowsAreReadUntilThePlacerTells)
+TEST_F(FleetMemberTest, HasJustStarted_ReadsOnlyTheFleetTableUntilThePlacerSendsTheOthers)
 {
   Show(FleetTable::Fleet, 7, { { "placer", 7, Placer("i2", kOther) } });
-  Pass(milliseconds(50));
+  Advance(milliseconds(50));
   ASSERT_EQ(fleet_.reports_.size(), 1U);
   EXPECT_TRUE(fleet_.lastReport_.lacksTables_);
   member_.OnReportAnswered(now_, ReportAnswer{ true, kBoth, { 5, 6, 7 } });
-  Pass(milliseconds(1000));
+  Advance(milliseconds(1000));
   EXPECT_FALSE(fleet_.hasFollowed_);
-  FleetUpdate news;
-  news.views_.push_back(
+  FleetUpdate update;
+  update.views_.push_back(
     { FleetTable::Configuration, 5, true, 0, { { { "config", 5, "1" }, false } } });
-  news.views_.push_back({ FleetTable::Servers, 6, true, 0, { { { "s1", 2, "ready" }, false } } });
-  member_.OnUpdate(now_, news);
+  update.views_.push_back({ FleetTable::Servers, 6, true, 0, { { { "s1", 2, "ready" }, false } } });
+  member_.OnUpdate(now_, update);
   member_.OnReportAnswered(now_, ReportAnswer{ true, kBoth, { 5, 6, 7 } });
-  Pass(milliseconds(50));
+  Advance(milliseconds(50));
   EXPECT_TRUE(member_.IsReady());
-  EXPECT_EQ(fleet_.following_, StorePollMode::Off);
+  EXPECT_EQ(fleet_.pollMode_, StorePollMode::Off);
 }
 
-TEST_F(MemberOfAFleet, HasJustStartedInASmallFleet_TablesAreReadAtOnce)
+TEST_F(FleetMemberTest, HasJustStartedInASmallFleet_ReadsTheTablesAtOnce)
 {
   Show(FleetTable::Fleet, 8, { { "placer", 7, Placer("i2", kOther) }, { "size", 8, "small" } });
-  EXPECT_EQ(fleet_.following_, StorePollMode::LongWaits);
+  EXPECT_EQ(fleet_.pollMode_, StorePollMode::LongWaits);
   EXPECT_TRUE(fleet_.hasFollowed_);
 }
 
-TEST_F(MemberOfAFleet, HasJustStartedInALargeFleet_TablesAreWaitedFor)
+TEST_F(FleetMemberTest, HasJustStartedInALargeFleet_WaitsForTheTables)
 {
   Show(FleetTable::Fleet, 8, { { "placer", 7, Placer("i2", kOther) }, { "size", 8, "large" } });
-  Pass(milliseconds(100));
+  Advance(milliseconds(100));
   EXPECT_FALSE(fleet_.hasFollowed_);
 }
 
-TEST_F(MemberOfAFleet, FleetIsSmall_PlacerWritesItDownOnce)
+TEST_F(FleetMemberTest, FleetIsSmall_PlacerStoresTheSizeOnce)
 {
   BecomePlacer();
-  Pass(seconds(3));
+  Advance(seconds(3));
   const auto isSize = [](const Transaction& aTransaction) {
     return aTransaction.writes_.front().key_ == "size";
   };
   ASSERT_EQ(fleet_.transactions_.back().writes_.front().key_, "ownership/rates");
-  Done(11);
-  Pass(milliseconds(100));
+  Acknowledge(11);
+  Advance(milliseconds(100));
   ASSERT_TRUE(isSize(fleet_.transactions_.back()));
   EXPECT_EQ(fleet_.transactions_.back().writes_.front().value_, "small");
   EXPECT_EQ(fleet_.transactions_.back().conditions_,
             (std::vector<RowStamp>{ { "placer", 10 }, { "size", 0 } }));
-  Done(12);
-  Pass(seconds(3));
+  Acknowledge(12);
+  Advance(seconds(3));
   EXPECT_EQ(std::count_if(fleet_.transactions_.begin(), fleet_.transactions_.end(), isSize), 1);
   EXPECT_TRUE(member_.IsPlacer());
 }
 
-TEST_F(MemberOfAFleet, HasJustStartedAndThePlacerIsGone_TablesAreRead)
+TEST_F(FleetMemberTest, HasJustStartedWithoutALivingPlacer_ReadsTheTables)
 {
   Show(FleetTable::Fleet, 7, { { "placer", 7, Placer("i2", kOther) } });
-  Pass(milliseconds(350));
+  Advance(milliseconds(350));
   EXPECT_FALSE(fleet_.hasFollowed_);
-  Pass(milliseconds(100));
-  EXPECT_EQ(fleet_.following_, StorePollMode::LongWaits);
+  Advance(milliseconds(100));
+  EXPECT_EQ(fleet_.pollMode_, StorePollMode::LongWaits);
 }
 
-TEST_F(MemberOfAFleet, HasJustStartedAndItsPlacerIsNotOneYet_ItIsAskedAgainSoon)
+TEST_F(FleetMemberTest, HasJustStartedAndThePlacerIsNotWorkingYet_ReportsAgainSoon)
 {
   Show(FleetTable::Fleet, 7, { { "placer", 7, Placer("i2", kOther) } });
-  Pass(milliseconds(50));
+  Advance(milliseconds(50));
   member_.OnReportAnswered(now_, ReportAnswer{ false, {}, {} });
-  Pass(milliseconds(100));
+  Advance(milliseconds(100));
   EXPECT_EQ(fleet_.reports_.size(), 2U);
 }
 
-TEST_F(MemberOfAFleet, InstancesHaveStarted_PlacerTellsThemTheTablesOnce)
+TEST_F(FleetMemberTest, InstancesHaveStarted_PlacerSendsThemTheTablesOnce)
 {
   BecomePlacer();
   auto report = ReportOf("i2", kOther);
   report.lacksTables_ = true;
   member_.OnReport(now_, report);
-  const auto sent = fleet_.news_.size();
-  Pass(milliseconds(50));
-  ASSERT_EQ(fleet_.news_.size(), sent + 1);
-  EXPECT_EQ(fleet_.news_.back().first, kOther);
-  ASSERT_EQ(fleet_.news_.back().second.views_.size(), 2U);
-  EXPECT_TRUE(fleet_.news_.back().second.views_[1].isWhole_);
+  const auto sent = fleet_.updates_.size();
+  Advance(milliseconds(50));
+  ASSERT_EQ(fleet_.updates_.size(), sent + 1);
+  EXPECT_EQ(fleet_.updates_.back().first, kOther);
+  ASSERT_EQ(fleet_.updates_.back().second.views_.size(), 2U);
+  EXPECT_TRUE(fleet_.updates_.back().second.views_[1].isWhole_);
   member_.OnReport(now_, report);
-  Pass(milliseconds(200));
-  EXPECT_EQ(fleet_.news_.size(), sent + 1);
+  Advance(milliseconds(200));
+  EXPECT_EQ(fleet_.updates_.size(), sent + 1);
 }
 
-TEST_F(MemberOfAFleet, NoConfigurationYet_ThePlacerIsFoundAlready)
+TEST_F(FleetMemberTest, NoConfigurationYet_ClaimsThePlacerRole)
 {
   Show(FleetTable::Fleet, 7, {});
-  Pass(milliseconds(600));
+  Advance(milliseconds(600));
   ASSERT_EQ(fleet_.transactions_.size(), 1U);
-  Done(10);
+  Acknowledge(10);
   EXPECT_TRUE(member_.IsPlacer());
-  Pass(milliseconds(50));
-  EXPECT_EQ(fleet_.following_, StorePollMode::ShortWaits);
+  Advance(milliseconds(50));
+  EXPECT_EQ(fleet_.pollMode_, StorePollMode::ShortWaits);
 }
 
-TEST_F(MemberOfAFleet, StartsWithoutTheStore_LearnsFromASeed)
+TEST_F(FleetMemberTest, StartsWithoutTheStore_FetchesFromASeed)
 {
   member_.OnStoreLost(now_);
-  Pass(milliseconds(100));
+  Advance(milliseconds(100));
   EXPECT_EQ(fleet_.fetches_, std::vector<std::string>{ "10.0.0.3:9" });
-  FleetUpdate news;
-  news.views_.push_back(
+  FleetUpdate update;
+  update.views_.push_back(
     { FleetTable::Configuration, 5, true, 0, { { { "config", 5, "1" }, false } } });
-  news.views_.push_back({ FleetTable::Servers, 6, true, 0, { { { "s1", 2, "ready" }, false } } });
-  news.placer_ = Row{ "placer", 7, Placer("i2", kOther) };
-  member_.OnUpdate(now_, news);
+  update.views_.push_back({ FleetTable::Servers, 6, true, 0, { { { "s1", 2, "ready" }, false } } });
+  update.placer_ = Row{ "placer", 7, Placer("i2", kOther) };
+  member_.OnUpdate(now_, update);
   EXPECT_TRUE(member_.IsReady());
   EXPECT_NE(member_.Directory().Find("s1"), nullptr);
 }
 
-TEST_F(MemberOfAFleet, HallIsDrainedAndRestored_ItsServersTakeNoWorkMeanwhile)
+TEST_F(FleetMemberTest, HallIsDrainedAndRestored_ItsServersTakeNoWorkMeanwhile)
 {
   ShowTables();
   Show(FleetTable::Configuration, 8, { { "config", 5, "1" }, { "drain/hall", 8, "" } });
@@ -585,7 +585,7 @@
   EXPECT_EQ(fleet_.directoryChanges_, changes + 1);
 }
 
-TEST_F(MemberOfAFleet, StartsWhileAHallIsDrained_ItsServersTakeNoWork)
+TEST_F(FleetMemberTest, StartsWhileAHallIsDrained_ItsServersTakeNoWork)
 {
   Show(FleetTable::Configuration, 5, { { "config", 5, "1" }, { "drain/hall", 4, "" } });
   Show(FleetTable::Servers, 6, { { "s1", 2, "ready" } });
--- a/Tests/LibFleet/TestFleetParts.cpp
+++ b/Tests/LibFleet/TestFleetParts.cpp
@@ -18,10 +18,10 @@
   return { FleetTable::Servers, aVersion, aIsWhole, aBase, std::move(aRows) };
 }
 
-class MirrorOfTwoRows : public testing::Test
+class RowMirrorOfTwoRows : public testing::Test
 {
 protected:
-  MirrorOfTwoRows()
+  RowMirrorOfTwoRows()
   {
     mirror_.Apply(
       MakeView(10, true, 0, { { { "a", 4, "old" }, false }, { { "b", 9, "b" }, false } }));
@@ -36,7 +36,7 @@
   RowMirror mirror_;
 };
 
-TEST_F(MirrorOfTwoRows, ChangesFollow_TheyAreTaken)
+TEST_F(RowMirrorOfTwoRows, ChangesAreAdjacent_AreApplied)
 {
   const auto changes = mirror_.Apply(
     MakeView(12, false, 10, { { { "a", 11, "new" }, false }, { { "b", 12, "" }, true } }));
@@ -46,34 +46,34 @@
   EXPECT_EQ(ValueOf("b"), "");
 }
 
-TEST_F(MirrorOfTwoRows, NothingChangesForAWhile_LastChangeStays)
+TEST_F(RowMirrorOfTwoRows, NothingChangesForAWhile_LastChangeStays)
 {
   mirror_.Apply(MakeView(15, false, 10, {}));
   EXPECT_EQ(mirror_.VersionOf(FleetTable::Servers), 15U);
   EXPECT_EQ(mirror_.LastChangeOf(FleetTable::Servers), 9U);
 }
 
-TEST_F(MirrorOfTwoRows, OlderViewComes_NothingChanges)
+TEST_F(RowMirrorOfTwoRows, OlderViewArrives_IsIgnored)
 {
   EXPECT_TRUE(mirror_.Apply(MakeView(9, true, 0, {}))->empty());
   EXPECT_EQ(ValueOf("a"), "old");
 }
 
-TEST_F(MirrorOfTwoRows, ChangesBeginLater_AreRefused)
+TEST_F(RowMirrorOfTwoRows, ChangesStartAfterTheKnownVersion_AreRejected)
 {
   EXPECT_FALSE(mirror_.Apply(MakeView(14, false, 12, { { { "a", 13, "new" }, false } })));
   EXPECT_EQ(ValueOf("a"), "old");
   EXPECT_EQ(mirror_.VersionOf(FleetTable::Servers), 10U);
 }
 
-TEST_F(MirrorOfTwoRows, ChangesOverlap_OlderRowIsNotTakenBack)
+TEST_F(RowMirrorOfTwoRows, ChangesOverlap_NewerRowStays)
 {
   mirror_.Apply(MakeView(12, false, 10, { { { "a", 12, "newest" }, false } }));
   mirror_.Apply(MakeView(13, false, 10, { { { "a", 11, "older" }, false } }));
   EXPECT_EQ(ValueOf("a"), "newest");
 }
 
-TEST_F(MirrorOfTwoRows, WholeTableLacksARow_RowIsRemoved)
+TEST_F(RowMirrorOfTwoRows, WholeTableLacksARow_RowIsRemoved)
 {
   const auto changes = mirror_.Apply(MakeView(20, true, 0, { { { "a", 4, "old" }, false } }));
   ASSERT_EQ(changes->size(), 1U);
@@ -81,7 +81,7 @@
   EXPECT_EQ(ValueOf("b"), "");
 }
 
-TEST_F(MirrorOfTwoRows, SomebodyLacksTheLatestChanges_GetsOnlyThese)
+TEST_F(RowMirrorOfTwoRows, ChangesSinceARecentVersion_AreIncremental)
 {
   mirror_.Apply(MakeView(12, false, 10, { { { "a", 12, "new" }, false } }));
   mirror_.Apply(MakeView(14, false, 12, { { { "b", 14, "" }, true } }));
@@ -93,14 +93,14 @@
   EXPECT_TRUE(changes.rows_.front().isRemoved_);
 }
 
-TEST_F(MirrorOfTwoRows, SomebodyHasAnOlderTable_GetsItWhole)
+TEST_F(RowMirrorOfTwoRows, ChangesSinceAnOldVersion_AreTheWholeTable)
 {
   mirror_.Apply(MakeView(12, false, 10, { { { "a", 12, "new" }, false } }));
   EXPECT_TRUE(mirror_.Since(FleetTable::Servers, 9).isWhole_);
   EXPECT_TRUE(mirror_.Since(FleetTable::Servers, 0).isWhole_);
 }
 
-TEST_F(MirrorOfTwoRows, TableIsReadAnew_WhatItChangedIsToldToOthers)
+TEST_F(RowMirrorOfTwoRows, TableIsReadAgain_ItsDifferencesAreChanges)
 {
   mirror_.Apply(MakeView(20, true, 0, { { { "a", 18, "new" }, false } }));
   const auto changes = mirror_.Since(FleetTable::Servers, 10);
@@ -109,7 +109,7 @@
   EXPECT_EQ(mirror_.LastChangeOf(FleetTable::Servers), 20U);
 }
 
-TEST_F(MirrorOfTwoRows, ManyChangesFollow_TheOldestAreForgotten)
+TEST_F(RowMirrorOfTwoRows, ManyChanges_OldestAreDropped)
 {
   for (RowVersion version = 11; version < 3000; ++version) {
     mirror_.Apply(MakeView(version, false, version - 1, { { { "a", version, "x" }, false } }));
@@ -118,13 +118,13 @@
   EXPECT_TRUE(mirror_.Since(FleetTable::Servers, 20).isWhole_);
 }
 
-TEST(RowMirror, ChangesComeBeforeTheTable_AreRefused)
+TEST(RowMirror, ChangesArriveBeforeTheTable_AreRejected)
 {
   RowMirror mirror;
   EXPECT_FALSE(mirror.Apply(MakeView(3, false, 0, {})));
 }
 
-class ElectionOfTwo : public testing::Test
+class PlacerElectionOfTwo : public testing::Test
 {
 protected:
   const PlacerRow self_{ "i1", "run2", "10.0.0.1:1" };
@@ -132,48 +132,48 @@
   PlacerElection election_{ self_, 0.5, 0 };
 };
 
-TEST_F(ElectionOfTwo, RowIsNotKnown_NobodyClaims)
+TEST_F(PlacerElectionOfTwo, RowIsNotKnown_DoesNotClaim)
 {
   EXPECT_FALSE(election_.ShouldClaim(kNow));
 }
 
-TEST_F(ElectionOfTwo, NoPlacer_ClaimsAfterItsSpread)
+TEST_F(PlacerElectionOfTwo, NoPlacer_ClaimsAfterItsDelay)
 {
   election_.OnRow(kNow, std::nullopt);
   EXPECT_FALSE(election_.ShouldClaim(kNow + milliseconds(70)));
   EXPECT_TRUE(election_.ShouldClaim(kNow + milliseconds(90)));
 }
 
-TEST_F(ElectionOfTwo, OtherIsMuchStronger_ClaimsMoreThanAReportLater)
+TEST_F(PlacerElectionOfTwo, OtherIsMuchStronger_ClaimsLaterByMoreThanAReportInterval)
 {
-  election_.SetWeakness(0.9);
+  election_.SetCapacityDeficit(0.9);
   election_.OnRow(kNow, other_);
   EXPECT_FALSE(election_.ShouldClaim(kNow + milliseconds(1800 + 850)));
   EXPECT_TRUE(election_.ShouldClaim(kNow + milliseconds(1800 + 900)));
 }
 
-TEST_F(ElectionOfTwo, EarlierRunOfItselfIsNamed_ClaimsAtOnce)
+TEST_F(PlacerElectionOfTwo, RowNamesAnEarlierRunOfItself_ClaimsAtOnce)
 {
   election_.OnRow(kNow, PlacerRow{ "i1", "run1", "10.0.0.1:1" });
   EXPECT_FALSE(election_.IsPlacer());
   EXPECT_TRUE(election_.ShouldClaim(kNow));
 }
 
-TEST_F(ElectionOfTwo, PlacerAnswers_IsLeftAlone)
+TEST_F(PlacerElectionOfTwo, PlacerAnswers_DoesNotClaim)
 {
   election_.OnRow(kNow, other_);
   election_.OnPlacerResponsive(kNow + seconds(5));
   EXPECT_FALSE(election_.ShouldClaim(kNow + seconds(6)));
 }
 
-TEST_F(ElectionOfTwo, PlacerFallsSilent_ClaimsAfterTheLimit)
+TEST_F(PlacerElectionOfTwo, PlacerFallsSilent_ClaimsAfterTheLimit)
 {
   election_.OnRow(kNow, other_);
   election_.OnPlacerResponsive(kNow + seconds(5));
   EXPECT_TRUE(election_.ShouldClaim(kNow + milliseconds(7100)));
 }
 
-TEST_F(ElectionOfTwo, ClaimFails_PausesBeforeTheNext)
+TEST_F(PlacerElectionOfTwo, ClaimFails_WaitsBeforeTheNext)
 {
   election_.OnRow(kNow, std::nullopt);
   election_.OnClaimFailed(kNow + seconds(1));
@@ -181,58 +181,58 @@
   EXPECT_TRUE(election_.ShouldClaim(kNow + milliseconds(1800)));
 }
 
-TEST_F(ElectionOfTwo, NamedItself_IsPlacerAndClaimsNoMore)
+TEST_F(PlacerElectionOfTwo, RowNamesItself_IsPlacer)
 {
   election_.OnRow(kNow, self_);
   EXPECT_TRUE(election_.IsPlacer());
   EXPECT_FALSE(election_.ShouldClaim(kNow + seconds(60)));
 }
 
-TEST(PlacerMonitor, PlacerAnswersAndKnowsNoMore_IsRelayedUntilItFallsSilent)
+TEST(PlacerMonitor, PlacerAnswersWithKnownVersions_IsReliableUntilItFallsSilent)
 {
   PlacerMonitor watch;
-  EXPECT_FALSE(watch.IsRelayed(kNow, { 5, 5, 5 }));
+  EXPECT_FALSE(watch.IsReliable(kNow, { 5, 5, 5 }));
   watch.OnAnswer(kNow, { 5, 5, 5 }, { 5, 6, 5 });
-  EXPECT_TRUE(watch.IsRelayed(kNow + seconds(1), { 5, 6, 5 }));
-  EXPECT_FALSE(watch.IsRelayed(kNow + seconds(2), { 5, 6, 5 }));
+  EXPECT_TRUE(watch.IsReliable(kNow + seconds(1), { 5, 6, 5 }));
+  EXPECT_FALSE(watch.IsReliable(kNow + seconds(2), { 5, 6, 5 }));
 }
 
-TEST(PlacerMonitor, PlacerKnowsMore_IsNotRelayedBeforeItIsCaughtUp)
+TEST(PlacerMonitor, PlacerHasLaterChanges_IsReliableOnceTheyAreKnown)
 {
   PlacerMonitor watch;
   watch.OnAnswer(kNow, { 5, 7, 5 }, { 5, 6, 5 });
-  EXPECT_FALSE(watch.IsRelayed(kNow, { 5, 6, 5 }));
-  EXPECT_TRUE(watch.IsRelayed(kNow, { 5, 7, 5 }));
+  EXPECT_FALSE(watch.IsReliable(kNow, { 5, 6, 5 }));
+  EXPECT_TRUE(watch.IsReliable(kNow, { 5, 7, 5 }));
 }
 
-TEST(PlacerMonitor, AnswerOvertakesNews_IsRelayedWhileTheyMayStillCome)
+TEST(PlacerMonitor, AnswerOvertakesAnUpdate_IsReliableWhileItMayBeInTransit)
 {
   PlacerMonitor watch;
   watch.OnAnswer(kNow, { 5, 6, 5 }, { 5, 6, 5 });
   watch.OnAnswer(kNow + seconds(1), { 5, 9, 5 }, { 5, 6, 5 });
-  EXPECT_TRUE(watch.IsRelayed(kNow + milliseconds(1300), { 5, 6, 5 }));
-  EXPECT_FALSE(watch.IsRelayed(kNow + milliseconds(1500), { 5, 6, 5 }));
-  EXPECT_TRUE(watch.IsRelayed(kNow + milliseconds(1500), { 5, 9, 5 }));
+  EXPECT_TRUE(watch.IsReliable(kNow + milliseconds(1300), { 5, 6, 5 }));
+  EXPECT_FALSE(watch.IsReliable(kNow + milliseconds(1500), { 5, 6, 5 }));
+  EXPECT_TRUE(watch.IsReliable(kNow + milliseconds(1500), { 5, 9, 5 }));
 }
 
-TEST(PlacerMonitor, ReportFails_IsNotRelayedAnyMore)
+TEST(PlacerMonitor, ReportFails_IsUnreliable)
 {
   PlacerMonitor watch;
   watch.OnAnswer(kNow, { 5, 5, 5 }, { 5, 5, 5 });
   watch.OnFailure(PlacerFault::NoAnswer);
-  EXPECT_FALSE(watch.IsRelayed(kNow, { 5, 5, 5 }));
+  EXPECT_FALSE(watch.IsReliable(kNow, { 5, 5, 5 }));
 }
 
-TEST(FleetUpdate, WrittenAndRead_IsTheSame)
+TEST(FleetUpdate, Serialized_RoundTrips)
 {
-  FleetUpdate news;
-  news.pausesUpdates_ = true;
-  news.views_.push_back(
+  FleetUpdate update;
+  update.pausesUpdates_ = true;
+  update.views_.push_back(
     MakeView(12, false, 10, { { { "a", 11, "va\"lue" }, false }, { { "b", 12, "" }, true } }));
-  news.placer_ = Row{ "placer", 3, "{}" };
-  news.owners_.push_back({ 4, 9, { "rates", 2, { { 0, 9, "s1", 2, "s2" } } } });
-  news.doubts_.push_back({ "s1", seconds(17) });
-  const auto read = ParseUpdate(SerializeUpdate(news)).value();
+  update.placer_ = Row{ "placer", 3, "{}" };
+  update.owners_.push_back({ 4, 9, { "rates", 2, { { 0, 9, "s1", 2, "s2" } } } });
+  update.uncertainLeases_.push_back({ "s1", seconds(17) });
+  const auto read = ParseUpdate(SerializeUpdate(update)).value();
   EXPECT_TRUE(read.pausesUpdates_);
   ASSERT_EQ(read.views_.size(), 1U);
   EXPECT_EQ(read.views_[0].base_, 10U);
@@ -240,11 +240,11 @@
   EXPECT_TRUE(read.views_[0].rows_[1].isRemoved_);
   EXPECT_EQ(read.placer_->version_, 3U);
   EXPECT_EQ(read.owners_[0].base_, 4U);
-  EXPECT_EQ(read.owners_[0].ownership_, news.owners_[0].ownership_);
-  EXPECT_EQ(read.doubts_[0].holds_, seconds(17));
+  EXPECT_EQ(read.owners_[0].ownership_, update.owners_[0].ownership_);
+  EXPECT_EQ(read.uncertainLeases_[0].duration_, seconds(17));
 }
 
-TEST(FleetUpdate, Malformed_IsRefused)
+TEST(FleetUpdate, Malformed_IsRejected)
 {
   EXPECT_FALSE(ParseUpdate("{"));
   EXPECT_FALSE(ParseUpdate(R"({"views":[{"table":"nothing","rows":[]}],"owners":[]})"));
@@ -252,7 +252,7 @@
   EXPECT_FALSE(ParseVersions(R"({"versions":[1,2,"x"]})"));
 }
 
-TEST(InstanceReport, WrittenAndRead_IsTheSame)
+TEST(InstanceReport, Serialized_RoundTrips)
 {
   InstanceReport report;
   report.instance_ = "i1";
@@ -282,7 +282,7 @@
   EXPECT_FALSE(ParseReport(R"({"instance":"i","address":"a","work":{"s":[1,2,3,4]}})"));
 }
 
-TEST(ReportAnswer, WrittenAndRead_IsTheSame)
+TEST(ReportAnswer, Serialized_RoundTrips)
 {
   const RosterChange roster{ false, { { "10.0.0.1:1", "north", 0.5 } }, { "10.0.0.2:1" } };
   const ReportAnswer answer{ true, roster, { 3, 4, 5 }, 0.5 };
--- a/Tests/LibFleet/TestFleetRoster.cpp
+++ b/Tests/LibFleet/TestFleetRoster.cpp
@@ -34,13 +34,13 @@
   FleetRoster others_;
 };
 
-TEST_F(RosterOfALargeFleet, ReporterKnowsAll_IsToldNothing)
+TEST_F(RosterOfALargeFleet, ReporterHasTheSameRoster_GetsNoChange)
 {
   EXPECT_EQ(others_.Digest(), placers_.Digest());
   EXPECT_TRUE(placers_.ChangesSince(others_.Digest()).IsEmpty());
 }
 
-TEST_F(RosterOfALargeFleet, OneLeavesAndOneJoins_ReporterIsToldOfTheseTwo)
+TEST_F(RosterOfALargeFleet, OneLeavesAndOneJoins_ReporterGetsTheseTwoChanges)
 {
   placers_.Remove(PeerOf(3).address_);
   placers_.Put(PeerOf(kInstances));
@@ -51,7 +51,7 @@
   EXPECT_EQ(others_.Digest(), placers_.Digest());
 }
 
-TEST_F(RosterOfALargeFleet, AnotherBecomesThePlacer_ItsRosterIsKnownToTheOthers)
+TEST_F(RosterOfALargeFleet, AnotherBecomesThePlacer_ItSendsOnlyTheDifference)
 {
   auto nexts = others_;
   nexts.Remove(PeerOf(0).address_);
@@ -59,7 +59,7 @@
             (RosterChange{ false, {}, { PeerOf(0).address_ } }));
 }
 
-TEST_F(RosterOfALargeFleet, DigestIsNotKnown_ReporterIsToldAll)
+TEST_F(RosterOfALargeFleet, DigestIsNotKnown_ReporterGetsTheWholeRoster)
 {
   const auto change = placers_.ChangesSince(12345);
   EXPECT_TRUE(change.isWhole_);
@@ -100,7 +100,7 @@
   EXPECT_FALSE(placers_.IsReader(reader.address_));
 }
 
-TEST(FleetRoster, FleetIsSmall_NobodyReadsForOthers)
+TEST(FleetRoster, FleetIsSmall_HasNoReaders)
 {
   FleetRoster roster;
   for (int number = 0; number < 12; ++number) {
--- a/Tests/LibFleet/TestLargeFleetMember.cpp
+++ b/Tests/LibFleet/TestLargeFleetMember.cpp
@@ -8,7 +8,7 @@
 
 // An instance of a large fleet in two halls. The two strongest instances of each hall are its
 // readers.
-class MemberOfALargeFleet : public MemberOfAFleet
+class MemberOfALargeFleet : public FleetMemberTest
 {
 protected:
   static constexpr int kOthers = 24;
@@ -31,9 +31,9 @@
     }
     ShowTables();
     Show(FleetTable::Fleet, 7, { { "placer", 7, Placer("i2", AddressOf(5)) } });
-    Pass(milliseconds(50));
+    Advance(milliseconds(50));
     Answer({ 5, 6, 7 });
-    Pass(milliseconds(50));
+    Advance(milliseconds(50));
     fleet_.hasFollowedAlone_ = false;
   }
 
@@ -43,16 +43,16 @@
   }
 
   // Answers every fetch within aTime with that reachability of the store.
-  void AnswerFetches(Duration aTime, StoreReachability aSight)
+  void AnswerFetches(Duration aTime, StoreReachability aReachability)
   {
-    FleetUpdate news;
-    news.storeReachability_ = aSight;
+    FleetUpdate update;
+    update.storeReachability_ = aReachability;
     const auto end = now_ + aTime;
     while (now_ < end) {
       const auto asked = fleet_.fetches_.size();
-      Pass(milliseconds(50));
+      Advance(milliseconds(50));
       if (fleet_.fetches_.size() > asked) {
-        member_.OnUpdateFetched(now_, news);
+        member_.OnUpdateFetched(now_, update);
       }
     }
   }
@@ -69,110 +69,111 @@
   }
 };
 
-TEST_F(MemberOfALargeFleet, PlacerTellsWhatChanges_StoreIsAskedForNothing)
+TEST_F(MemberOfALargeFleet, PlacerSendsUpdates_DoesNotPollTheStore)
 {
-  EXPECT_EQ(fleet_.following_, StorePollMode::Off);
+  EXPECT_EQ(fleet_.pollMode_, StorePollMode::Off);
 }
 
-TEST_F(MemberOfALargeFleet, PlacerAnswersSlowly_ReadersSeeToTheStore)
+TEST_F(MemberOfALargeFleet, PlacerAnswersSlowly_DoesNotPollTheStore)
 {
   for (int round = 0; round < 20; ++round) {
-    Pass(milliseconds(500));
+    Advance(milliseconds(500));
     member_.OnReportAnswered(now_, ReportAnswer{ true, {}, { 5, 6, 7 } }, milliseconds(250));
   }
-  EXPECT_EQ(fleet_.following_, StorePollMode::Off);
+  EXPECT_EQ(fleet_.pollMode_, StorePollMode::Off);
 }
 
-TEST_F(MemberOfALargeFleet, PlacerFallsSilentAndReadersAnswer_StoreIsAskedForNothing)
+TEST_F(MemberOfALargeFleet, PlacerFallsSilentAndReadersAnswer_DoesNotPollTheStore)
 {
   member_.OnReportAnswered(now_, std::nullopt);
   AnswerFetches(milliseconds(1500), StoreReachability::Reachable);
-  EXPECT_EQ(fleet_.following_, StorePollMode::Off);
+  EXPECT_EQ(fleet_.pollMode_, StorePollMode::Off);
   ASSERT_GE(fleet_.fetches_.size(), 3U);
   for (const auto& address : fleet_.fetches_) {
     EXPECT_TRUE(address == AddressOf(0) || address == AddressOf(2)) << address;
   }
 }
 
-TEST_F(MemberOfALargeFleet, PlacerAndReadersFallSilent_StoreIsFollowed)
+TEST_F(MemberOfALargeFleet, PlacerAndReadersFallSilent_PollsTheStore)
 {
   member_.OnReportAnswered(now_, std::nullopt);
-  Pass(milliseconds(600));
-  EXPECT_EQ(fleet_.following_, StorePollMode::Off);
-  Pass(milliseconds(200));
-  EXPECT_EQ(fleet_.following_, StorePollMode::LongWaits);
+  Advance(milliseconds(600));
+  EXPECT_EQ(fleet_.pollMode_, StorePollMode::Off);
+  Advance(milliseconds(200));
+  EXPECT_EQ(fleet_.pollMode_, StorePollMode::LongWaits);
   EXPECT_EQ(fleet_.followFrom_, (TableVersions{ 5, 6, 7 }));
 }
 
-TEST_F(MemberOfALargeFleet, StoreIsAwayFromAll_NobodyButReadersAsksIt)
+TEST_F(MemberOfALargeFleet, StoreIsDownForAll_OnlyReadersPollIt)
 {
-  FleetUpdate news;
-  news.pausesUpdates_ = true;
-  member_.OnUpdate(now_, news);
+  FleetUpdate update;
+  update.pausesUpdates_ = true;
+  member_.OnUpdate(now_, update);
   AnswerFetches(seconds(5), StoreReachability::Unreachable);
-  EXPECT_EQ(fleet_.following_, StorePollMode::Off);
+  EXPECT_EQ(fleet_.pollMode_, StorePollMode::Off);
   EXPECT_TRUE(fleet_.transactions_.empty());
   EXPECT_TRUE(fleet_.isStale_);
   AnswerFetches(milliseconds(600), StoreReachability::Reachable);
   EXPECT_FALSE(fleet_.isStale_);
 }
 
-TEST_F(MemberOfALargeFleet, AskedOneIsToldByOthersItself_ItsWordIsNotRelied)
+TEST_F(MemberOfALargeFleet, FetchedFromANonReader_PollsTheStore)
 {
   member_.OnReportAnswered(now_, std::nullopt);
   AnswerFetches(milliseconds(800), StoreReachability::NotPolling);
-  EXPECT_EQ(fleet_.following_, StorePollMode::LongWaits);
+  EXPECT_EQ(fleet_.pollMode_, StorePollMode::LongWaits);
 }
 
-TEST_F(MemberOfALargeFleet, IsAskedByAnother_SaysThatItDoesNotSeeTheStore)
+TEST_F(MemberOfALargeFleet, UpdateIsFetchedFromIt_StatesThatItDoesNotPollTheStore)
 {
   EXPECT_EQ(member_.UpdateSince(now_, { 5, 6, 7 }).storeReachability_,
             StoreReachability::NotPolling);
   EXPECT_TRUE(member_.UpdateSince(now_, { 5, 6, 7 }).views_.empty());
 }
 
-TEST_F(MemberOfALargeFleet, NewsWereMissed_ReadersTellThem)
+TEST_F(MemberOfALargeFleet, UpdateWasMissed_FetchesItFromReaders)
 {
   Answer({ 5, 9, 7 });
-  Pass(milliseconds(500));
+  Advance(milliseconds(500));
   ASSERT_FALSE(fleet_.fetches_.empty());
-  FleetUpdate news;
-  news.storeReachability_ = StoreReachability::Reachable;
-  news.views_.push_back({ FleetTable::Servers, 9, false, 6, { { { "s3", 9, "ready" }, false } } });
-  member_.OnUpdateFetched(now_, news);
+  FleetUpdate update;
+  update.storeReachability_ = StoreReachability::Reachable;
+  update.views_.push_back(
+    { FleetTable::Servers, 9, false, 6, { { { "s3", 9, "ready" }, false } } });
+  member_.OnUpdateFetched(now_, update);
   EXPECT_NE(member_.Directory().Find("s3"), nullptr);
-  Pass(milliseconds(50));
-  EXPECT_EQ(fleet_.following_, StorePollMode::Off);
+  Advance(milliseconds(50));
+  EXPECT_EQ(fleet_.pollMode_, StorePollMode::Off);
   EXPECT_FALSE(fleet_.hasFollowedAlone_);
 }
 
-TEST_F(ReaderOfALargeFleet, PlacerTellsWhatChanges_ConfigurationIsFollowed)
+TEST_F(ReaderOfALargeFleet, PlacerSendsUpdates_PollsOnlyTheConfiguration)
 {
-  EXPECT_EQ(fleet_.following_, StorePollMode::ConfigurationOnly);
+  EXPECT_EQ(fleet_.pollMode_, StorePollMode::ConfigurationOnly);
   EXPECT_EQ(member_.UpdateSince(now_, { 5, 6, 7 }).storeReachability_,
             StoreReachability::Reachable);
 }
 
-TEST_F(ReaderOfALargeFleet, ConfigurationChanges_ItsHallIsTold)
+TEST_F(ReaderOfALargeFleet, ConfigurationChanges_SendsItToItsHall)
 {
   Show(FleetTable::Configuration, 30, { { "config", 29, "2" } });
-  std::set<std::string> told;
-  for (const auto& [address, news] : fleet_.news_) {
-    told.insert(address);
-    EXPECT_EQ(news.views_.front().base_, 5U);
+  std::set<std::string> receivers;
+  for (const auto& [address, update] : fleet_.updates_) {
+    receivers.insert(address);
+    EXPECT_EQ(update.views_.front().base_, 5U);
   }
   // Half of the others.
-  EXPECT_EQ(told.size(), static_cast<std::size_t>(kOthers / 2));
-  EXPECT_TRUE(told.contains(AddressOf(4)));
+  EXPECT_EQ(receivers.size(), static_cast<std::size_t>(kOthers / 2));
+  EXPECT_TRUE(receivers.contains(AddressOf(4)));
 }
 
 // The other instances of its hall rely on a reader: a poll that waits for seconds would hide that
 // the store rejects it.
-TEST_F(ReaderOfALargeFleet, PlacerAnswersSlowly_StoreIsFollowedClosely)
+TEST_F(ReaderOfALargeFleet, PlacerAnswersSlowly_PollsWithShortWaits)
 {
   member_.OnReportAnswered(now_, ReportAnswer{ true, {}, { 5, 6, 7 } }, milliseconds(250));
-  Pass(milliseconds(50));
-  EXPECT_EQ(fleet_.following_, StorePollMode::ShortWaits);
+  Advance(milliseconds(50));
+  EXPECT_EQ(fleet_.pollMode_, StorePollMode::ShortWaits);
 }
 
 } // namespace
--- a/Tests/LibFleet/TestReaderPoller.cpp
+++ b/Tests/LibFleet/TestReaderPoller.cpp
@@ -9,18 +9,19 @@
 namespace {
 
 // An instance of a large fleet that lost its placer, with the readers of two halls.
-class GuideByFourReaders : public testing::Test
+class ReaderPollerWithFourReaders : public testing::Test
 {
 protected:
   // Sends all requests that become due within aTime. Readers answer at once, or not at all.
-  void Pass(Duration aTime, bool aIsAnswered)
+  void Advance(Duration aTime, bool aIsAnswered)
   {
     for (const auto end = now_ + aTime; now_ < end; now_ += milliseconds(50)) {
-      if (const auto address = guide_.Next(now_, readers_, random_)) {
+      if (const auto address = readerPoller_.NextReader(now_, readers_, random_)) {
         ++asked_[*address];
-        guide_.OnAnswer(now_,
-                        *address,
-                        aIsAnswered ? StoreReachability::Reachable : StoreReachability::NotPolling);
+        readerPoller_.OnAnswer(now_,
+                               *address,
+                               aIsAnswered ? StoreReachability::Reachable
+                                           : StoreReachability::NotPolling);
       }
     }
   }
@@ -31,131 +32,131 @@
                                          { "c:1", "other", 1 },
                                          { "d:1", "other", 1 } };
   std::minstd_rand random_{ 1 };
-  ReaderPoller guide_;
+  ReaderPoller readerPoller_;
   std::map<std::string, int> asked_;
 };
 
-TEST_F(GuideByFourReaders, PlacerIsReliedOn_NobodyIsAsked)
+TEST_F(ReaderPollerWithFourReaders, PlacerIsReliable_SendsNoRequest)
 {
-  EXPECT_FALSE(guide_.Next(now_, readers_, random_));
-  EXPECT_FALSE(guide_.IsGuided(now_));
+  EXPECT_FALSE(readerPoller_.NextReader(now_, readers_, random_));
+  EXPECT_FALSE(readerPoller_.AreReadersReliable(now_));
 }
 
-TEST_F(GuideByFourReaders, ReadersAnswer_TheStoreIsNotNeededAndTheOwnHallIsAsked)
+TEST_F(ReaderPollerWithFourReaders, ReadersAnswer_AreReliableAndOnlyTheOwnHallIsAsked)
 {
-  guide_.OnRelayEnded(now_);
-  Pass(seconds(10), true);
-  EXPECT_TRUE(guide_.IsGuided(now_));
+  readerPoller_.OnPlacerUnreliable(now_);
+  Advance(seconds(10), true);
+  EXPECT_TRUE(readerPoller_.AreReadersReliable(now_));
   EXPECT_EQ(asked_["a:1"] + asked_["b:1"], 20);
   EXPECT_EQ(asked_["c:1"] + asked_["d:1"], 0);
 }
 
-TEST_F(GuideByFourReaders, NobodyAnswers_OtherHallsAreAskedAndThenTheStore)
+TEST_F(ReaderPollerWithFourReaders, NoReaderAnswers_AsksOtherHallsAndBecomesUnreliable)
 {
-  guide_.OnRelayEnded(now_);
-  Pass(milliseconds(650), false);
-  EXPECT_TRUE(guide_.IsGuided(now_));
+  readerPoller_.OnPlacerUnreliable(now_);
+  Advance(milliseconds(650), false);
+  EXPECT_TRUE(readerPoller_.AreReadersReliable(now_));
   EXPECT_GE(asked_["a:1"] + asked_["b:1"] + asked_["c:1"] + asked_["d:1"], 3);
-  Pass(milliseconds(100), false);
-  EXPECT_FALSE(guide_.IsGuided(now_));
-  Pass(seconds(10), false);
+  Advance(milliseconds(100), false);
+  EXPECT_FALSE(readerPoller_.AreReadersReliable(now_));
+  Advance(seconds(10), false);
   EXPECT_GT(asked_["c:1"] + asked_["d:1"], 10);
-  EXPECT_FALSE(guide_.IsGuided(now_));
+  EXPECT_FALSE(readerPoller_.AreReadersReliable(now_));
 }
 
-TEST_F(GuideByFourReaders, OneAnswersAgain_TheStoreIsNotNeeded)
+TEST_F(ReaderPollerWithFourReaders, OneAnswersAgain_ReadersAreReliable)
 {
-  guide_.OnRelayEnded(now_);
-  Pass(seconds(3), false);
-  Pass(milliseconds(300), true);
-  EXPECT_TRUE(guide_.IsGuided(now_));
+  readerPoller_.OnPlacerUnreliable(now_);
+  Advance(seconds(3), false);
+  Advance(milliseconds(300), true);
+  EXPECT_TRUE(readerPoller_.AreReadersReliable(now_));
 }
 
 // The store rejects calls of some instances, as it may for seconds, among them the readers of this
 // hall.
-TEST(ReaderPoller, ReadersOfTheOwnHallAreTurnedAwayByTheStore_OthersAreFoundWithinASecond)
+TEST(ReaderPoller, StoreRejectsReadersOfTheOwnHall_FindsOthersWithinASecond)
 {
   const std::vector<FleetPeer> readers{
     { "a:1", "own", 1 }, { "b:1", "own", 1 }, { "c:1", "other", 1 }, { "d:1", "other", 1 }
   };
   for (unsigned seed = 1; seed <= 50; ++seed) {
     std::minstd_rand random(seed);
-    ReaderPoller guide;
+    ReaderPoller poller;
     Instant now = seconds(100);
     Instant seenAt = now;
-    guide.OnRelayEnded(now);
+    poller.OnPlacerUnreliable(now);
     for (const auto end = now + seconds(8); now < end; now += milliseconds(50)) {
-      if (const auto address = guide.Next(now, readers, random)) {
+      if (const auto address = poller.NextReader(now, readers, random)) {
         const bool sees = *address >= "c";
-        guide.OnAnswer(
+        poller.OnAnswer(
           now, *address, sees ? StoreReachability::Reachable : StoreReachability::Unreachable);
         seenAt = sees ? now : seenAt;
       }
       ASSERT_LE(now - seenAt, seconds(1)) << "seed " << seed;
-      EXPECT_TRUE(guide.IsGuided(now));
+      EXPECT_TRUE(poller.AreReadersReliable(now));
     }
   }
 }
 
-TEST_F(GuideByFourReaders, StoreIsAwayFromAll_ReadersAreAskedNoMoreOftenThanUsual)
+TEST_F(ReaderPollerWithFourReaders, StoreIsDownForAll_RequestRateStaysAsUsual)
 {
-  guide_.OnRelayEnded(now_);
+  readerPoller_.OnPlacerUnreliable(now_);
   int asked = 0;
   for (const auto end = now_ + seconds(10); now_ < end; now_ += milliseconds(50)) {
-    if (const auto address = guide_.Next(now_, readers_, random_)) {
+    if (const auto address = readerPoller_.NextReader(now_, readers_, random_)) {
       ++asked;
-      guide_.OnAnswer(now_, *address, StoreReachability::Unreachable);
+      readerPoller_.OnAnswer(now_, *address, StoreReachability::Unreachable);
     }
   }
   EXPECT_LE(asked, 24);
-  EXPECT_TRUE(guide_.IsGuided(now_));
+  EXPECT_TRUE(readerPoller_.AreReadersReliable(now_));
 }
 
-TEST_F(GuideByFourReaders, PlacerIsReliedOnAgain_AskingEnds)
+TEST_F(ReaderPollerWithFourReaders, PlacerIsReliableAgain_RequestsEnd)
 {
-  guide_.OnRelayEnded(now_);
-  guide_.OnRelayed();
-  EXPECT_FALSE(guide_.Next(now_, readers_, random_));
+  readerPoller_.OnPlacerUnreliable(now_);
+  readerPoller_.OnPlacerReliable();
+  EXPECT_FALSE(readerPoller_.NextReader(now_, readers_, random_));
 }
 
 // An instance that starts at 100 s.
-class WaitOfAStart : public testing::Test
+class StartupDeadlineTest : public testing::Test
 {
 protected:
-  WaitOfAStart() { wait_.OnStart(now_); }
+  StartupDeadlineTest() { wait_.OnStart(now_); }
 
   Instant now_ = seconds(100);
   StartupDeadline wait_;
 };
 
-TEST_F(WaitOfAStart, StoreDoesNotAnswer_TablesAreReadAfterAWhile)
+TEST_F(StartupDeadlineTest, StoreDoesNotAnswer_ExpiresAfterASecond)
 {
-  EXPECT_FALSE(wait_.IsOver(now_ + milliseconds(900)));
-  EXPECT_TRUE(wait_.IsOver(now_ + milliseconds(1000)));
+  EXPECT_FALSE(wait_.HasExpired(now_ + milliseconds(900)));
+  EXPECT_TRUE(wait_.HasExpired(now_ + milliseconds(1000)));
 }
 
-TEST_F(WaitOfAStart, NamedPlacerDoesNotAnswer_TablesAreReadSoon)
+TEST_F(StartupDeadlineTest, NamedPlacerDoesNotAnswer_ExpiresSoon)
 {
   wait_.OnFleetRead(now_, true);
-  EXPECT_TRUE(wait_.IsOver(now_ + milliseconds(400)));
+  EXPECT_TRUE(wait_.HasExpired(now_ + milliseconds(400)));
 }
 
-TEST_F(WaitOfAStart, FleetNeverHadAPlacer_FirstOneIsWaitedFor)
+TEST_F(StartupDeadlineTest, FleetNeverHadAPlacer_WaitsForTheFirstOne)
 {
   wait_.OnFleetRead(now_, false);
-  EXPECT_FALSE(wait_.IsOver(now_ + milliseconds(2900)));
+  EXPECT_FALSE(wait_.HasExpired(now_ + milliseconds(2900)));
   wait_.OnFleetRead(now_ + milliseconds(500), true);
-  EXPECT_FALSE(wait_.IsOver(now_ + milliseconds(800)));
-  EXPECT_TRUE(wait_.IsOver(now_ + milliseconds(900)));
+  EXPECT_FALSE(wait_.HasExpired(now_ + milliseconds(800)));
+  EXPECT_TRUE(wait_.HasExpired(now_ + milliseconds(900)));
 }
 
-TEST_F(WaitOfAStart, PlacerAnswers_ItsTablesAreWaitedForOnce)
+TEST_F(StartupDeadlineTest, PlacerAnswers_WaitsForItsTablesOnce)
 {
   wait_.OnFleetRead(now_, true);
   wait_.OnPlacerAnswered(now_ + milliseconds(100));
   wait_.OnPlacerAnswered(now_ + milliseconds(900));
-  EXPECT_FALSE(wait_.IsOver(now_ + milliseconds(1500)));
-  EXPECT_TRUE(wait_.IsOver(now_ + milliseconds(1600)));
+  EXPECT_FALSE(wait_.HasExpired(now_ + milliseconds(1500)));
+  EXPECT_TRUE(wait_.HasExpired(now_ + milliseconds(1600)));
 }
 
 } // namespace
--- a/Tests/LibFleet/TestServerSpeeds.cpp
+++ b/Tests/LibFleet/TestServerSpeeds.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-class SpeedOfAServer : public testing::Test
+class ServerSpeedsTest : public testing::Test
 {
 protected:
   // Adds a report every 100 ms for aTime, each with aAnswers requests of that latency.
@@ -18,7 +18,7 @@
     }
   }
 
-  double WorkMilliseconds(unsigned aSlots) const
+  double ServiceMilliseconds(unsigned aSlots) const
   {
     constexpr double kMillisecond = 1000;
     return static_cast<double>(speeds_.ServiceTimeOf("s1", aSlots).value().count()) / kMillisecond;
@@ -28,34 +28,34 @@
   ServerSpeeds speeds_;
 };
 
-TEST_F(SpeedOfAServer, FewAnswersAreKnown_NothingIsTold)
+TEST_F(ServerSpeedsTest, FewAnswersAreKnown_NoEstimate)
 {
   EXPECT_FALSE(speeds_.ServiceTimeOf("s1", 4));
   Report(milliseconds(100), 2, milliseconds(50));
   EXPECT_FALSE(speeds_.ServiceTimeOf("s1", 4));
 }
 
-TEST_F(SpeedOfAServer, SlotsAreFree_LatencyIsWork)
+TEST_F(ServerSpeedsTest, SlotsAreFree_LatencyIsServiceTime)
 {
   Report(seconds(10), 2, milliseconds(50));
-  EXPECT_NEAR(WorkMilliseconds(4), 50, 1);
+  EXPECT_NEAR(ServiceMilliseconds(4), 50, 1);
 }
 
 // Four slots that answer 40 requests a second spend 100 ms on each.
-TEST_F(SpeedOfAServer, RequestsWaitForSlots_TheirWaitIsNoWork)
+TEST_F(ServerSpeedsTest, RequestsWaitForSlots_WaitIsNotServiceTime)
 {
   Report(seconds(20), 4, milliseconds(700));
-  EXPECT_NEAR(WorkMilliseconds(4), 100, 5);
+  EXPECT_NEAR(ServiceMilliseconds(4), 100, 5);
 }
 
-TEST_F(SpeedOfAServer, TurnsSlow_IsTrustedWithinTwoHalfLives)
+TEST_F(ServerSpeedsTest, BecomesSlow_EstimateFollowsWithinTwoHalfLives)
 {
   Report(seconds(10), 2, milliseconds(50));
   Report(seconds(4), 1, milliseconds(400));
-  EXPECT_GT(WorkMilliseconds(4), 150);
+  EXPECT_GT(ServiceMilliseconds(4), 150);
 }
 
-TEST_F(SpeedOfAServer, NamesARateLimit_IsToldUntilItNamesNoneOrIsLongSilent)
+TEST_F(ServerSpeedsTest, StatesARateLimit_IsKeptUntilItStatesNoneOrSendsNoAnswers)
 {
   EXPECT_EQ(speeds_.RateLimitOf(now_, "s1"), kNoRateLimit);
   speeds_.Add(now_, "s1", { 1, milliseconds(50), 8.7 });
@@ -65,7 +65,7 @@
   EXPECT_EQ(speeds_.RateLimitOf(now_ + seconds(1), "s1"), kNoRateLimit);
 }
 
-TEST_F(SpeedOfAServer, IsListedNoMore_IsForgotten)
+TEST_F(ServerSpeedsTest, IsNoLongerListed_IsRemoved)
 {
   Report(seconds(10), 2, milliseconds(50));
   speeds_.Keep([](const std::string& aServer) { return aServer != "s1"; });
--- a/Tests/LibFleet/TestStoreReturn.cpp
+++ b/Tests/LibFleet/TestStoreReturn.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-class MemberWhoseStoreReturned : public MemberOfAFleet
+class FleetMemberAfterStoreRestore : public FleetMemberTest
 {
 protected:
   // A version of the epoch after the restore.
@@ -22,12 +22,12 @@
   {
     BecomePlacer();
     member_.OnReport(now_, ReportOf("i2", kOther));
-    Pass(seconds(3));
-    Done(11);
-    Pass(milliseconds(100));
+    Advance(seconds(3));
+    Acknowledge(11);
+    Advance(milliseconds(100));
     ASSERT_TRUE(fleet_.ownership_);
     ASSERT_EQ(LastTransaction().writes_.front().key_, "size");
-    Done(12);
+    Acknowledge(12);
   }
 
   const Transaction& LastTransaction() const { return fleet_.transactions_.back(); }
@@ -35,7 +35,7 @@
   std::string OwnRow() const { return Placer("i1", kSelf, "run2"); }
 };
 
-TEST_F(MemberWhoseStoreReturned, ConfigurationChangesAfterIt_IsTaken)
+TEST_F(FleetMemberAfterStoreRestore, ConfigurationChanges_IsApplied)
 {
   Show(FleetTable::Configuration, 90, { { "config", 80, "3" } });
   Show(FleetTable::Configuration, After(40), { { "config", After(31), "2" } });
@@ -49,7 +49,7 @@
   EXPECT_EQ(fleet_.versions_, (std::vector<std::uint64_t>{ 3, 4 }));
 }
 
-TEST_F(MemberWhoseStoreReturned, ServerLeavesAfterIt_IsTaken)
+TEST_F(FleetMemberAfterStoreRestore, ServerLeaves_IsApplied)
 {
   ShowTables();
   member_.OnView(now_, { FleetTable::Servers, 90, false, 6, { { { "s3", 90, "ready" }, false } } });
@@ -64,40 +64,40 @@
   EXPECT_TRUE(member_.Directory().Find("s2")->TakesWork());
   // The copy lacks this server, which has two seconds to write its record again.
   EXPECT_NE(member_.Directory().Find("s3"), nullptr);
-  Pass(seconds(3));
+  Advance(seconds(3));
   EXPECT_EQ(member_.Directory().Find("s3"), nullptr);
 }
 
-TEST_F(MemberWhoseStoreReturned, CopyTakesBackThatAServerLeaves_ItGetsNothingMeanwhile)
+TEST_F(FleetMemberAfterStoreRestore, CopyRevertsThatAServerLeaves_GetsNoWorkMeanwhile)
 {
   ShowTables();
   member_.OnView(now_,
                  { FleetTable::Servers, 90, false, 6, { { { "s1", 90, "leaving" }, false } } });
   Show(FleetTable::Servers, After(5), { { "s1", After(2), "ready" }, { "s2", After(3), "ready" } });
-  Pass(seconds(2));
+  Advance(seconds(2));
   EXPECT_FALSE(member_.Directory().Find("s1")->TakesWork());
 }
 
-TEST_F(MemberWhoseStoreReturned, AnotherInstanceTellsOfIt_WhatItTellsIsNewer)
+TEST_F(FleetMemberAfterStoreRestore, AnotherInstanceSendsAnUpdate_IsApplied)
 {
   ShowTables();
   Show(FleetTable::Fleet, 7, { { "placer", 7, Placer("i2", kOther) } });
-  FleetUpdate news;
-  news.views_ = {
+  FleetUpdate update;
+  update.views_ = {
     { FleetTable::Servers, After(4), false, 3, { { { "s1", After(4), "leaving" }, false } } }
   };
   member_.OnStoreLost(now_);
-  member_.OnUpdate(now_, news);
+  member_.OnUpdate(now_, update);
   EXPECT_FALSE(member_.Directory().Find("s1")->TakesWork());
 }
 
-TEST_F(MemberWhoseStoreReturned, OwnersWereLost_PlacerWritesThemAgainUnderHigherFences)
+TEST_F(FleetMemberAfterStoreRestore, OwnersWereLost_PlacerWritesThemAgainWithHigherFences)
 {
   PlaceKeys();
   const auto before = *fleet_.ownership_;
   Show(FleetTable::Fleet, After(10), { { "placer", After(10), OwnRow() } });
   EXPECT_TRUE(member_.IsPlacer());
-  Pass(milliseconds(200));
+  Advance(milliseconds(200));
   ASSERT_EQ(LastTransaction().conditions_,
             (std::vector<RowStamp>{ { "placer", After(10) }, { "ownership/rates", 0 } }));
   const auto again = ParseOwnership(LastTransaction().writes_.front().value_).value();
@@ -107,13 +107,13 @@
     EXPECT_EQ(again.ranges_[index].owner_, before.ranges_[index].owner_);
     EXPECT_GT(again.ranges_[index].fence_, before.lastFence_);
   }
-  Done(After(11));
+  Acknowledge(After(11));
   // The other instances may have the owners as of any earlier version.
-  EXPECT_EQ(fleet_.news_.back().second.owners_.front().base_, 0U);
+  EXPECT_EQ(fleet_.updates_.back().second.owners_.front().base_, 0U);
   EXPECT_EQ(fleet_.ownership_, again);
 }
 
-TEST_F(MemberWhoseStoreReturned, RowOfOwnersIsOlder_KnownOwnersStay)
+TEST_F(FleetMemberAfterStoreRestore, OwnersRowIsOlder_KnownOwnersStay)
 {
   PlaceKeys();
   const auto known = *fleet_.ownership_;
@@ -125,15 +125,15 @@
        { { "placer", After(9), OwnRow() },
          { "ownership/rates", After(10), SerializeOwnership(old) } });
   EXPECT_EQ(fleet_.ownership_, known);
-  Pass(milliseconds(200));
+  Advance(milliseconds(200));
   EXPECT_EQ(LastTransaction().conditions_,
             (std::vector<RowStamp>{ { "placer", After(9) }, { "ownership/rates", After(10) } }));
-  Done(After(11));
+  Acknowledge(After(11));
   // The other instances have not read the row, and may have the owners as of any earlier version.
-  EXPECT_EQ(fleet_.news_.back().second.owners_.front().base_, 0U);
+  EXPECT_EQ(fleet_.updates_.back().second.owners_.front().base_, 0U);
 }
 
-TEST_F(MemberWhoseStoreReturned, AnotherPlacerWroteOwnersInTheLaterEpoch_TheyAreTaken)
+TEST_F(FleetMemberAfterStoreRestore, AnotherPlacerWroteOwnersInTheLaterEpoch_AreApplied)
 {
   PlaceKeys();
   auto next = *fleet_.ownership_;
@@ -147,49 +147,49 @@
   EXPECT_EQ(fleet_.ownership_, next);
 }
 
-TEST_F(MemberWhoseStoreReturned, ClaimWasLost_IsMadeAgainAndNoOrderGoesOutBefore)
+TEST_F(FleetMemberAfterStoreRestore, ClaimWasLost_ClaimsAgainBeforeAnyCommand)
 {
   PlaceKeys();
   Show(FleetTable::Fleet, After(9), {});
   EXPECT_FALSE(member_.IsPlacer());
   const auto orders = fleet_.orders_.size();
-  Pass(milliseconds(600));
+  Advance(milliseconds(600));
   EXPECT_EQ(fleet_.orders_.size(), orders);
   ASSERT_EQ(LastTransaction().writes_.front().key_, "placer");
   EXPECT_EQ(LastTransaction().conditions_,
             (std::vector<RowStamp>{ { "placer", 0 }, { "ownership/rates", 0 } }));
 }
 
-TEST_F(MemberWhoseStoreReturned, CopyNamesAnotherPlacer_GivesNoMoreOrders)
+TEST_F(FleetMemberAfterStoreRestore, CopyNamesAnotherPlacer_SendsNoMoreCommands)
 {
   PlaceKeys();
   Show(FleetTable::Fleet, After(9), { { "placer", After(8), Placer("i2", kOther) } });
   EXPECT_FALSE(member_.IsPlacer());
   const auto orders = fleet_.orders_.size();
-  Pass(milliseconds(600));
+  Advance(milliseconds(600));
   EXPECT_EQ(fleet_.orders_.size(), orders);
 }
 
-TEST_F(MemberWhoseStoreReturned, StartedAfterIt_PlacerWaitsWithOrdersForOwnersOfACopy)
+TEST_F(FleetMemberAfterStoreRestore, StartedAfterTheRestore_PlacerDelaysCommandsForOwnersOfACopy)
 {
   KeyOwnership old{ "rates", 8, { { 0, kLastKey, "s1", 8, "" } }, 0 };
   Show(FleetTable::Configuration, After(5), { { "config", After(5), "1" } });
   Show(FleetTable::Servers, After(6), { { "s1", After(2), "ready" }, { "s2", After(3), "ready" } });
   Show(FleetTable::Fleet, After(7), { { "ownership/rates", After(7), SerializeOwnership(old) } });
-  Pass(milliseconds(600));
-  Done(After(10));
+  Advance(milliseconds(600));
+  Acknowledge(After(10));
   ASSERT_TRUE(member_.IsPlacer());
-  Pass(milliseconds(100));
-  Done(After(11));
-  Pass(seconds(5));
+  Advance(milliseconds(100));
+  Acknowledge(After(11));
+  Advance(seconds(5));
   EXPECT_TRUE(fleet_.orders_.empty());
-  Pass(seconds(8));
+  Advance(seconds(8));
   EXPECT_FALSE(fleet_.orders_.empty());
 }
 
 // An unacknowledged grant may be accepted 12 s late and be valid for 5.1 s from then. The instance
 // that sent it has to consider that as the next placer as well.
-TEST_F(MemberWhoseStoreReturned, ClaimWasLostAfterAGrantWithoutAnswer_ItsKeysWaitForThatGrant)
+TEST_F(FleetMemberAfterStoreRestore, ClaimWasLostAfterAnUnacknowledgedGrant_ItsKeysWaitForThatGrant)
 {
   PlaceKeys();
   const auto isOfS1 = [](const KeyOrder& aOrder) { return aOrder.server_ == "s1"; };
@@ -208,9 +208,9 @@
   bool isServed = false;
   while (!isServed && now_ < latest + seconds(5)) {
     const auto written = fleet_.transactions_.size();
-    Pass(milliseconds(50));
+    Advance(milliseconds(50));
     if (fleet_.transactions_.size() > written) {
-      Done(After(++version));
+      Acknowledge(After(++version));
     }
     for (; answered < fleet_.orders_.size(); ++answered) {
       const auto order = fleet_.orders_[answered];
--- a/Tests/LibFleet/TestUpdateTree.cpp
+++ b/Tests/LibFleet/TestUpdateTree.cpp
@@ -12,12 +12,12 @@
 
 // Simulates the distribution of a placer's update in a fleet of several hundred instances in five
 // halls, some of which accept no messages.
-class NewsInALargeFleet : public testing::Test
+class UpdateInALargeFleet : public testing::Test
 {
 protected:
   static constexpr int kInstances = 295;
 
-  NewsInALargeFleet()
+  UpdateInALargeFleet()
   {
     for (int number = 0; number < kInstances; ++number) {
       peers_.push_back({ "10.0.0." + std::to_string(number) + ":9",
@@ -32,17 +32,17 @@
   {
     ++sent_[aFrom];
     crossings_ += HallOf(aFrom) == HallOf(aBranch.to_) ? 0 : 1;
-    const bool isTaken = !silent_.contains(aBranch.to_);
-    if (isTaken) {
+    const bool isAccepted = !silent_.contains(aBranch.to_);
+    if (isAccepted) {
       ++reached_[aBranch.to_];
       depth_ = std::max(depth_, aDepth);
     }
     for (const auto& onward : SplitForwarding(aBranch.forwardTo_)) {
-      Deliver(isTaken ? aBranch.to_ : aFrom, onward, aDepth + 1);
+      Deliver(isAccepted ? aBranch.to_ : aFrom, onward, aDepth + 1);
     }
   }
 
-  void Spread()
+  void Broadcast()
   {
     for (const auto& branch : PlanUpdateTree(peers_, peers_.front())) {
       Deliver(peers_.front().address_, branch, 1);
@@ -65,9 +65,9 @@
   int depth_ = 0;
 };
 
-TEST_F(NewsInALargeFleet, AllTakeThem_EachGetsThemOnceAndNobodySendsMany)
+TEST_F(UpdateInALargeFleet, AllAcceptIt_EachGetsItOnceAndNoneSendsManyMessages)
 {
-  Spread();
+  Broadcast();
   EXPECT_EQ(reached_.size(), static_cast<std::size_t>(kInstances - 1));
   for (const auto& [address, times] : reached_) {
     EXPECT_EQ(times, 1) << address;
@@ -79,17 +79,17 @@
   EXPECT_LE(depth_, 3);
 }
 
-TEST_F(NewsInALargeFleet, SomeTakeNothing_AllOthersGetThem)
+TEST_F(UpdateInALargeFleet, SomeAreUnresponsive_AllOthersGetIt)
 {
   for (int number = 7; number < kInstances; number += 3) {
     silent_.insert(peers_[static_cast<std::size_t>(number)].address_);
   }
-  Spread();
+  Broadcast();
   EXPECT_EQ(reached_.size(), kInstances - 1 - silent_.size());
   EXPECT_LE(depth_, 6);
 }
 
-TEST_F(NewsInALargeFleet, OnlySomeAreToGetThem_NobodyElseDoes)
+TEST_F(UpdateInALargeFleet, SentToAPart_NoOtherInstanceGetsIt)
 {
   const std::vector<FleetPeer> some(peers_.begin() + 100, peers_.begin() + 140);
   for (const auto& branch : PlanUpdateTree(some, peers_.front())) {
@@ -101,14 +101,14 @@
   }
 }
 
-TEST(UpdateTree, FleetIsSmall_EachIsToldDirectly)
+TEST(UpdateTree, FleetIsSmall_EachGetsItDirectly)
 {
   const std::vector<FleetPeer> peers{ { "a:1", "x", 1 }, { "b:1", "y", 1 }, { "c:1", "y", 1 } };
   EXPECT_EQ(PlanUpdateTree(peers, peers[0]),
             (std::vector<UpdateBranch>{ { "b:1", {} }, { "c:1", {} } }));
 }
 
-TEST(UnresponsivePeers, OneTakesNoMessage_IsPassedAroundForAWhile)
+TEST(UnresponsivePeers, MessageIsNotAccepted_InstanceIsAvoidedForAWhile)
 {
   const Instant now = seconds(100);
   UnresponsivePeers peers;
@@ -118,7 +118,7 @@
   EXPECT_FALSE(peers.IsUnresponsive(now + milliseconds(2000), "a:1"));
 }
 
-TEST(UnresponsivePeers, OneTakesMessagesAgain_IsUsedAtOnce)
+TEST(UnresponsivePeers, MessageIsAcceptedAgain_InstanceIsUsedAtOnce)
 {
   const Instant now = seconds(100);
   UnresponsivePeers peers;
@@ -127,7 +127,7 @@
   EXPECT_FALSE(peers.IsUnresponsive(now + milliseconds(700), "a:1"));
 }
 
-TEST(UpdateMessage, WrittenAndRead_IsTheSame)
+TEST(UpdateMessage, Serialized_RoundTrips)
 {
   const auto read = DecodeUpdateMessage(EncodeUpdateMessage({ "a:1", "b:2" }, "{\n}")).value();
   EXPECT_EQ(read.forwardTo_, (std::vector<std::string>{ "a:1", "b:2" }));
