--- a/Libraries/LibMembership/Membership.cpp
+++ b/Libraries/LibMembership/Membership.cpp
@@ -8,9 +8,10 @@
 
 namespace {
 
-// How many peers watch each instance: heartbeats cost the same at every size.
+// Number of watchers of each instance. It is constant, so that the cost of heartbeats does not grow
+// with the fleet.
 constexpr std::size_t kWatchers = 3;
-// How many of them must agree before a peer is held lost.
+// Number of watchers that must agree before an instance is considered lost.
 constexpr std::size_t kAgreeing = 2;
 
 } // namespace
@@ -37,8 +38,8 @@
 void
 Membership::OnList(Instant aNow, std::vector<ListedInstance> aList)
 {
-  // The ring of watchers follows the hash of the names, so that neighbours in
-  // the list, which often share a rack, do not watch each other.
+  // The ring is ordered by the hash of the names, so that neighbours in the list, which often share
+  // a rack, do not watch each other.
   std::sort(aList.begin(), aList.end(), [](const auto& aLeft, const auto& aRight) {
     return std::pair(HashKey(aLeft.name_), aLeft.name_) <
            std::pair(HashKey(aRight.name_), aRight.name_);
@@ -132,7 +133,7 @@
       continue;
     }
     if (wasPaused) {
-      // The silence is this process's own, so it says nothing about the peer.
+      // This process was silent itself, so the silence says nothing about the peer.
       peer.silentSince_ = aNow;
     }
     const bool isSilent = aNow - peer.silentSince_ > timing_.silenceLimit_;
@@ -206,8 +207,7 @@
   const auto name = NameOfInstance(aId);
   const auto found = peers_.find(name);
   if (found == peers_.end()) {
-    // An instance that has just started must not take the roles of peers that
-    // it has had no time to hear from.
+    // A starting instance must not take the roles of peers that it had no time to contact.
     return IsListed(name) && name != NameOfInstance(self_) &&
            aNow - firstListAt_ < timing_.unheardLimit_;
   }
--- a/Libraries/LibMembership/Membership.h
+++ b/Libraries/LibMembership/Membership.h
@@ -12,24 +12,24 @@
 
 namespace latchslip {
 
-// Which instances there are and which of them serve. Purely decisions: the
-// caller brings the events and the clock.
+// Failure detection and membership of the fleet: combines the platform's list of instances with
+// heartbeats. It does no I/O; the caller passes in events and the time.
 
-// The identity of one run of an instance, "name#incarnation".
+// Identity of one run of an instance, "name#incarnation".
 using InstanceId = std::string;
 
 InstanceId
 MakeInstanceId(std::string_view aName, std::string_view aIncarnation);
 
-// The name within an identity.
+// The name part of an identity.
 std::string_view
 NameOfInstance(std::string_view aId);
 
-// An entry of the platform's list, which lags behind the truth.
+// An entry of the platform's list of instances, which lags behind the actual state.
 struct ListedInstance
 {
   std::string name_;
-  // Where its peers reach it, IP number and port.
+  // Peer address, IP number and port.
   std::string peerAddress_;
   std::string hall_;
   bool leaving_ = false;
@@ -37,6 +37,7 @@
   bool operator==(const ListedInstance&) const = default;
 };
 
+// An instance that this one considers live.
 struct LiveInstance
 {
   InstanceId id_;
@@ -44,78 +45,85 @@
   bool leaving_ = false;
 };
 
-// A change of this instance's own opinion of a peer, to be told to all peers.
+// A change of this instance's own suspicion of a peer, to be sent to all peers.
 struct SuspicionChange
 {
   InstanceId target_;
   bool suspected_ = false;
-  // False when an opinion that still holds is only told again.
+  // False if an unchanged suspicion is only repeated.
   bool isNews_ = false;
 };
 
+// Timeouts of Membership.
 struct MembershipTiming
 {
-  // A peer that this instance watches is suspected after this long a silence.
+  // A watched peer is suspected after this time without a heartbeat.
   Duration silenceLimit_ = milliseconds(400);
-  // A suspicion that nobody repeats lapses after this.
+  // A suspicion expires if it is not repeated within this time.
   Duration suspicionLife_ = milliseconds(1500);
-  // While it lasts, a suspicion is told again this often.
+  // Interval at which a lasting suspicion is repeated.
   Duration suspicionRepeat_ = milliseconds(400);
-  // An instance absent from the list for this long has certainly stopped.
+  // An instance that has been absent from the list for this long has certainly stopped.
   Duration goneAfter_ = milliseconds(1000);
-  // A listed peer that was never heard from counts as live until this instance
-  // has known the list for so long.
+  // A listed peer without any contact so far counts as live until this long after the first list.
   Duration unheardLimit_ = milliseconds(2000);
-  // How long a starting instance waits to hear from all peers before it judges.
+  // How long a starting instance waits for contact with all peers before IsSettled is true.
   Duration settleLimit_ = milliseconds(1000);
-  // Between two ticks further apart than this the process itself was paused.
+  // If two calls of Tick are further apart than this, the process itself was paused.
   Duration pauseLimit_ = milliseconds(250);
 };
 
+// Decides which instances are live. Each instance sends heartbeats to a few peers, its watchers,
+// which suspect it when heartbeats cease and send their suspicions to all peers. An instance is
+// live if it is listed and a quorum of its watchers does not suspect it.
 class Membership
 {
 public:
   Membership(InstanceId aSelf, std::string aHall, MembershipTiming aTiming);
 
+  // Sets the platform's list of instances.
   void OnList(Instant aNow, std::vector<ListedInstance> aList);
 
-  // A peer has proved who it is on a new connection or was heard from.
+  // A peer authenticated on a new connection, or a message of it arrived.
   void OnHeard(Instant aNow, const InstanceId& aId, std::string_view aHall, bool aLeaving);
-  // A heartbeat, which only the watchers of a peer receive regularly.
+  // A heartbeat arrived; only the watchers of a peer get them regularly.
   void OnHeartbeat(Instant aNow, const InstanceId& aId, bool aLeaving);
+  // aFrom suspects aTarget, or withdraws its suspicion.
   void OnSuspicion(Instant aNow,
                    const InstanceId& aFrom,
                    const InstanceId& aTarget,
                    bool aSuspected);
 
-  // Finds peers that fell silent or came back, to be told to all peers.
+  // Detects peers that became silent or returned; the result has to be sent to all peers. The
+  // caller calls it at intervals shorter than pauseLimit_.
   std::vector<SuspicionChange> Tick(Instant aNow);
 
   void SetLeaving() { leaving_ = true; }
   bool IsLeaving() const { return leaving_; }
 
-  // The peers that watch this instance: its heartbeats go to them.
+  // The names of this instance's watchers, to which it sends heartbeats.
   std::vector<std::string> WatcherNames() const;
+  // The listed instances without this one.
   std::vector<ListedInstance> Peers() const;
 
-  // Known, listed and not held lost by enough watchers.
+  // Whether the instance is known, listed and not suspected by a quorum of its watchers.
   bool IsLive(Instant aNow, std::string_view aId) const;
-  // Whether every listed peer was heard from or had the time to be.
+  // Whether there was contact with every listed peer, or enough time for it.
   bool IsSettled(Instant aNow) const;
   bool IsLeavingInstance(std::string_view aId) const;
-  // Certainly stopped: another incarnation has its name, or the list has left
-  // it out for long enough. The list lags, but it does not drop the living.
+  // Whether the instance has certainly stopped: another incarnation has its name, or it has been
+  // absent from the list for goneAfter_. The list lags, but it does not drop running instances.
   bool IsGone(Instant aNow, std::string_view aId) const;
-  // All that serve, this instance among them, sorted by identity.
+  // All live instances including this one, sorted by identity.
   std::vector<LiveInstance> Live(Instant aNow) const;
 
-  // Whether more than half of the listed instances, this one counted, were
-  // heard from within the bound.
+  // Whether this instance had contact, within aBound, with enough listed instances to form a
+  // majority together with itself.
   bool HeardFromMajority(Instant aNow, Duration aBound) const;
 
   const InstanceId& Self() const { return self_; }
   const std::string& Hall() const { return hall_; }
-  // The identity now known for a name, if any.
+  // The current identity of the instance with that name, if any.
   std::optional<InstanceId> IdOfName(std::string_view aName) const;
 
 private:
@@ -125,15 +133,16 @@
     std::string hall_;
     bool leaving_ = false;
     Instant heardAt_{ 0 };
-    // Silence is measured from here; a pause of this process resets it.
+    // Start of the current silence; a pause of this process resets it.
     Instant silentSince_{ 0 };
     bool isSuspectedByMe_ = false;
     Instant toldAt_{ 0 };
-    // When each suspecting instance last said so.
+    // When each suspecting instance last repeated its suspicion.
     std::map<InstanceId, Instant> suspicions_;
   };
 
   void IndexList();
+  // The watchers of an instance, which are its successors on a ring of all names.
   std::vector<std::string> SuccessorsOf(std::string_view aName) const;
   bool IsListed(std::string_view aName) const;
   bool IsHeldLost(Instant aNow, const std::string& aName, const Peer& aPeer) const;
@@ -146,12 +155,12 @@
   bool hasList_ = false;
   Instant firstListAt_{ 0 };
   std::vector<ListedInstance> list_;
-  // Where each name stands in the list, and the names that this instance watches.
+  // Index of each name in list_, and the names that this instance watches.
   std::map<std::string, std::size_t, std::less<>> positions_;
   std::set<std::string, std::less<>> watched_;
-  // By name.
+  // Known peers by name.
   std::map<std::string, Peer, std::less<>> peers_;
-  // Since when a name has been absent from the list.
+  // Since when each known name has been absent from the list.
   std::map<std::string, Instant, std::less<>> absentSince_;
 };
 
--- a/Tests/LibMembership/TestMembership.cpp
+++ b/Tests/LibMembership/TestMembership.cpp
@@ -28,7 +28,8 @@
     }
   }
 
-  // Lets time pass with heartbeats from those named.
+  // Advances the clock by aSpan, with heartbeats from the named instances, and returns the changes
+  // of suspicion.
   std::vector<SuspicionChange> Run(Duration aSpan, const std::vector<std::string>& aHeard)
   {
     std::vector<SuspicionChange> changes;
