--- a/Benchmarks/BenchDecisions.cpp
+++ b/Benchmarks/BenchDecisions.cpp
@@ -124,7 +124,7 @@
   Membership members("instance-0#a", "hall-a", MembershipTiming{});
   members.OnList(seconds(1), MakeList(count));
   for (std::size_t index = 1; index < count; ++index) {
-    members.OnHeard(seconds(1), "instance-" + std::to_string(index) + "#a", "hall-b", false);
+    members.OnContact(seconds(1), "instance-" + std::to_string(index) + "#a", "hall-b", false);
   }
   Instant now = seconds(1);
   for (auto _ : aState) {
--- a/Benchmarks/BenchPlacement.cpp
+++ b/Benchmarks/BenchPlacement.cpp
@@ -24,10 +24,10 @@
   {
     members_.OnList(now_, MakeList(8));
     for (int index = 1; index < 8; ++index) {
-      members_.OnHeard(now_,
-                       "instance-" + std::to_string(index) + "#0123abcd",
-                       index % 2 ? "hall-b" : "hall-a",
-                       false);
+      members_.OnContact(now_,
+                         "instance-" + std::to_string(index) + "#0123abcd",
+                         index % 2 ? "hall-b" : "hall-a",
+                         false);
     }
     ReportAll([](std::size_t) { return 1.0; });
   }
--- a/Libraries/LibInstance/InstanceCore.cpp
+++ b/Libraries/LibInstance/InstanceCore.cpp
@@ -61,7 +61,7 @@
 InstanceCore::Tick(Instant aNow)
 {
   for (const auto& change : membership_.Tick(aNow)) {
-    if (change.isNews_) {
+    if (change.isChange_) {
       events_.Record(change.suspected_ ? Event::PeerSuspected : Event::PeerCleared,
                      "peer=" + change.target_);
     }
@@ -87,7 +87,7 @@
     return false;
   }
   return aNow - viewAsOf_ <= timing_.viewBound_ ||
-         membership_.HeardFromMajority(aNow, timing_.viewBound_);
+         membership_.HasMajorityContact(aNow, timing_.viewBound_);
 }
 
 void
@@ -234,7 +234,7 @@
 InstanceCore::OnPeerUp(Instant aNow, const InstanceId& aPeer, std::string_view aHall)
 {
   events_.Record(Event::PeerConnected, "peer=" + aPeer + " hall=" + std::string(aHall));
-  membership_.OnHeard(aNow, aPeer, aHall, membership_.IsLeavingInstance(aPeer));
+  membership_.OnContact(aNow, aPeer, aHall, membership_.IsLeavingInstance(aPeer));
   // Whatever this instance missed while they were apart comes with the answer.
   outbox_.SendToPeer(aPeer, ViewStamps{ view_.Stamps() });
   TellInForce(aPeer);
@@ -416,7 +416,7 @@
 InstanceCore::DescribeStatus(Instant aNow) const
 {
   boost::json::array instances;
-  for (const auto& instance : membership_.Live(aNow)) {
+  for (const auto& instance : membership_.LiveInstances(aNow)) {
     instances.push_back(boost::json::object{
       { "id", instance.id_ }, { "hall", instance.hall_ }, { "leaving", instance.leaving_ } });
   }
--- a/Libraries/LibInstance/PlacerDesk.cpp
+++ b/Libraries/LibInstance/PlacerDesk.cpp
@@ -46,7 +46,7 @@
   // over the instances and all instances agree without talking.
   const auto& self = context_.membership_.Self();
   const auto own = HashPair(self, aService);
-  const auto live = context_.membership_.Live(aNow);
+  const auto live = context_.membership_.LiveInstances(aNow);
   return !context_.membership_.IsLeaving() &&
          std::none_of(live.begin(), live.end(), [&](const LiveInstance& aInstance) {
            return !aInstance.leaving_ && HashPair(aInstance.id_, aService) > own;
--- a/Libraries/LibMembership/Membership.cpp
+++ b/Libraries/LibMembership/Membership.cpp
@@ -10,9 +10,9 @@
 
 // Number of watchers of each instance. It is constant, so that the cost of heartbeats does not grow
 // with the fleet.
-constexpr std::size_t kWatchers = 3;
+constexpr std::size_t kWatchersPerInstance = 3;
 // Number of watchers that must agree before an instance is considered lost.
-constexpr std::size_t kAgreeing = 2;
+constexpr std::size_t kSuspicionQuorum = 2;
 
 } // namespace
 
@@ -75,7 +75,7 @@
 }
 
 void
-Membership::OnHeard(Instant aNow, const InstanceId& aId, std::string_view aHall, bool aLeaving)
+Membership::OnContact(Instant aNow, const InstanceId& aId, std::string_view aHall, bool aLeaving)
 {
   const std::string name(NameOfInstance(aId));
   auto& peer = peers_[name];
@@ -88,7 +88,7 @@
     peer.hall_ = aHall;
   }
   peer.leaving_ = aLeaving;
-  peer.heardAt_ = aNow;
+  peer.lastContactAt_ = aNow;
   if (!IsListed(name)) {
     absentSince_.emplace(name, aNow);
   }
@@ -97,7 +97,7 @@
 void
 Membership::OnHeartbeat(Instant aNow, const InstanceId& aId, bool aLeaving)
 {
-  OnHeard(aNow, aId, "", aLeaving);
+  OnContact(aNow, aId, "", aLeaving);
   auto& peer = peers_[std::string(NameOfInstance(aId))];
   peer.silentSince_ = aNow;
 }
@@ -127,7 +127,7 @@
   std::vector<SuspicionChange> changes;
   for (auto& [name, peer] : peers_) {
     if (!watched_.contains(name)) {
-      peer.isSuspectedByMe_ = false;
+      peer.isSuspectedLocally_ = false;
       peer.suspicions_.erase(self_);
       peer.silentSince_ = aNow;
       continue;
@@ -137,13 +137,13 @@
       peer.silentSince_ = aNow;
     }
     const bool isSilent = aNow - peer.silentSince_ > timing_.silenceLimit_;
-    const bool tellsAgain = isSilent && aNow - peer.toldAt_ >= timing_.suspicionRepeat_;
-    const bool isNews = isSilent != peer.isSuspectedByMe_;
-    if (isNews || tellsAgain) {
-      peer.isSuspectedByMe_ = isSilent;
-      peer.toldAt_ = aNow;
+    const bool isRepeatDue = isSilent && aNow - peer.announcedAt_ >= timing_.suspicionInterval_;
+    const bool isChange = isSilent != peer.isSuspectedLocally_;
+    if (isChange || isRepeatDue) {
+      peer.isSuspectedLocally_ = isSilent;
+      peer.announcedAt_ = aNow;
       OnSuspicion(aNow, self_, peer.id_, isSilent);
-      changes.push_back({ peer.id_, isSilent, isNews });
+      changes.push_back({ peer.id_, isSilent, isChange });
     }
   }
   return changes;
@@ -164,7 +164,7 @@
     return names;
   }
   const auto position = found->second;
-  for (std::size_t step = 1; step < list_.size() && names.size() < kWatchers; ++step) {
+  for (std::size_t step = 1; step < list_.size() && names.size() < kWatchersPerInstance; ++step) {
     names.push_back(list_[(position + step) % list_.size()].name_);
   }
   return names;
@@ -187,15 +187,15 @@
 }
 
 bool
-Membership::IsHeldLost(Instant aNow, const std::string& aName, const Peer& aPeer) const
+Membership::IsSuspectedByQuorum(Instant aNow, const std::string& aName, const Peer& aPeer) const
 {
   const auto watchers = SuccessorsOf(aName);
-  const auto needed = std::min(kAgreeing, watchers.size());
-  const auto agreeing =
+  const auto needed = std::min(kSuspicionQuorum, watchers.size());
+  const auto suspecting =
     std::count_if(aPeer.suspicions_.begin(), aPeer.suspicions_.end(), [&](const auto& aSuspicion) {
-      return aNow - aSuspicion.second <= timing_.suspicionLife_;
+      return aNow - aSuspicion.second <= timing_.suspicionTimeout_;
     });
-  return agreeing > 0 && static_cast<std::size_t>(agreeing) >= needed;
+  return suspecting > 0 && static_cast<std::size_t>(suspecting) >= needed;
 }
 
 bool
@@ -209,16 +209,16 @@
   if (found == peers_.end()) {
     // A starting instance must not take the roles of peers that it had no time to contact.
     return IsListed(name) && name != NameOfInstance(self_) &&
-           aNow - firstListAt_ < timing_.unheardLimit_;
+           aNow - firstListAt_ < timing_.firstContactTimeout_;
   }
   return found->second.id_ == aId && IsListed(found->first) &&
-         !IsHeldLost(aNow, found->first, found->second);
+         !IsSuspectedByQuorum(aNow, found->first, found->second);
 }
 
 bool
 Membership::IsSettled(Instant aNow) const
 {
-  const bool isOver = hasList_ && aNow - firstListAt_ >= timing_.settleLimit_;
+  const bool isOver = hasList_ && aNow - firstListAt_ >= timing_.settleTimeout_;
   const auto peers = Peers();
   return isOver || (hasList_ && std::all_of(peers.begin(), peers.end(), [&](const auto& aListed) {
                       return peers_.contains(aListed.name_);
@@ -233,13 +233,13 @@
   }
   const auto name = NameOfInstance(aId);
   const auto found = peers_.find(name);
-  const bool saysSo = found != peers_.end() && found->second.leaving_;
+  const bool hasAnnounced = found != peers_.end() && found->second.leaving_;
   const auto position = positions_.find(name);
-  return saysSo || (position != positions_.end() && list_[position->second].leaving_);
+  return hasAnnounced || (position != positions_.end() && list_[position->second].leaving_);
 }
 
 bool
-Membership::IsGone(Instant aNow, std::string_view aId) const
+Membership::HasStopped(Instant aNow, std::string_view aId) const
 {
   const auto name = NameOfInstance(aId);
   if (name == NameOfInstance(self_)) {
@@ -257,7 +257,7 @@
 }
 
 std::vector<LiveInstance>
-Membership::Live(Instant aNow) const
+Membership::LiveInstances(Instant aNow) const
 {
   std::vector<LiveInstance> live{ { self_, hall_, leaving_ } };
   for (const auto& [name, peer] : peers_) {
@@ -272,10 +272,10 @@
 }
 
 bool
-Membership::HeardFromMajority(Instant aNow, Duration aBound) const
+Membership::HasMajorityContact(Instant aNow, Duration aBound) const
 {
   const auto heard = std::count_if(peers_.begin(), peers_.end(), [&](const auto& aEntry) {
-    return IsListed(aEntry.first) && aNow - aEntry.second.heardAt_ <= aBound;
+    return IsListed(aEntry.first) && aNow - aEntry.second.lastContactAt_ <= aBound;
   });
   const auto total = Peers().size() + 1;
   return (static_cast<std::size_t>(heard) + 1) * 2 > total;
--- a/Libraries/LibMembership/Membership.h
+++ b/Libraries/LibMembership/Membership.h
@@ -51,7 +51,7 @@
   InstanceId target_;
   bool suspected_ = false;
   // False if an unchanged suspicion is only repeated.
-  bool isNews_ = false;
+  bool isChange_ = false;
 };
 
 // Timeouts of Membership.
@@ -60,15 +60,15 @@
   // A watched peer is suspected after this time without a heartbeat.
   Duration silenceLimit_ = milliseconds(400);
   // A suspicion expires if it is not repeated within this time.
-  Duration suspicionLife_ = milliseconds(1500);
+  Duration suspicionTimeout_ = milliseconds(1500);
   // Interval at which a lasting suspicion is repeated.
-  Duration suspicionRepeat_ = milliseconds(400);
+  Duration suspicionInterval_ = milliseconds(400);
   // An instance that has been absent from the list for this long has certainly stopped.
   Duration goneAfter_ = milliseconds(1000);
   // A listed peer without any contact so far counts as live until this long after the first list.
-  Duration unheardLimit_ = milliseconds(2000);
+  Duration firstContactTimeout_ = milliseconds(2000);
   // How long a starting instance waits for contact with all peers before IsSettled is true.
-  Duration settleLimit_ = milliseconds(1000);
+  Duration settleTimeout_ = milliseconds(1000);
   // If two calls of Tick are further apart than this, the process itself was paused.
   Duration pauseLimit_ = milliseconds(250);
 };
@@ -85,7 +85,7 @@
   void OnList(Instant aNow, std::vector<ListedInstance> aList);
 
   // A peer authenticated on a new connection, or a message of it arrived.
-  void OnHeard(Instant aNow, const InstanceId& aId, std::string_view aHall, bool aLeaving);
+  void OnContact(Instant aNow, const InstanceId& aId, std::string_view aHall, bool aLeaving);
   // A heartbeat arrived; only the watchers of a peer get them regularly.
   void OnHeartbeat(Instant aNow, const InstanceId& aId, bool aLeaving);
   // aFrom suspects aTarget, or withdraws its suspicion.
@@ -113,13 +113,13 @@
   bool IsLeavingInstance(std::string_view aId) const;
   // Whether the instance has certainly stopped: another incarnation has its name, or it has been
   // absent from the list for goneAfter_. The list lags, but it does not drop running instances.
-  bool IsGone(Instant aNow, std::string_view aId) const;
+  bool HasStopped(Instant aNow, std::string_view aId) const;
   // All live instances including this one, sorted by identity.
-  std::vector<LiveInstance> Live(Instant aNow) const;
+  std::vector<LiveInstance> LiveInstances(Instant aNow) const;
 
   // Whether this instance had contact, within aBound, with enough listed instances to form a
   // majority together with itself.
-  bool HeardFromMajority(Instant aNow, Duration aBound) const;
+  bool HasMajorityContact(Instant aNow, Duration aBound) const;
 
   const InstanceId& Self() const { return self_; }
   const std::string& Hall() const { return hall_; }
@@ -132,11 +132,11 @@
     InstanceId id_;
     std::string hall_;
     bool leaving_ = false;
-    Instant heardAt_{ 0 };
+    Instant lastContactAt_{ 0 };
     // Start of the current silence; a pause of this process resets it.
     Instant silentSince_{ 0 };
-    bool isSuspectedByMe_ = false;
-    Instant toldAt_{ 0 };
+    bool isSuspectedLocally_ = false;
+    Instant announcedAt_{ 0 };
     // When each suspecting instance last repeated its suspicion.
     std::map<InstanceId, Instant> suspicions_;
   };
@@ -145,7 +145,7 @@
   // The watchers of an instance, which are its successors on a ring of all names.
   std::vector<std::string> SuccessorsOf(std::string_view aName) const;
   bool IsListed(std::string_view aName) const;
-  bool IsHeldLost(Instant aNow, const std::string& aName, const Peer& aPeer) const;
+  bool IsSuspectedByQuorum(Instant aNow, const std::string& aName, const Peer& aPeer) const;
 
   InstanceId self_;
   std::string hall_;
--- a/Libraries/LibPlacement/HolderAssigner.cpp
+++ b/Libraries/LibPlacement/HolderAssigner.cpp
@@ -39,7 +39,7 @@
 HolderAssigner::Assign(PlacementDraft& aDraft)
 {
   std::vector<LiveInstance> candidates;
-  for (const auto& instance : aDraft.membership_.Live(aDraft.now_)) {
+  for (const auto& instance : aDraft.membership_.LiveInstances(aDraft.now_)) {
     if (!instance.leaving_) {
       candidates.push_back(instance);
     }
@@ -108,7 +108,7 @@
                   [&](const std::string& aHolder) { return stopped.contains(aHolder); });
     const bool areGone = std::all_of(
       server.unsettled_.begin(), server.unsettled_.end(), [&](const std::string& aHolder) {
-        return aDraft.membership_.IsGone(aDraft.now_, aHolder);
+        return aDraft.membership_.HasStopped(aDraft.now_, aHolder);
       });
     if (!areGone) {
       goneSince_.erase(server.name_);
@@ -131,7 +131,7 @@
 {
   std::map<InstanceId, std::size_t> held;
   std::map<InstanceId, std::string> halls;
-  for (const auto& instance : aDraft.membership_.Live(aDraft.now_)) {
+  for (const auto& instance : aDraft.membership_.LiveInstances(aDraft.now_)) {
     if (!instance.leaving_) {
       held[instance.id_] = 0;
       halls[instance.id_] = instance.hall_;
--- a/Tests/LibMembership/TestMembership.cpp
+++ b/Tests/LibMembership/TestMembership.cpp
@@ -24,7 +24,7 @@
   {
     members_.OnList(now_, ListOf(4));
     for (const auto* id : { "i2#a", "i3#a", "i4#a" }) {
-      members_.OnHeard(now_, id, "b", false);
+      members_.OnContact(now_, id, "b", false);
     }
   }
 
@@ -50,13 +50,13 @@
   Membership members_;
 };
 
-TEST_F(MembershipOfFour, AllAreHeard_AllAreLive)
+TEST_F(MembershipOfFour, AllSendHeartbeats_AllAreLive)
 {
   EXPECT_TRUE(Run(seconds(3), { "i2#a", "i3#a", "i4#a" }).empty());
-  EXPECT_EQ(members_.Live(now_).size(), 4U);
+  EXPECT_EQ(members_.LiveInstances(now_).size(), 4U);
 }
 
-TEST_F(MembershipOfFour, OneFallsSilentForMe_OneWitnessIsNotEnough)
+TEST_F(MembershipOfFour, OneIsSilentForThisInstance_OneSuspicionIsNotEnough)
 {
   const auto changes = Run(seconds(1), { "i2#a", "i3#a" });
   ASSERT_FALSE(changes.empty());
@@ -64,7 +64,7 @@
   EXPECT_TRUE(members_.IsLive(now_, "i4#a"));
 }
 
-TEST_F(MembershipOfFour, TwoWatchersAgree_ItIsLostUntilHeardAgain)
+TEST_F(MembershipOfFour, TwoWatchersSuspectIt_IsNotLiveUntilItsNextHeartbeat)
 {
   Run(seconds(1), { "i2#a", "i3#a" });
   members_.OnSuspicion(now_, "i2#a", "i4#a", true);
@@ -73,53 +73,53 @@
   EXPECT_TRUE(members_.IsLive(now_, "i4#a"));
 }
 
-TEST_F(MembershipOfFour, ThisProcessWasPaused_NobodyIsSuspected)
+TEST_F(MembershipOfFour, ThisProcessWasPaused_SuspectsNone)
 {
   Run(seconds(1), { "i2#a", "i3#a", "i4#a" });
   now_ += seconds(5);
   EXPECT_TRUE(members_.Tick(now_).empty());
-  EXPECT_EQ(members_.Live(now_).size(), 4U);
+  EXPECT_EQ(members_.LiveInstances(now_).size(), 4U);
 }
 
-TEST_F(MembershipOfFour, NewIncarnationIsHeard_OldIsCertainlyGone)
+TEST_F(MembershipOfFour, NewIncarnationConnects_OldOneHasStopped)
 {
-  EXPECT_FALSE(members_.IsGone(now_, "i2#a"));
-  members_.OnHeard(now_, "i2#b", "b", false);
-  EXPECT_TRUE(members_.IsGone(now_, "i2#a"));
+  EXPECT_FALSE(members_.HasStopped(now_, "i2#a"));
+  members_.OnContact(now_, "i2#b", "b", false);
+  EXPECT_TRUE(members_.HasStopped(now_, "i2#a"));
   EXPECT_FALSE(members_.IsLive(now_, "i2#a"));
   EXPECT_TRUE(members_.IsLive(now_, "i2#b"));
 }
 
-TEST_F(MembershipOfFour, LeftOffTheList_GoneOnlyAfterTheBound)
+TEST_F(MembershipOfFour, RemovedFromTheList_HasStoppedAfterTheBound)
 {
   members_.OnList(now_, ListOf(3));
-  EXPECT_FALSE(members_.IsGone(now_, "i4#a"));
-  EXPECT_TRUE(members_.IsGone(now_ + seconds(2), "i4#a"));
+  EXPECT_FALSE(members_.HasStopped(now_, "i4#a"));
+  EXPECT_TRUE(members_.HasStopped(now_ + seconds(2), "i4#a"));
 }
 
-TEST_F(MembershipOfFour, SilentButListed_NeverGone)
+TEST_F(MembershipOfFour, SilentButListed_HasNotStopped)
 {
   Run(seconds(60), {});
-  EXPECT_FALSE(members_.IsGone(now_, "i4#a"));
+  EXPECT_FALSE(members_.HasStopped(now_, "i4#a"));
 }
 
-TEST_F(MembershipOfFour, OnlyOneIsHeard_NotTheMajority)
+TEST_F(MembershipOfFour, ContactWithOne_IsNoMajority)
 {
   now_ += seconds(10);
   members_.OnHeartbeat(now_, "i2#a", false);
-  EXPECT_FALSE(members_.HeardFromMajority(now_, seconds(3)));
+  EXPECT_FALSE(members_.HasMajorityContact(now_, seconds(3)));
   members_.OnHeartbeat(now_, "i3#a", false);
-  EXPECT_TRUE(members_.HeardFromMajority(now_, seconds(3)));
+  EXPECT_TRUE(members_.HasMajorityContact(now_, seconds(3)));
 }
 
-TEST(Membership, FleetIsLarge_HeartbeatsGoToThree)
+TEST(Membership, FleetIsLarge_HasThreeWatchers)
 {
   Membership members("i1#a", "a", MembershipTiming{});
   members.OnList(seconds(1), ListOf(500));
   EXPECT_EQ(members.WatcherNames().size(), 3U);
 }
 
-TEST(Membership, JustStarted_UnheardPeersCountAsLiveForAWhile)
+TEST(Membership, JustStarted_PeersWithoutContactCountAsLiveForAWhile)
 {
   Membership members("i1#a", "a", MembershipTiming{});
   members.OnList(seconds(1), ListOf(4));
