--- a/Libraries/LibDaemon/GatewayHost.cpp
+++ b/Libraries/LibDaemon/GatewayHost.cpp
@@ -258,9 +258,9 @@
     peers_.SendReport(aAddress, aReport);
   }
 
-  void Follow(StorePollMode aHow, const TableVersions& aKnown) override
+  void SetPollMode(StorePollMode aHow, const TableVersions& aKnown) override
   {
-    store_.Follow(aHow, aKnown);
+    store_.SetPollMode(aHow, aKnown);
   }
 
   void SendUpdate(const std::vector<UpdateBranch>& aBranches, const FleetUpdate& aNews) override
--- a/Libraries/LibFleet/FleetMember.cpp
+++ b/Libraries/LibFleet/FleetMember.cpp
@@ -67,8 +67,8 @@
   }
   auto changes = view_.ChangesSince(aView.table_, version);
   // In a small fleet every instance polls the configuration.
-  const bool isFollowedByAll = aView.table_ == FleetTable::Configuration && !roster_.HasReaders();
-  if (changes.rows_.empty() || isFollowedByAll) {
+  const bool isPolledByAll = aView.table_ == FleetTable::Configuration && !roster_.HasReaders();
+  if (changes.rows_.empty() || isPolledByAll) {
     return;
   }
   FleetUpdate update;
@@ -87,8 +87,8 @@
 {
   auto update = view_.UpdateSince(aVersions);
   update.proof_ = freshness_.CurrentProof(aNow);
-  const bool isFollowing = pollMode_ != StorePollMode::Off && pollMode_ != StorePollMode::Starting;
-  if (isFollowing) {
+  const bool isPolling = pollMode_ != StorePollMode::Off && pollMode_ != StorePollMode::Starting;
+  if (isPolling) {
     update.storeReachability_ =
       isStoreLost_ ? StoreReachability::Unreachable : StoreReachability::Reachable;
   }
@@ -129,9 +129,9 @@
     KeepUncertainLease(aNow, lease);
   }
   // What this instance reads from the store takes precedence for the tables that others write.
-  const bool isFollowing =
+  const bool isPolling =
     pollMode_ == StorePollMode::LongWaits || pollMode_ == StorePollMode::ShortWaits;
-  const bool ownRowsOnly = isFollowing && !isStoreLost_;
+  const bool ownRowsOnly = isPolling && !isStoreLost_;
   if (!aUpdate.views_.empty() && !ownRowsOnly) {
     events_.Record(Event::ViewFromPeer,
                    "tables=" + std::to_string(aUpdate.views_.size()) +
@@ -209,9 +209,9 @@
   if (!view_.Directory().NoteLeaving(aNow, aServer, aLife)) {
     return;
   }
-  const bool isListedSo = view_.Directory().Find(aServer)->isLeaving_;
+  const bool isListedAsLeaving = view_.Directory().Find(aServer)->isLeaving_;
   events_.Record(Event::ServerToldLeaving,
-                 "server=" + aServer + " listed_so=" + (isListedSo ? "true" : "false"));
+                 "server=" + aServer + " listed_so=" + (isListedAsLeaving ? "true" : "false"));
   actions_.OnDirectoryChanged();
 }
 
@@ -236,7 +236,7 @@
   if (election_.IsPlacer()) {
     RunPlacers(aNow);
     SendTables(aNow);
-    NoteFleetSize(aNow);
+    StoreFleetSize(aNow);
   }
   SendWrites(aNow);
   UpdateLimits(aNow);
@@ -328,20 +328,20 @@
 void
 FleetMember::UpdatePollMode(Instant aNow)
 {
-  const auto following = SelectPollMode(aNow);
-  if (following == StorePollMode::Off && placerMonitor_.IsReliable(aNow, view_.Versions())) {
+  const auto mode = SelectPollMode(aNow);
+  if (mode == StorePollMode::Off && placerMonitor_.IsReliable(aNow, view_.Versions())) {
     OnStoreRegained(aNow);
   }
-  if (following == pollMode_) {
+  if (mode == pollMode_) {
     return;
   }
-  pollMode_ = following;
+  pollMode_ = mode;
   events_.Record(Event::FollowingChanged,
-                 "following=" + std::string(kStorePollModeNames.NameOf(following)) +
+                 "following=" + std::string(kStorePollModeNames.NameOf(mode)) +
                    " store_heard_ago_us=" + std::to_string((aNow - storeContactAt_).count()) + " " +
                    placerMonitor_.Describe(aNow, view_.Versions()));
-  actions_.Follow(following, view_.Versions());
-  if (following == StorePollMode::ConfigurationOnly) {
+  actions_.SetPollMode(mode, view_.Versions());
+  if (mode == StorePollMode::ConfigurationOnly) {
     OnStoreRegained(aNow);
   }
 }
--- a/Libraries/LibFleet/FleetMember.h
+++ b/Libraries/LibFleet/FleetMember.h
@@ -34,7 +34,7 @@
   virtual void Transact(const Transaction& aTransaction) = 0;
   // Changes how the store's tables are polled; aKnown holds the version of each table that this
   // instance has.
-  virtual void Follow(StorePollMode aHow, const TableVersions& aKnown) = 0;
+  virtual void SetPollMode(StorePollMode aMode, const TableVersions& aKnown) = 0;
   // Sends a key command to a server; the result is passed to OnOrderEnded.
   virtual void SendCommand(const std::string& aService, const KeyOrder& aOrder) = 0;
   // Sends a report to the placer at aAddress; the result is passed to OnReportAnswered.
@@ -237,7 +237,7 @@
   void RunPlacers(Instant aNow);
   void QueueWrite(const KeyOwnership& aOwnership);
   // Stores the fleet's size class once it is known and differs from the stored one.
-  void NoteFleetSize(Instant aNow);
+  void StoreFleetSize(Instant aNow);
   void SendWrites(Instant aNow);
   void OnClaimed(Instant aNow, const Row& aRow);
   void OnOwnershipWritten(Instant aNow, RowVersion aVersion, const PendingWrite& aWrite);
--- a/Libraries/LibFleet/FleetMemberConfiguration.cpp
+++ b/Libraries/LibFleet/FleetMemberConfiguration.cpp
@@ -40,9 +40,9 @@
 bool
 FleetMember::ReadsProofs() const
 {
-  const bool isFollowing =
+  const bool isPolling =
     pollMode_ == StorePollMode::LongWaits || pollMode_ == StorePollMode::ShortWaits;
-  return isFollowing && !isStoreLost_;
+  return isPolling && !isStoreLost_;
 }
 
 void
--- a/Libraries/LibFleet/FleetMemberPlacer.cpp
+++ b/Libraries/LibFleet/FleetMemberPlacer.cpp
@@ -200,7 +200,7 @@
 // An instance that starts reads the tables from the store at once in a small fleet, where every
 // instance does, and waits for the placer's tables in a large one.
 void
-FleetMember::NoteFleetSize(Instant aNow)
+FleetMember::StoreFleetSize(Instant aNow)
 {
   if (!writes_.empty() || isStoreLost_ || !rosterSince_ || aNow < *rosterSince_ + kSizeSettleTime) {
     return;
--- a/Libraries/LibFleet/FleetStore.h
+++ b/Libraries/LibFleet/FleetStore.h
@@ -51,7 +51,7 @@
 {
   Read,
   // A long poll for changes.
-  Follow,
+  Poll,
   Transact,
 };
 
@@ -89,7 +89,7 @@
   virtual void Start(FleetStoreListener& aListener) = 0;
   // Changes how tables are polled. aKnown holds the versions that are known by now; tables that are
   // not known are read whole.
-  virtual void Follow(StorePollMode aHow, const TableVersions& aKnown) = 0;
+  virtual void SetPollMode(StorePollMode aMode, const TableVersions& aKnown) = 0;
   virtual void Stop() = 0;
   // Conditionally writes rows of FleetTable::Fleet. After a conflict, the reply holds the current
   // rows of the conditions.
--- a/Libraries/LibFleet/FleetView.cpp
+++ b/Libraries/LibFleet/FleetView.cpp
@@ -23,7 +23,7 @@
 bool
 FleetView::Merge(Instant aNow, const TableView& aView)
 {
-  NoteEpoch(aNow, aView.version_);
+  UpdateEpoch(aNow, aView.version_);
   const bool isNew = !mirror_.IsKnown(aView.table_);
   const auto changes = mirror_.Apply(aView);
   if (!changes) {
@@ -54,7 +54,7 @@
 }
 
 void
-FleetView::NoteEpoch(Instant aNow, RowVersion aVersion)
+FleetView::UpdateEpoch(Instant aNow, RowVersion aVersion)
 {
   const auto epoch = EpochOf(aVersion);
   if (epoch_ && epoch <= *epoch_) {
--- a/Libraries/LibFleet/FleetView.h
+++ b/Libraries/LibFleet/FleetView.h
@@ -140,7 +140,7 @@
   void OnOwnershipRow(const Row& aRow);
   bool ApplyOwnershipUpdate(const OwnershipUpdate& aUpdate);
   // Detects that the store was restored, by the epoch of a version.
-  void NoteEpoch(Instant aNow, RowVersion aVersion);
+  void UpdateEpoch(Instant aNow, RowVersion aVersion);
   void ApplyFleetRows(Instant aNow, const TableView& aView);
   // Drops the rows of the fleet that a whole table of a later epoch lacks.
   void DropLostRows(Instant aNow, const TableView& aView);
--- a/Libraries/LibFleet/ReaderPoller.h
+++ b/Libraries/LibFleet/ReaderPoller.h
@@ -23,7 +23,7 @@
   void OnPlacerReliable() { isPolling_ = false; }
   // The placer cannot be relied on; polling starts, unless it is under way.
   void OnPlacerUnreliable(Instant aNow);
-  // A reader answered with an update and whether it reaches the store; None also stands for a
+  // A reader answered with an update and whether it reaches the store; NotPolling also stands for a
   // request without an answer.
   void OnAnswer(Instant aNow, const std::string& aReader, StoreReachability aReachability);
 
--- a/Libraries/LibFleet/UnresponsivePeers.cpp
+++ b/Libraries/LibFleet/UnresponsivePeers.cpp
@@ -24,8 +24,8 @@
 bool
 UnresponsivePeers::IsUnresponsive(Instant aNow, const std::string& aAddress) const
 {
-  const auto silent = avoidUntil_.find(aAddress);
-  return silent != avoidUntil_.end() && aNow < silent->second;
+  const auto entry = avoidUntil_.find(aAddress);
+  return entry != avoidUntil_.end() && aNow < entry->second;
 }
 
 } // namespace latchslip
--- a/Tests/LibFleet/FleetMemberFixture.h
+++ b/Tests/LibFleet/FleetMemberFixture.h
@@ -57,12 +57,12 @@
 {
 public:
   void Transact(const Transaction& aTransaction) override { transactions_.push_back(aTransaction); }
-  void Follow(StorePollMode aHow, const TableVersions& aKnown) override
+  void SetPollMode(StorePollMode aMode, const TableVersions& aKnown) override
   {
-    pollMode_ = aHow;
-    hasFollowed_ = true;
-    hasFollowedAlone_ = hasFollowedAlone_ || aHow == StorePollMode::LongWaits;
-    followFrom_ = aKnown;
+    pollMode_ = aMode;
+    hasSetPollMode_ = true;
+    hasPolledWithLongWaits_ = hasPolledWithLongWaits_ || aMode == StorePollMode::LongWaits;
+    pollFrom_ = aKnown;
   }
   void SendCommand(const std::string&, const KeyOrder& aOrder) override
   {
@@ -107,12 +107,12 @@
 
   std::vector<Transaction> transactions_;
   StorePollMode pollMode_ = StorePollMode::LongWaits;
-  TableVersions followFrom_{};
+  TableVersions pollFrom_{};
   std::vector<KeyOrder> orders_;
   std::vector<std::string> reports_;
   InstanceReport lastReport_;
-  bool hasFollowed_ = false;
-  bool hasFollowedAlone_ = false;
+  bool hasSetPollMode_ = false;
+  bool hasPolledWithLongWaits_ = false;
   std::vector<std::pair<std::string, FleetUpdate>> updates_;
   std::vector<std::string> fetches_;
   int configurationReads_ = 0;
--- a/Tests/LibFleet/TestFleetMember.cpp
+++ b/Tests/LibFleet/TestFleetMember.cpp
@@ -343,7 +343,7 @@
   member_.OnReportAnswered(now_, ReportAnswer{ true, kBoth, { 30, 6, 7 } });
   Advance(milliseconds(600));
   EXPECT_EQ(fleet_.pollMode_, StorePollMode::LongWaits);
-  EXPECT_EQ(fleet_.followFrom_, (TableVersions{ 5, 6, 7 }));
+  EXPECT_EQ(fleet_.pollFrom_, (TableVersions{ 5, 6, 7 }));
 }
 
 TEST_F(FleetMemberTest, PlacerReadsAConfiguration_OnlyAnswersReferToIt)
@@ -364,7 +364,7 @@
   member_.OnReportAnswered(now_, std::nullopt);
   Advance(milliseconds(50));
   EXPECT_EQ(fleet_.pollMode_, StorePollMode::LongWaits);
-  EXPECT_EQ(fleet_.followFrom_, (TableVersions{ 5, 6, 7 }));
+  EXPECT_EQ(fleet_.pollFrom_, (TableVersions{ 5, 6, 7 }));
   Advance(seconds(3));
   EXPECT_EQ(fleet_.transactions_.size(), 1U);
 }
@@ -467,7 +467,7 @@
   EXPECT_TRUE(fleet_.lastReport_.lacksTables_);
   member_.OnReportAnswered(now_, ReportAnswer{ true, kBoth, { 5, 6, 7 } });
   Advance(milliseconds(1000));
-  EXPECT_FALSE(fleet_.hasFollowed_);
+  EXPECT_FALSE(fleet_.hasSetPollMode_);
   FleetUpdate update;
   update.views_.push_back(
     { FleetTable::Configuration, 5, true, 0, { { { "config", 5, "1" }, false } } });
@@ -483,14 +483,14 @@
 {
   Show(FleetTable::Fleet, 8, { { "placer", 7, Placer("i2", kOther) }, { "size", 8, "small" } });
   EXPECT_EQ(fleet_.pollMode_, StorePollMode::LongWaits);
-  EXPECT_TRUE(fleet_.hasFollowed_);
+  EXPECT_TRUE(fleet_.hasSetPollMode_);
 }
 
 TEST_F(FleetMemberTest, HasJustStartedInALargeFleet_WaitsForTheTables)
 {
   Show(FleetTable::Fleet, 8, { { "placer", 7, Placer("i2", kOther) }, { "size", 8, "large" } });
   Advance(milliseconds(100));
-  EXPECT_FALSE(fleet_.hasFollowed_);
+  EXPECT_FALSE(fleet_.hasSetPollMode_);
 }
 
 TEST_F(FleetMemberTest, FleetIsSmall_PlacerStoresTheSizeOnce)
@@ -517,7 +517,7 @@
 {
   Show(FleetTable::Fleet, 7, { { "placer", 7, Placer("i2", kOther) } });
   Advance(milliseconds(350));
-  EXPECT_FALSE(fleet_.hasFollowed_);
+  EXPECT_FALSE(fleet_.hasSetPollMode_);
   Advance(milliseconds(100));
   EXPECT_EQ(fleet_.pollMode_, StorePollMode::LongWaits);
 }
--- a/Tests/LibFleet/TestLargeFleetMember.cpp
+++ b/Tests/LibFleet/TestLargeFleetMember.cpp
@@ -34,7 +34,7 @@
     Advance(milliseconds(50));
     Answer({ 5, 6, 7 });
     Advance(milliseconds(50));
-    fleet_.hasFollowedAlone_ = false;
+    fleet_.hasPolledWithLongWaits_ = false;
   }
 
   void Answer(const TableVersions& aVersions)
@@ -101,7 +101,7 @@
   EXPECT_EQ(fleet_.pollMode_, StorePollMode::Off);
   Advance(milliseconds(200));
   EXPECT_EQ(fleet_.pollMode_, StorePollMode::LongWaits);
-  EXPECT_EQ(fleet_.followFrom_, (TableVersions{ 5, 6, 7 }));
+  EXPECT_EQ(fleet_.pollFrom_, (TableVersions{ 5, 6, 7 }));
 }
 
 TEST_F(MemberOfALargeFleet, StoreIsDownForAll_OnlyReadersPollIt)
@@ -144,7 +144,7 @@
   EXPECT_NE(member_.Directory().Find("s3"), nullptr);
   Advance(milliseconds(50));
   EXPECT_EQ(fleet_.pollMode_, StorePollMode::Off);
-  EXPECT_FALSE(fleet_.hasFollowedAlone_);
+  EXPECT_FALSE(fleet_.hasPolledWithLongWaits_);
 }
 
 TEST_F(ReaderOfALargeFleet, PlacerSendsUpdates_PollsOnlyTheConfiguration)
