--- a/Libraries/LibFleet/FleetMember.h
+++ b/Libraries/LibFleet/FleetMember.h
@@ -76,8 +76,8 @@
   PlacerRow self_;
   // Peer addresses to contact at startup, as long as no roster is known.
   std::vector<std::string> seeds_;
-  // Processors available to this instance, as a fraction of one. Instances with more of it are
-  // preferred as placer.
+  // Number of processors available to this instance, possibly a fraction. Instances with more of
+  // them are preferred as placer.
   double processorShare_ = 1;
   OwnershipPlacerSettings placer_;
   std::uint32_t seed_ = 1;
@@ -225,24 +225,32 @@
 
   // The groups' limits; see FleetMemberLimits.cpp.
 
+  // Reports usage to the limit coordinator when due; on the placer, broadcasts the admitted shares.
   void UpdateLimits(Instant aNow);
+  // Starts with an empty limit coordinator after this instance became the placer.
   void StartLimitCoordinator(Instant aNow);
 
   // The placer role; see FleetMemberPlacer.cpp.
 
   // Queues a write that makes this instance the placer.
   void ClaimPlacerRole();
+  // Creates the placers of keyed services that have none yet.
   void StartPlacers(Instant aNow);
+  // Drops all placers and queued writes after the placer role was lost.
   void StopPlacers();
+  // Runs the placers that are due, as long as MaySendCommands.
   void RunPlacers(Instant aNow);
+  // Queues a write of a service's key owners.
   void QueueWrite(const KeyOwnership& aOwnership);
   // Stores the fleet's size class once it is known and differs from the stored one.
   void StoreFleetSize(Instant aNow);
+  // Sends the first queued write unless one is in flight or its retry delay has not passed.
   void SendWrites(Instant aNow);
   void OnClaimed(Instant aNow, const Row& aRow);
   void OnOwnershipWritten(Instant aNow, RowVersion aVersion, const PendingWrite& aWrite);
   void OnWriteDone(Instant aNow, const PendingWrite& aWrite, const StoreReply& aReply);
   void OnWriteConflict(Instant aNow, const PendingWrite& aWrite, const StoreReply& aReply);
+  // The servers of a service with their weights for key placement.
   std::vector<KeyServer> KeyServersOf(Instant aNow, const std::string& aService) const;
   // Median service time of a service's servers; no value when none is known.
   std::optional<Duration> MedianServiceTimeOf(const std::string& aService) const;
@@ -274,7 +282,7 @@
   void RecordReporter(Instant aNow, const InstanceReport& aReport);
   // Removes the instances whose reports have ceased.
   void RemoveSilentInstances(Instant aNow);
-  // Passes the load and the server statistics of a report to the placers.
+  // Handles the load and the server statistics of a report; placer only.
   void ProcessReport(Instant aNow, const InstanceReport& aReport);
   void RecordServerWork(Instant aNow, const std::map<std::string, ServerWork>& aWork);
 
@@ -309,7 +317,8 @@
   // The instances of the fleet: on the placer those that report to it, elsewhere those in its last
   // response.
   FleetRoster roster_;
-  // When the roster first had an entry.
+  // Since when the roster is known: from the first response of a placer, or since this instance
+  // became the placer.
   std::optional<Instant> rosterSince_;
   // Addresses of reporting instances that still need the tables.
   std::set<std::string> awaitingTables_;
--- a/Libraries/LibFleet/FleetReport.h
+++ b/Libraries/LibFleet/FleetReport.h
@@ -25,7 +25,7 @@
   std::map<std::string, std::vector<KeyCount>> keyCounts_;
   // Work that the servers of keyed services did for this instance since the last report, by server.
   std::map<std::string, ServerWork> work_;
-  // Processors available to the sender, as a fraction of one; 0 if not stated.
+  // Number of processors available to the sender, possibly a fraction; 0 if not stated.
   double processorShare_ = 0;
   // Data hall of the sender.
   std::string hall_;
--- a/Libraries/LibFleet/FleetStore.h
+++ b/Libraries/LibFleet/FleetStore.h
@@ -71,7 +71,7 @@
 
 inline constexpr NameTable<StoreCallEnd, 3> kStoreCallEndNames{ { "answered", "refused", "lost" } };
 
-// Number of calls, by outcome and kind.
+// Number of calls, by kind and outcome.
 using StoreCallCounts = std::array<std::array<std::uint64_t, kStoreCallEndNames.names_.size()>,
                                    kStoreCallKindNames.names_.size()>;
 
@@ -97,7 +97,7 @@
   // Reads the current version of the configuration. Unlike a poll without changes, a read reflects
   // every write that was acknowledged before the read was sent.
   virtual void ReadConfigurationVersion(VersionCallback aCallback) = 0;
-  // Call counters since Start, for metrics.
+  // Counters of calls, for metrics.
   virtual const StoreCallCounts& Calls() const = 0;
 };
 
--- a/Libraries/LibFleet/UpdateTree.h
+++ b/Libraries/LibFleet/UpdateTree.h
@@ -13,10 +13,9 @@
 {
   // Peer address, IP number and port.
   std::string address_;
-  // Its data hall.
   // Data hall.
   std::string hall_;
-  // Processors available to it, as a fraction of one; 0 if not stated.
+  // Number of processors available to it, possibly a fraction; 0 if not stated.
   double processorShare_ = 0;
 
   bool operator==(const FleetPeer&) const = default;
