--- a/Libraries/LibFleet/PlacerElection.h
+++ b/Libraries/LibFleet/PlacerElection.h
@@ -49,12 +49,15 @@
 
   // Sets the current row; no value if there is none.
   void OnRow(Instant aNow, std::optional<PlacerRow> aRow);
-  // The placer answered a report and reaches the store.
+  // The placer answered a report and does not need to be replaced; its silence is measured from
+  // here.
   void OnPlacerResponsive(Instant aNow);
   // The write of a claim failed.
   void OnClaimFailed(Instant aNow);
 
   bool IsPlacer() const { return row_ == self_; }
+  // Whether to write a claim now: the row is known, and names no placer, an earlier run of this
+  // instance, or a placer that is silent.
   bool ShouldClaim(Instant aNow) const;
   // Whether another instance is the placer and has not answered within the silence limit.
   bool IsPlacerSilent(Instant aNow) const;
