--- a/Libraries/LibFleet/FleetMemberConfiguration.cpp
+++ b/Libraries/LibFleet/FleetMemberConfiguration.cpp
@@ -1,6 +1,6 @@
 // Freshness of the configuration in FleetMember. A revoked API key must be rejected by every
 // instance within a bound. Therefore API keys are accepted only for a limited time after each proof
-// that the local configuration is the latest, like under a lease. Instances that poll the store on
+// that the local configuration is the latest, as with a lease. Instances that poll the store on
 // behalf of others read proofs from it; all others get them with the responses to their reports and
 // fetches.
 
