--- a/Libraries/LibFleet/FleetMember.cpp
+++ b/Libraries/LibFleet/FleetMember.cpp
@@ -9,15 +9,15 @@
 
 namespace {
 
-// Between two questions for news while the store is out of reach.
+// Interval between fetches of updates while the store is out of reach.
 constexpr Duration kFetchInterval = milliseconds(500);
-// A placer that answered within this time also tells what changes: two reports.
-constexpr Duration kNewsBound = milliseconds(1800);
-// The instances of a fleet are all known to its placer two reports after the first.
-constexpr Duration kRosterSettle = milliseconds(1600);
-// With this part of a processor an instance is strong enough to be the placer of a
-// large fleet: a tenth took seconds to answer the reports of 90 instances.
-constexpr double kStrongShare = 0.5;
+// A placer that answered within this time, two report intervals, still sends updates.
+constexpr Duration kPlacerContactTime = milliseconds(1800);
+// All instances of a fleet are known to its placer two reports after the first one.
+constexpr Duration kRosterSettleTime = milliseconds(1600);
+// With this share of a processor an instance is strong enough to be the placer of a large fleet: a
+// tenth took seconds to answer the reports of 90 instances.
+constexpr double kSufficientProcessorShare = 0.5;
 
 } // namespace
 
@@ -30,12 +30,12 @@
   , events_(aEvents)
   , view_(aDecoder, *this, aEvents)
   , random_(settings_.seed_)
-  // How strong the others are is told by the first placer; until then, by what is
-  // enough for anything.
+  // The first placer reports the largest processor share; until then, compare with the share that
+  // is enough for a large fleet.
   , election_(settings_.self_,
               std::uniform_real_distribution<double>(0, 1)(random_),
-              WeaknessBeside(settings_.processorShare_, kStrongShare))
-  , keeper_(settings_.limitWindow_)
+              CapacityDeficit(settings_.processorShare_, kSufficientProcessorShare))
+  , limitCoordinator_(settings_.limitWindow_)
 {
 }
 
@@ -44,7 +44,7 @@
 void
 FleetMember::OnView(Instant aNow, const TableView& aView)
 {
-  storeHeardAt_ = aNow;
+  storeContactAt_ = aNow;
   const auto table = static_cast<std::size_t>(aView.table_);
   const auto version = view_.Versions().at(table);
   const auto lastChange = view_.LastChanges().at(table);
@@ -54,102 +54,107 @@
                      DescribeVersion(aView.version_) + " known=" + DescribeVersion(version) +
                      " rows=" + std::to_string(aView.rows_.size()));
   }
-  if (!view_.Take(aNow, aView)) {
+  if (!view_.Merge(aNow, aView)) {
     return;
   }
-  if (following_ == Following::Starting) {
-    ChooseFollowing(aNow);
+  if (pollMode_ == StorePollMode::Starting) {
+    UpdatePollMode(aNow);
   }
   const bool isReader = roster_.IsReader(settings_.self_.address_);
-  const bool tellsOthers = election_.IsPlacer() || isReader;
-  if (aView.table_ == FleetTable::Fleet || version == 0 || !tellsOthers) {
+  const bool sendsUpdates = election_.IsPlacer() || isReader;
+  if (aView.table_ == FleetTable::Fleet || version == 0 || !sendsUpdates) {
     return;
   }
   auto changes = view_.ChangesSince(aView.table_, version);
-  // In a small fleet the configuration is followed by everybody.
-  const bool isFollowedByAll = aView.table_ == FleetTable::Configuration && !roster_.HasReaders();
-  if (changes.rows_.empty() || isFollowedByAll) {
+  // In a small fleet every instance polls the configuration.
+  const bool isPolledByAll = aView.table_ == FleetTable::Configuration && !roster_.HasReaders();
+  if (changes.rows_.empty() || isPolledByAll) {
     return;
   }
-  FleetNews news;
-  news.views_.push_back(std::move(changes));
-  // The others have heard of the last change, not of the quiet since.
-  news.views_.back().base_ = lastChange;
+  FleetUpdate update;
+  update.views_.push_back(std::move(changes));
+  // The others have the last change, but not the later versions without changes.
+  update.views_.back().base_ = lastChange;
   if (election_.IsPlacer()) {
-    Spread(news);
+    Broadcast(update);
   } else {
-    TellHall(news);
+    SendUpdateToHall(update);
   }
 }
 
-FleetNews
-FleetMember::NewsSince(Instant aNow, const TableVersions& aVersions) const
+FleetUpdate
+FleetMember::UpdateSince(Instant aNow, const TableVersions& aVersions) const
 {
-  auto news = view_.NewsSince(aVersions);
-  news.proof_ = configuration_.Tell(aNow);
-  const bool isFollowing = following_ != Following::Told && following_ != Following::Starting;
-  if (isFollowing) {
-    news.sight_ = isStoreLost_ ? StoreSight::Lost : StoreSight::Heard;
-  }
-  return news;
+  auto update = view_.UpdateSince(aVersions);
+  update.proof_ = freshness_.CurrentProof(aNow);
+  const bool isPolling = pollMode_ != StorePollMode::Off && pollMode_ != StorePollMode::Starting;
+  if (isPolling) {
+    update.storeReachability_ =
+      isStoreLost_ ? StoreReachability::Unreachable : StoreReachability::Reachable;
+  }
+  return update;
 }
 
 void
-FleetMember::OnNewsFetched(Instant aNow,
-                           const std::optional<FleetNews>& aNews,
-                           Duration aRoundTrip,
-                           const std::string& aFrom)
+FleetMember::OnUpdateFetched(Instant aNow,
+                             const std::optional<FleetUpdate>& aUpdate,
+                             Duration aRoundTrip,
+                             const std::string& aFrom)
 {
-  guide_.OnAnswer(aNow, aFrom, aNews ? aNews->sight_ : StoreSight::None);
-  if (!aNews) {
+  readerPoller_.OnAnswer(
+    aNow, aFrom, aUpdate ? aUpdate->storeReachability_ : StoreReachability::NotPolling);
+  if (!aUpdate) {
     return;
   }
-  if (following_ == Following::Told && aNews->sight_ == StoreSight::Lost) {
+  if (pollMode_ == StorePollMode::Off &&
+      aUpdate->storeReachability_ == StoreReachability::Unreachable) {
     OnStoreLost(aNow);
-  } else if (following_ == Following::Told && aNews->sight_ == StoreSight::Heard) {
+  } else if (pollMode_ == StorePollMode::Off &&
+             aUpdate->storeReachability_ == StoreReachability::Reachable) {
     OnStoreRegained(aNow);
   }
-  OnNews(aNow, *aNews);
-  TakeProof(aNow, aNews->proof_, aRoundTrip);
+  OnUpdate(aNow, *aUpdate);
+  OnProofReceived(aNow, aUpdate->proof_, aRoundTrip);
 }
 
 void
-FleetMember::OnNews(Instant aNow, const FleetNews& aNews)
+FleetMember::OnUpdate(Instant aNow, const FleetUpdate& aUpdate)
 {
-  if (aNews.isLastForNow_) {
-    relay_.OnFailure(RelayEnd::Announced);
-    ChooseFollowing(aNow);
-  }
-  limits_.OnParts(aNow, aNews.parts_);
-  for (const auto& doubt : aNews.doubts_) {
-    NoteDoubt(aNow, doubt);
-  }
-  // What the store itself tells goes first on the tables that others write.
-  const bool isFollowing = following_ == Following::Alone || following_ == Following::Closely;
-  const bool ownRowsOnly = isFollowing && !isStoreLost_;
-  if (!aNews.views_.empty() && !ownRowsOnly) {
+  if (aUpdate.pausesUpdates_) {
+    placerMonitor_.OnFailure(PlacerFault::UpdatesPaused);
+    UpdatePollMode(aNow);
+  }
+  limits_.OnParts(aNow, aUpdate.parts_);
+  for (const auto& lease : aUpdate.uncertainLeases_) {
+    KeepUncertainLease(aNow, lease);
+  }
+  // What this instance reads from the store takes precedence for the tables that others write.
+  const bool isPolling =
+    pollMode_ == StorePollMode::LongWaits || pollMode_ == StorePollMode::ShortWaits;
+  const bool ownRowsOnly = isPolling && !isStoreLost_;
+  if (!aUpdate.views_.empty() && !ownRowsOnly) {
     events_.Record(Event::ViewFromPeer,
-                   "tables=" + std::to_string(aNews.views_.size()) +
-                     " following=" + std::string(kFollowingNames.NameOf(following_)));
+                   "tables=" + std::to_string(aUpdate.views_.size()) +
+                     " following=" + std::string(kStorePollModeNames.NameOf(pollMode_)));
   }
-  if (!view_.Take(aNow, aNews, ownRowsOnly)) {
-    // Some were missed; the store has them all.
-    relay_.OnFailure(RelayEnd::NewsMissed);
-    ChooseFollowing(aNow);
+  if (!view_.Merge(aNow, aUpdate, ownRowsOnly)) {
+    // Some updates were missed; read the changes from the store.
+    placerMonitor_.OnFailure(PlacerFault::UpdateMissed);
+    UpdatePollMode(aNow);
   }
 }
 
 void
-FleetMember::NoteDoubt(Instant aNow, const HoldDoubt& aDoubt)
+FleetMember::KeepUncertainLease(Instant aNow, const UncertainLease& aLease)
 {
-  auto& until = doubts_.try_emplace(aDoubt.server_, Instant::min()).first->second;
-  until = std::max(until, aNow + aDoubt.holds_);
+  auto& until = uncertainLeases_.try_emplace(aLease.server_, Instant::min()).first->second;
+  until = std::max(until, aNow + aLease.duration_);
 }
 
 void
 FleetMember::OnRoutes(Instant aNow, std::shared_ptr<const RouteTable> aRoutes)
 {
-  keeper_.SetGroups(aNow, aRoutes->Configuration().groups_);
+  limitCoordinator_.SetGroups(aNow, aRoutes->Configuration().groups_);
   actions_.OnRoutes(std::move(aRoutes));
 }
 
@@ -158,8 +163,8 @@
 {
   const bool wasPlacer = election_.IsPlacer();
   election_.OnRow(aNow, aPlacer);
-  start_.OnFleetRead(aNow, aPlacer.has_value());
-  relay_.OnFailure(RelayEnd::PlacerChanged);
+  startupDeadline_.OnFleetRead(aNow, aPlacer.has_value());
+  placerMonitor_.OnFailure(PlacerFault::PlacerChanged);
   nextReport_ = aNow;
   if (wasPlacer && !election_.IsPlacer()) {
     events_.Record(Event::PlacerClaimLost,
@@ -178,11 +183,11 @@
   nextFetch_ = aNow;
   view_.Directory().OnStoreLost(aNow);
   events_.Record(Event::StoreUnavailable,
-                 "heard_ago_us=" + std::to_string((aNow - storeHeardAt_).count()));
+                 "heard_ago_us=" + std::to_string((aNow - storeContactAt_).count()));
   if (election_.IsPlacer()) {
-    FleetNews news;
-    news.isLastForNow_ = true;
-    Spread(news);
+    FleetUpdate update;
+    update.pausesUpdates_ = true;
+    Broadcast(update);
   }
 }
 
@@ -195,18 +200,18 @@
   isStoreLost_ = false;
   view_.Directory().OnStoreRegained(aNow);
   events_.Record(Event::StoreRecovered,
-                 "following=" + std::string(kFollowingNames.NameOf(following_)));
+                 "following=" + std::string(kStorePollModeNames.NameOf(pollMode_)));
 }
 
 void
-FleetMember::OnToldLeaving(Instant aNow, const std::string& aServer, std::uint64_t aLife)
+FleetMember::OnServerReportedLeaving(Instant aNow, const std::string& aServer, std::uint64_t aLife)
 {
   if (!view_.Directory().NoteLeaving(aNow, aServer, aLife)) {
     return;
   }
-  const bool isListedSo = view_.Directory().Find(aServer)->isLeaving_;
+  const bool isListedAsLeaving = view_.Directory().Find(aServer)->isLeaving_;
   events_.Record(Event::ServerToldLeaving,
-                 "server=" + aServer + " listed_so=" + (isListedSo ? "true" : "false"));
+                 "server=" + aServer + " listed_so=" + (isListedAsLeaving ? "true" : "false"));
   actions_.OnDirectoryChanged();
 }
 
@@ -219,73 +224,73 @@
 void
 FleetMember::OnTime(Instant aNow)
 {
-  start_.OnStart(aNow);
+  startupDeadline_.OnStart(aNow);
   if (view_.Directory().Expire(aNow)) {
     events_.Record(Event::ServerUnlisted,
                    "servers=" + std::to_string(view_.Directory().All().size()));
     actions_.OnDirectoryChanged();
   }
   if (!isStoreLost_ && writes_.empty() && election_.ShouldClaim(aNow)) {
-    Claim();
+    ClaimPlacerRole();
   }
   if (election_.IsPlacer()) {
     RunPlacers(aNow);
-    SpreadTables(aNow);
-    NoteFleetSize(aNow);
+    SendTables(aNow);
+    StoreFleetSize(aNow);
   }
   SendWrites(aNow);
-  FollowLimits(aNow);
-  FollowProofs(aNow);
+  UpdateLimits(aNow);
+  RenewProof(aNow);
   if (aNow >= nextReport_) {
     Report(aNow);
   }
-  ChooseFollowing(aNow);
-  NoteStaleness(aNow);
-  AskReaders(aNow);
-  // Readers alone are asked by those that they guide: two that are told by others would
-  // keep each other from the store.
-  if (isStoreLost_ && following_ != Following::Told && aNow >= nextFetch_) {
+  UpdatePollMode(aNow);
+  ReportStaleness(aNow);
+  RequestFromReader(aNow);
+  // While readers stand in for the placer, only readers are asked: two instances that both depend
+  // on others would keep each other from polling the store.
+  if (isStoreLost_ && pollMode_ != StorePollMode::Off && aNow >= nextFetch_) {
     FetchFromPeers(aNow);
   }
 }
 
-Following
-FleetMember::HowToFollow(Instant aNow)
+StorePollMode
+FleetMember::SelectPollMode(Instant aNow)
 {
   if (election_.IsPlacer()) {
-    return Following::Closely;
+    return StorePollMode::ShortWaits;
   }
   if (!IsReady()) {
-    const bool isWaiting =
-      following_ == Following::Starting && view_.Size() != FleetSize::Small && !start_.IsOver(aNow);
-    return isWaiting ? Following::Starting : Following::Alone;
+    const bool isWaiting = pollMode_ == StorePollMode::Starting &&
+                           view_.Size() != FleetSize::Small && !startupDeadline_.HasExpired(aNow);
+    return isWaiting ? StorePollMode::Starting : StorePollMode::LongWaits;
   }
-  if (relay_.IsRelayed(aNow, view_.Versions())) {
-    guide_.OnRelayed();
-    return IsReading(aNow) ? Following::Relayed : Following::Told;
+  if (placerMonitor_.IsReliable(aNow, view_.Versions())) {
+    readerPoller_.OnPlacerReliable();
+    return PollsConfiguration(aNow) ? StorePollMode::ConfigurationOnly : StorePollMode::Off;
   }
-  if (IsReadFor()) {
-    guide_.OnRelayEnded(aNow);
-    return guide_.IsGuided(aNow) ? Following::Told : Following::Alone;
+  if (DependsOnReaders()) {
+    readerPoller_.OnPlacerUnreliable(aNow);
+    return readerPoller_.AreReadersReliable(aNow) ? StorePollMode::Off : StorePollMode::LongWaits;
   }
-  // What a reader says is relied on: a long question would hide for seconds that the store
-  // turns it away.
-  return roster_.HasReaders() ? Following::Closely : Following::Alone;
+  // Other instances rely on a reader: a poll with a long wait would hide for seconds that the store
+  // rejects it.
+  return roster_.HasReaders() ? StorePollMode::ShortWaits : StorePollMode::LongWaits;
 }
 
 bool
-FleetMember::IsReading(Instant aNow) const
+FleetMember::PollsConfiguration(Instant aNow) const
 {
   if (roster_.HasReaders()) {
     return roster_.IsReader(settings_.self_.address_);
   }
-  // The first answers of a placer name only those that it has heard so far.
-  const bool isSettled = rosterSince_ && aNow - *rosterSince_ >= kRosterSettle;
+  // The first answers of a placer list only the instances that have reported so far.
+  const bool isSettled = rosterSince_ && aNow - *rosterSince_ >= kRosterSettleTime;
   return isSettled || view_.Size() == FleetSize::Small;
 }
 
 bool
-FleetMember::IsReadFor() const
+FleetMember::DependsOnReaders() const
 {
   return roster_.HasReaders() && !roster_.IsReader(settings_.self_.address_);
 }
@@ -297,7 +302,7 @@
 }
 
 void
-FleetMember::TellHall(const FleetNews& aNews)
+FleetMember::SendUpdateToHall(const FleetUpdate& aUpdate)
 {
   std::vector<FleetPeer> receivers;
   for (const auto& [address, peer] : roster_.Peers()) {
@@ -305,50 +310,50 @@
       receivers.push_back(peer);
     }
   }
-  actions_.SendNews(PlanNewsTree(std::move(receivers), SelfAsPeer()), aNews);
+  actions_.SendUpdate(PlanUpdateTree(std::move(receivers), SelfAsPeer()), aUpdate);
 }
 
 void
-FleetMember::AskReaders(Instant aNow)
+FleetMember::RequestFromReader(Instant aNow)
 {
-  if (!IsReadFor() || !guide_.IsDue(aNow)) {
+  if (!DependsOnReaders() || !readerPoller_.IsRequestDue(aNow)) {
     return;
   }
-  const auto readers = roster_.ReadersFrom(settings_.hall_);
-  if (const auto address = guide_.Next(aNow, readers, random_)) {
-    actions_.FetchNews(*address, view_.Versions());
+  const auto readers = roster_.ReadersByProximity(settings_.hall_);
+  if (const auto address = readerPoller_.NextReader(aNow, readers, random_)) {
+    actions_.FetchUpdate(*address, view_.Versions());
   }
 }
 
 void
-FleetMember::ChooseFollowing(Instant aNow)
+FleetMember::UpdatePollMode(Instant aNow)
 {
-  const auto following = HowToFollow(aNow);
-  if (following == Following::Told && relay_.IsRelayed(aNow, view_.Versions())) {
+  const auto mode = SelectPollMode(aNow);
+  if (mode == StorePollMode::Off && placerMonitor_.IsReliable(aNow, view_.Versions())) {
     OnStoreRegained(aNow);
   }
-  if (following == following_) {
+  if (mode == pollMode_) {
     return;
   }
-  following_ = following;
+  pollMode_ = mode;
   events_.Record(Event::FollowingChanged,
-                 "following=" + std::string(kFollowingNames.NameOf(following)) +
-                   " store_heard_ago_us=" + std::to_string((aNow - storeHeardAt_).count()) + " " +
-                   relay_.Describe(aNow, view_.Versions()));
-  actions_.Follow(following, view_.Versions());
-  if (following == Following::Relayed) {
+                 "following=" + std::string(kStorePollModeNames.NameOf(mode)) +
+                   " store_heard_ago_us=" + std::to_string((aNow - storeContactAt_).count()) + " " +
+                   placerMonitor_.Describe(aNow, view_.Versions()));
+  actions_.SetPollMode(mode, view_.Versions());
+  if (mode == StorePollMode::ConfigurationOnly) {
     OnStoreRegained(aNow);
   }
 }
 
 void
-FleetMember::NoteStaleness(Instant aNow)
+FleetMember::ReportStaleness(Instant aNow)
 {
-  const bool isHeard = election_.IsPlacer() || aNow - placerHeardAt_ < kNewsBound;
-  const bool isStale = isStoreLost_ && !isHeard;
-  if (isStale != isNewsStale_) {
-    isNewsStale_ = isStale;
-    actions_.OnNewsStale(isStale);
+  const bool isReachable = election_.IsPlacer() || aNow - placerContactAt_ < kPlacerContactTime;
+  const bool isStale = isStoreLost_ && !isReachable;
+  if (isStale != isStale_) {
+    isStale_ = isStale;
+    actions_.OnStalenessChanged(isStale);
   }
 }
 
@@ -356,7 +361,7 @@
 FleetMember::FetchFromPeers(Instant aNow)
 {
   nextFetch_ = aNow + kFetchInterval;
-  // In a large fleet the others only know what its readers tell them.
+  // In a large fleet, the others only have what its readers send them.
   const bool hasReaders = roster_.HasReaders();
   auto addresses = hasReaders ? std::vector<std::string>() : settings_.seeds_;
   for (const auto& [address, peer] : roster_.Peers()) {
@@ -369,7 +374,7 @@
     return;
   }
   std::uniform_int_distribution<std::size_t> draw(0, addresses.size() - 1);
-  actions_.FetchNews(addresses[draw(random_)], view_.Versions());
+  actions_.FetchUpdate(addresses[draw(random_)], view_.Versions());
 }
 
 } // namespace latchslip
--- a/Libraries/LibFleet/PlacerDuty.cpp
+++ b/Libraries/LibFleet/FleetMemberPlacer.cpp
@@ -1,4 +1,5 @@
-// The part of FleetMember that is the placer.
+// The placer role of FleetMember: claims the role, runs the placers of the keyed services, writes
+// their results to the store and pushes updates to the other instances.
 
 #include "LibFleet/FleetMember.h"
 #include "LibFleet/ServicePlacer.h"
@@ -10,34 +11,35 @@
 
 namespace {
 
-// An instance that reported within this time takes the receiver for the placer.
-constexpr Duration kReportingBound = seconds(2);
-// Tables that were told are not told again for so long: whoever starts reads them itself
-// before.
-constexpr Duration kTablesAgain = seconds(2);
-// A write that failed is sent again after this time.
-constexpr Duration kWritePause = milliseconds(200);
-// All instances of a fleet report to its placer within this time.
-constexpr Duration kSizeSettle = seconds(2);
-// Servers are taken to differ in speed by this factor from the typical at most,
-// so that a noisy mean cannot empty or flood one. Keys that a server has to load first
-// take it several times as long.
-constexpr double kMostSpeed = 4;
-// The part of its rate limit that a server is counted on for. Requests that come unevenly wait
-// for a slot, but those that a limit leaves no room for are mostly refused.
-constexpr double kCountedOnLimit = 0.6;
+// An instance that reported within this time regards the receiver as the placer.
+constexpr Duration kReporterTimeout = seconds(2);
+// Tables are not sent to the same instance again within this time; an instance that didn't receive
+// them reads them itself before that.
+constexpr Duration kTablesResendInterval = seconds(2);
+// Delay before a failed write is retried.
+constexpr Duration kWriteRetryDelay = milliseconds(200);
+// All instances of a fleet have reported to its placer within this time.
+constexpr Duration kSizeSettleTime = seconds(2);
+// Bound on the factor between a server's speed and the median, so that a noisy mean cannot remove
+// all keys from a server or flood it. Keys that a server has to load first take it several times as
+// long.
+constexpr double kMaxSpeedFactor = 4;
+// The share of a server's rate limit that placement counts on. Requests that arrive in bursts wait
+// for a slot, but those beyond a rate limit are mostly refused.
+constexpr double kUsableRateLimitShare = 0.6;
 
 } // namespace
 
-// A claim names the owners' rows too: orders must not go out from older ones.
+// A claim is conditional on the owners' rows too, so that no commands are sent on the basis of
+// older ones.
 void
-FleetMember::Claim()
+FleetMember::ClaimPlacerRole()
 {
-  WaitingWrite write;
+  PendingWrite write;
   auto& conditions = write.transaction_.conditions_;
   const std::string key(kPlacerKey);
   conditions.push_back({ key, view_.PlacerVersion() });
-  // The configuration may not be known yet: it is read by the placer first.
+  // The configuration may not be known yet: the placer is the first to read it.
   std::set<std::string> services;
   for (const auto& names : { view_.KeyedServices(), view_.OwnedServices() }) {
     services.insert(names.begin(), names.end());
@@ -65,7 +67,7 @@
     auto& placer = placers_[service];
     placer = std::make_unique<ServicePlacer>(*this, service);
     placer->placer_.Start(
-      aNow, owned == nullptr ? std::nullopt : std::optional(owned->ownership_), doubts_);
+      aNow, owned == nullptr ? std::nullopt : std::optional(owned->ownership_), uncertainLeases_);
     if (owned != nullptr && owned->isFromCopyOnly_) {
       placer->placer_.WaitForLostGrants(aNow);
     }
@@ -79,8 +81,8 @@
 FleetMember::StopPlacers()
 {
   placers_.clear();
-  // The answer to a write under way must not be taken for that of a later one.
-  std::erase_if(writes_, [](const WaitingWrite& aWrite) { return !aWrite.isUnderWay_; });
+  // Keep the write in flight, so that its result is not taken for that of a later one.
+  std::erase_if(writes_, [](const PendingWrite& aWrite) { return !aWrite.isInFlight_; });
   for (auto& write : writes_) {
     write.isAbandoned_ = true;
   }
@@ -89,7 +91,7 @@
 void
 FleetMember::RunPlacers(Instant aNow)
 {
-  if (!MayOrder(aNow)) {
+  if (!MaySendCommands(aNow)) {
     return;
   }
   if (view_.IsKnown(FleetTable::Servers)) {
@@ -104,29 +106,30 @@
   }
 }
 
-// Another instance may be the placer by now, and counts on this one's silence. As
-// long as most of the others report here that did when the store was last heard,
-// none can be.
+// Another instance may be the placer by now, and relies on this one having stopped. That is
+// impossible as long as most of the other instances that reported here when the store was last
+// reachable still do.
 bool
-FleetMember::MayOrder(Instant aNow) const
+FleetMember::MaySendCommands(Instant aNow) const
 {
   const auto bound = settings_.placer_.renewalAlone_;
-  if (aNow - storeHeardAt_ < bound) {
+  if (aNow - storeContactAt_ < bound) {
     return true;
   }
   const auto reporting =
-    std::count_if(heardInstances_.begin(), heardInstances_.end(), [&](const auto& aEntry) {
+    std::count_if(reporters_.begin(), reporters_.end(), [&](const auto& aEntry) {
       return aEntry.first != settings_.self_.address_ &&
-             aNow - aEntry.second.heardAt_ < kReportingBound;
+             aNow - aEntry.second.lastReportAt_ < kReporterTimeout;
     });
-  return othersWithStore_ == 0 || 2 * static_cast<std::size_t>(reporting) > othersWithStore_;
+  return reportersAtStoreContact_ == 0 ||
+         2 * static_cast<std::size_t>(reporting) > reportersAtStoreContact_;
 }
 
 std::vector<KeyServer>
 FleetMember::KeyServersOf(Instant aNow, const std::string& aService) const
 {
   std::vector<KeyServer> servers;
-  const auto typical = TypicalWorkTimeOf(aService);
+  const auto median = MedianServiceTimeOf(aService);
   for (const auto& [id, record] : view_.Directory().All()) {
     if (record.service_ != aService) {
       continue;
@@ -136,9 +139,10 @@
     server.address_ = record.address_;
     server.life_ = record.life_;
     server.isUsable_ = record.TakesWork() && !view_.Directory().HasEnded(id);
-    if (typical) {
-      const double atLimit = kCountedOnLimit * speeds_.RateLimitOf(aNow, id) * ToSeconds(*typical);
-      server.weight_ = std::min(record.slots_ * SpeedOf(record, *typical), atLimit);
+    if (median) {
+      const double atLimit =
+        kUsableRateLimitShare * speeds_.RateLimitOf(aNow, id) * ToSeconds(*median);
+      server.weight_ = std::min(record.slots_ * SpeedOf(record, *median), atLimit);
     }
     servers.push_back(std::move(server));
   }
@@ -146,14 +150,14 @@
 }
 
 std::optional<Duration>
-FleetMember::TypicalWorkTimeOf(const std::string& aService) const
+FleetMember::MedianServiceTimeOf(const std::string& aService) const
 {
   std::vector<Duration> known;
   for (const auto& [id, record] : view_.Directory().All()) {
     if (record.service_ != aService) {
       continue;
     }
-    if (const auto time = speeds_.WorkTimeOf(id, record.slots_)) {
+    if (const auto time = speeds_.ServiceTimeOf(id, record.slots_)) {
       known.push_back(*time);
     }
   }
@@ -166,21 +170,21 @@
 }
 
 double
-FleetMember::SpeedOf(const ServerRecord& aServer, Duration aTypical) const
+FleetMember::SpeedOf(const ServerRecord& aServer, Duration aMedian) const
 {
-  const auto time = speeds_.WorkTimeOf(aServer.id_, aServer.slots_);
+  const auto time = speeds_.ServiceTimeOf(aServer.id_, aServer.slots_);
   if (!time) {
     return 1;
   }
   const auto count = std::max<Duration::rep>(1, time->count());
-  const double speed = static_cast<double>(aTypical.count()) / static_cast<double>(count);
-  return std::clamp(speed, 1 / kMostSpeed, kMostSpeed);
+  const double speed = static_cast<double>(aMedian.count()) / static_cast<double>(count);
+  return std::clamp(speed, 1 / kMaxSpeedFactor, kMaxSpeedFactor);
 }
 
 void
 FleetMember::QueueWrite(const KeyOwnership& aOwnership)
 {
-  WaitingWrite write;
+  PendingWrite write;
   write.ownership_ = aOwnership;
   const auto row = OwnershipKey(aOwnership.service_);
   const auto* owned = view_.OwnersOf(aOwnership.service_);
@@ -193,19 +197,19 @@
   writes_.push_back(std::move(write));
 }
 
-// Whoever starts in a small fleet reads the tables at once, as each instance does there;
-// in a large one it waits to be told.
+// An instance that starts reads the tables from the store at once in a small fleet, where every
+// instance does, and waits for the placer's tables in a large one.
 void
-FleetMember::NoteFleetSize(Instant aNow)
+FleetMember::StoreFleetSize(Instant aNow)
 {
-  if (!writes_.empty() || isStoreLost_ || !rosterSince_ || aNow < *rosterSince_ + kSizeSettle) {
+  if (!writes_.empty() || isStoreLost_ || !rosterSince_ || aNow < *rosterSince_ + kSizeSettleTime) {
     return;
   }
   const auto size = roster_.HasReaders() ? FleetSize::Large : FleetSize::Small;
   if (view_.Size() == size) {
     return;
   }
-  WaitingWrite write;
+  PendingWrite write;
   const std::string key(kSizeKey);
   write.transaction_.conditions_ = { { std::string(kPlacerKey), view_.PlacerVersion() },
                                      { key, view_.SizeVersion() } };
@@ -216,21 +220,21 @@
 void
 FleetMember::SendWrites(Instant aNow)
 {
-  if (writes_.empty() || writes_.front().isUnderWay_ || aNow < writes_.front().retryAt_) {
+  if (writes_.empty() || writes_.front().isInFlight_ || aNow < writes_.front().retryAt_) {
     return;
   }
-  writes_.front().isUnderWay_ = true;
+  writes_.front().isInFlight_ = true;
   actions_.Transact(writes_.front().transaction_);
 }
 
 void
 FleetMember::OnTransactEnded(Instant aNow, const StoreReply& aReply)
 {
-  if (writes_.empty() || !writes_.front().isUnderWay_) {
+  if (writes_.empty() || !writes_.front().isInFlight_) {
     return;
   }
   auto& write = writes_.front();
-  write.isUnderWay_ = false;
+  write.isInFlight_ = false;
   if (write.isAbandoned_) {
     writes_.erase(writes_.begin());
     return;
@@ -240,14 +244,14 @@
       events_.Record(Event::StoreUnsure, "row=" + write.transaction_.writes_.front().key_);
       [[fallthrough]];
     case StoreStatus::Unavailable:
-      // The same write again is safe: at most one of the two meets its conditions.
-      write.retryAt_ = aNow + kWritePause;
+      // Retrying the same write is safe: the conditions hold for at most one of the two.
+      write.retryAt_ = aNow + kWriteRetryDelay;
       return;
     case StoreStatus::Done:
     case StoreStatus::Conflict:
       break;
   }
-  storeHeardAt_ = aNow;
+  storeContactAt_ = aNow;
   const auto ended = std::move(write);
   writes_.erase(writes_.begin());
   const auto& written = ended.transaction_.writes_.front();
@@ -261,7 +265,7 @@
 }
 
 void
-FleetMember::OnWriteDone(Instant aNow, const WaitingWrite& aWrite, const StoreReply& aReply)
+FleetMember::OnWriteDone(Instant aNow, const PendingWrite& aWrite, const StoreReply& aReply)
 {
   const auto& written = aWrite.transaction_.writes_.front();
   const auto* stored = FindRow(aReply.rows_, written.key_);
@@ -271,7 +275,7 @@
   } else if (aWrite.Key() == kPlacerKey) {
     OnClaimed(aNow, { written.key_, version, written.value_ });
   } else {
-    view_.TakeFleetRow(aNow, { written.key_, version, written.value_ });
+    view_.ApplyFleetRow(aNow, { written.key_, version, written.value_ });
   }
 }
 
@@ -279,45 +283,45 @@
 FleetMember::OnClaimed(Instant aNow, const Row& aRow)
 {
   events_.Record(Event::PlacerClaimed, "row_version=" + DescribeVersion(aRow.version_));
-  view_.TakeFleetRow(aNow, aRow);
+  view_.ApplyFleetRow(aNow, aRow);
   rosterSince_ = aNow;
-  // Those that reported to the former placer will report here.
+  // Instances that reported to the former placer will report here.
   for (const auto& [address, peer] : roster_.Peers()) {
-    heardInstances_.try_emplace(address, HeardInstance{ aNow, peer.processorShare_ });
+    reporters_.try_emplace(address, Reporter{ aNow, peer.processorShare_ });
   }
-  StartKeeper(aNow);
-  FleetNews news;
-  news.placer_ = aRow;
-  Spread(news);
+  StartLimitCoordinator(aNow);
+  FleetUpdate update;
+  update.placer_ = aRow;
+  Broadcast(update);
   RunPlacers(aNow);
 }
 
-// What the others have is what the write followed on. This instance may have read
-// its own write from the store before the write was answered.
+// The other instances have the owners that the write replaced. This instance may have read its own
+// write from the store before the write was acknowledged, so its current view is not the base.
 void
-FleetMember::OnOwnershipWritten(Instant aNow, RowVersion aVersion, const WaitingWrite& aWrite)
+FleetMember::OnOwnershipWritten(Instant aNow, RowVersion aVersion, const PendingWrite& aWrite)
 {
   const auto& ownership = *aWrite.ownership_;
-  FleetNews news;
-  // After the store's return the others may know the owners as of other versions.
+  FleetUpdate update;
+  // After a restore of the store, the other instances may have the owners as of other versions.
   const bool isFirstOfEpoch =
     aWrite.former_ && aWrite.former_->ownership_.epoch_ < ownership.epoch_;
   if (aWrite.former_ && !isFirstOfEpoch) {
     const auto& former = *aWrite.former_;
-    news.owners_.push_back(
+    update.owners_.push_back(
       { former.version_, aVersion, ChangesBetween(former.ownership_, ownership) });
   } else {
-    news.owners_.push_back({ 0, aVersion, ownership });
+    update.owners_.push_back({ 0, aVersion, ownership });
   }
-  view_.TakeOwnership(aVersion, ownership);
-  Spread(news);
+  view_.ApplyOwnership(aVersion, ownership);
+  Broadcast(update);
   if (const auto placer = placers_.find(ownership.service_); placer != placers_.end()) {
     placer->second->placer_.OnWritten(aNow);
   }
 }
 
 void
-FleetMember::OnWriteConflict(Instant aNow, const WaitingWrite& aWrite, const StoreReply& aReply)
+FleetMember::OnWriteConflict(Instant aNow, const PendingWrite& aWrite, const StoreReply& aReply)
 {
   std::string versions;
   for (const auto& condition : aWrite.transaction_.conditions_) {
@@ -327,7 +331,7 @@
   }
   events_.Record(Event::StoreConflict, "write=" + aWrite.Key() + versions);
   for (const auto& row : aReply.rows_) {
-    view_.TakeFleetRow(aNow, row);
+    view_.ApplyFleetRow(aNow, row);
   }
   if (aWrite.Key() == kPlacerKey) {
     election_.OnClaimFailed(aNow);
@@ -343,45 +347,45 @@
 }
 
 void
-FleetMember::SpreadDoubt(Instant aNow, const HoldDoubt& aDoubt)
+FleetMember::BroadcastUncertainLease(Instant aNow, const UncertainLease& aLease)
 {
-  NoteDoubt(aNow, aDoubt);
-  FleetNews news;
-  news.doubts_.push_back(aDoubt);
-  Spread(news);
+  KeepUncertainLease(aNow, aLease);
+  FleetUpdate update;
+  update.uncertainLeases_.push_back(aLease);
+  Broadcast(update);
 }
 
 void
-FleetMember::Spread(const FleetNews& aNews)
+FleetMember::Broadcast(const FleetUpdate& aUpdate)
 {
   std::vector<FleetPeer> receivers;
   for (const auto& [address, peer] : roster_.Peers()) {
     receivers.push_back(peer);
   }
-  actions_.SendNews(PlanNewsTree(std::move(receivers), SelfAsPeer()), aNews);
+  actions_.SendUpdate(PlanUpdateTree(std::move(receivers), SelfAsPeer()), aUpdate);
 }
 
 void
-FleetMember::SpreadTables(Instant aNow)
+FleetMember::SendTables(Instant aNow)
 {
-  if (!IsReady() || lacking_.empty()) {
+  if (!IsReady() || awaitingTables_.empty()) {
     return;
   }
   std::vector<FleetPeer> receivers;
-  for (const auto& address : std::exchange(lacking_, {})) {
+  for (const auto& address : std::exchange(awaitingTables_, {})) {
     const auto peer = roster_.Peers().find(address);
-    const auto heard = heardInstances_.find(address);
-    if (peer == roster_.Peers().end() || heard == heardInstances_.end()) {
+    const auto reporter = reporters_.find(address);
+    if (peer == roster_.Peers().end() || reporter == reporters_.end()) {
       continue;
     }
-    auto& toldAt = heard->second.tablesToldAt_;
-    if (aNow >= toldAt + kTablesAgain) {
-      toldAt = aNow;
+    auto& sentAt = reporter->second.tablesSentAt_;
+    if (aNow >= sentAt + kTablesResendInterval) {
+      sentAt = aNow;
       receivers.push_back(peer->second);
     }
   }
   if (!receivers.empty()) {
-    actions_.SendNews(PlanNewsTree(std::move(receivers), SelfAsPeer()), view_.NewsSince({}));
+    actions_.SendUpdate(PlanUpdateTree(std::move(receivers), SelfAsPeer()), view_.UpdateSince({}));
   }
 }
 
--- a/Libraries/LibFleet/FleetRoster.cpp
+++ b/Libraries/LibFleet/FleetRoster.cpp
@@ -8,13 +8,13 @@
 
 namespace {
 
-// Readers of each data hall: one may be cut off or slowed without the hall noticing.
-constexpr std::size_t kReadersAHall = 2;
-// Up to this many instances each reads the store itself. A question of each in 8 s is
-// 2 a second, and none depends on another then.
-constexpr std::size_t kFewInstances = 16;
-// Changes that are remembered: twice as many as instances join when a large fleet starts.
-constexpr std::size_t kMostSteps = 1024;
+// Two, so that a hall still has one while the other is cut off or slow.
+constexpr std::size_t kReadersPerHall = 2;
+// Up to this size each instance polls the store itself, so that none depends on another. At one
+// poll in 8 s each, the store gets 2 a second.
+constexpr std::size_t kMaxSmallFleet = 16;
+// Length of the change log; a large fleet that starts needs half of it.
+constexpr std::size_t kMaxLogEntries = 1024;
 
 } // namespace
 
@@ -42,7 +42,7 @@
     return false;
   }
   if (known == peers_.end()) {
-    Note(aPeer, false);
+    AppendToLog(aPeer, false);
   }
   const auto address = aPeer.address_;
   peers_[address] = std::move(aPeer);
@@ -56,19 +56,19 @@
   if (known == peers_.end()) {
     return false;
   }
-  Note(known->second, true);
+  AppendToLog(known->second, true);
   peers_.erase(known);
   return true;
 }
 
-// Changes are undone by the same word, so that the order in which instances came and went
-// does not matter.
+// Joining and leaving combine the same hash by XOR, so that the digest doesn't depend on the order
+// in which instances joined and left.
 void
-FleetRoster::Note(const FleetPeer& aPeer, bool aHasLeft)
+FleetRoster::AppendToLog(const FleetPeer& aPeer, bool aHasLeft)
 {
-  steps_.push_back({ digest_, aPeer, aHasLeft });
-  if (steps_.size() > kMostSteps) {
-    steps_.pop_front();
+  changeLog_.push_back({ digest_, aPeer, aHasLeft });
+  if (changeLog_.size() > kMaxLogEntries) {
+    changeLog_.pop_front();
   }
   digest_ ^= HashKey(aPeer.address_);
 }
@@ -107,9 +107,11 @@
   if (aDigest == digest_) {
     return change;
   }
-  const auto from = std::find_if(
-    steps_.rbegin(), steps_.rend(), [&](const Step& aStep) { return aStep.before_ == aDigest; });
-  if (from == steps_.rend()) {
+  const auto from =
+    std::find_if(changeLog_.rbegin(), changeLog_.rend(), [&](const LogEntry& aEntry) {
+      return aEntry.digestBefore_ == aDigest;
+    });
+  if (from == changeLog_.rend()) {
     change.isWhole_ = true;
     for (const auto& [address, peer] : peers_) {
       change.joined_.push_back(peer);
@@ -117,8 +119,8 @@
     return change;
   }
   std::set<std::string> touched;
-  for (auto step = std::prev(from.base()); step != steps_.end(); ++step) {
-    touched.insert(step->peer_.address_);
+  for (auto entry = std::prev(from.base()); entry != changeLog_.end(); ++entry) {
+    touched.insert(entry->peer_.address_);
   }
   for (const auto& address : touched) {
     const auto peer = peers_.find(address);
@@ -134,7 +136,7 @@
 bool
 FleetRoster::HasReaders() const
 {
-  return peers_.size() > kFewInstances;
+  return peers_.size() > kMaxSmallFleet;
 }
 
 bool
@@ -144,7 +146,7 @@
 }
 
 std::vector<FleetPeer>
-FleetRoster::ReadersFrom(const std::string& aHall) const
+FleetRoster::ReadersByProximity(const std::string& aHall) const
 {
   std::vector<FleetPeer> readers;
   for (const auto& address : readers_) {
@@ -155,7 +157,8 @@
   return readers;
 }
 
-// The strongest of each hall; of equal ones, those that all rosters order alike.
+// Chooses the instances with the largest processor share in each hall, and by address among equal
+// ones, so that all rosters give the same result.
 void
 FleetRoster::ChooseReaders()
 {
@@ -168,7 +171,7 @@
     halls[peer.hall_].push_back(&peer);
   }
   for (auto& [hall, peers] : halls) {
-    const auto count = std::min(kReadersAHall, peers.size());
+    const auto count = std::min(kReadersPerHall, peers.size());
     std::partial_sort(peers.begin(),
                       peers.begin() + static_cast<std::ptrdiff_t>(count),
                       peers.end(),
--- a/Libraries/LibFleet/RowMirror.cpp
+++ b/Libraries/LibFleet/RowMirror.cpp
@@ -9,8 +9,9 @@
 
 namespace {
 
-// Changes that are remembered: as when each server of a large fleet writes itself in.
-constexpr std::size_t kMostChanges = 1024;
+// Number of changes that are remembered, enough for all servers of a large fleet that write their
+// records.
+constexpr std::size_t kMaxChanges = 1024;
 
 } // namespace
 
@@ -61,7 +62,8 @@
   for (const auto& change : aView.rows_) {
     present.insert(change.row_.key_);
     auto& row = aTable.rows_[change.row_.key_];
-    // After the store's return from a copy most rows are as they were, in a later epoch.
+    // After a restore of the store from a copy, most rows are unchanged except for the epoch in
+    // their version.
     const bool isSameWrite =
       NumberOf(row.version_) == NumberOf(change.row_.version_) && row.value_ == change.row_.value_;
     if (!isSameWrite) {
@@ -74,7 +76,7 @@
       ++row;
       continue;
     }
-    // When it went is not known; it has by now.
+    // The version of the removal is not known; the version of the view is an upper bound.
     aChanges.push_back({ row->second, true });
     aChanges.back().row_.version_ = aView.version_;
     row = aTable.rows_.erase(row);
@@ -85,7 +87,7 @@
 RowMirror::Remember(Table& aTable, const std::vector<RowChange>& aChanges)
 {
   aTable.changes_.insert(aTable.changes_.end(), aChanges.begin(), aChanges.end());
-  while (aTable.changes_.size() > kMostChanges) {
+  while (aTable.changes_.size() > kMaxChanges) {
     aTable.changesFrom_ = std::max(aTable.changesFrom_, aTable.changes_.front().row_.version_);
     aTable.changes_.pop_front();
   }
--- a/Libraries/LibFleet/ServicePlacer.h
+++ b/Libraries/LibFleet/ServicePlacer.h
@@ -4,7 +4,8 @@
 
 namespace latchslip {
 
-// The placer of one service, with the service's name on what it asks for.
+// Connects the OwnershipPlacer of one service to its FleetMember: adds the service's name to
+// commands and writes, and looks up servers in the directory.
 class FleetMember::ServicePlacer : public PlacerActions
 {
 public:
@@ -15,7 +16,7 @@
   {
   }
 
-  void Order(const KeyOrder& aOrder) override { member_.actions_.Order(service_, aOrder); }
+  void Order(const KeyOrder& aOrder) override { member_.actions_.SendCommand(service_, aOrder); }
   std::optional<ServerLife> LifeOf(const std::string& aServer) const override
   {
     const auto& directory = member_.Directory();
@@ -28,9 +29,9 @@
                        record->IsLeaving(),
                        directory.HasEnded(aServer) };
   }
-  void Doubt(Instant aNow, const std::string& aServer, Duration aHolds) override
+  void Doubt(Instant aNow, const std::string& aServer, Duration aDuration) override
   {
-    member_.SpreadDoubt(aNow, { aServer, aHolds });
+    member_.BroadcastUncertainLease(aNow, { aServer, aDuration });
   }
   void Write(const KeyOwnership& aOwnership) override { member_.QueueWrite(aOwnership); }
 
--- a/Tests/LibFleet/FleetMemberFixture.h
+++ b/Tests/LibFleet/FleetMemberFixture.h
@@ -10,9 +10,9 @@
 
 namespace latchslip {
 
-// Rows in the simplest text: "version" for a configuration with one keyed
-// service, "leaving", "ready", "broken" or the number of its life for a server.
-class PlainDecoder : public RowDecoder
+// Decodes rows of a minimal format: the version number for a configuration with one keyed service;
+// "leaving", "ready", "broken" or the number of its incarnation for a server.
+class MinimalDecoder : public RowDecoder
 {
 public:
   FieldResult<std::optional<RoutingConfiguration>> DecodeConfiguration(
@@ -48,43 +48,46 @@
                                      : std::nullopt;
   }
 
-  // In each configuration.
+  // The groups in each decoded configuration.
   std::vector<CallerGroup> groups_;
 };
 
-// Writes down what a member decides.
-class RecordedFleet : public FleetActions
+// Records the actions that a member requests.
+class RecordingFleetActions : public FleetActions
 {
 public:
   void Transact(const Transaction& aTransaction) override { transactions_.push_back(aTransaction); }
-  void Follow(Following aHow, const TableVersions& aKnown) override
+  void SetPollMode(StorePollMode aMode, const TableVersions& aKnown) override
   {
-    following_ = aHow;
-    hasFollowed_ = true;
-    hasFollowedAlone_ = hasFollowedAlone_ || aHow == Following::Alone;
-    followFrom_ = aKnown;
+    pollMode_ = aMode;
+    hasSetPollMode_ = true;
+    hasPolledWithLongWaits_ = hasPolledWithLongWaits_ || aMode == StorePollMode::LongWaits;
+    pollFrom_ = aKnown;
+  }
+  void SendCommand(const std::string&, const KeyOrder& aOrder) override
+  {
+    orders_.push_back(aOrder);
   }
-  void Order(const std::string&, const KeyOrder& aOrder) override { orders_.push_back(aOrder); }
   void SendReport(const std::string& aAddress, const InstanceReport& aReport) override
   {
     reports_.push_back(aAddress);
     lastReport_ = aReport;
   }
-  void SendNews(const std::vector<NewsBranch>& aBranches, const FleetNews& aNews) override
+  void SendUpdate(const std::vector<UpdateBranch>& aBranches, const FleetUpdate& aUpdate) override
   {
     for (const auto& branch : aBranches) {
-      news_.emplace_back(branch.to_, aNews);
-      for (const auto& address : branch.onward_) {
-        news_.emplace_back(address, aNews);
+      updates_.emplace_back(branch.to_, aUpdate);
+      for (const auto& address : branch.forwardTo_) {
+        updates_.emplace_back(address, aUpdate);
       }
     }
   }
-  void FetchNews(const std::string& aAddress, const TableVersions&) override
+  void FetchUpdate(const std::string& aAddress, const TableVersions&) override
   {
     fetches_.push_back(aAddress);
   }
   void ReadConfigurationVersion() override { ++configurationReads_; }
-  void SendUses(const std::string& aAddress, const UseReport& aReport) override
+  void SendUsage(const std::string& aAddress, const UseReport& aReport) override
   {
     uses_.emplace_back(aAddress, aReport);
   }
@@ -95,7 +98,7 @@
   }
   void OnDirectoryChanged() override { ++directoryChanges_; }
   void OnOwnership(const KeyOwnership& aOwnership) override { ownership_ = aOwnership; }
-  void OnNewsStale(bool aIsStale) override { isStale_ = aIsStale; }
+  void OnStalenessChanged(bool aIsStale) override { isStale_ = aIsStale; }
   void OnInstances(const std::map<std::string, FleetPeer>& aPeers) override
   {
     instances_ = aPeers.size();
@@ -103,14 +106,14 @@
   ServerWork TakeWorkOf(const std::string&) override { return { 1, milliseconds(20) }; }
 
   std::vector<Transaction> transactions_;
-  Following following_ = Following::Alone;
-  TableVersions followFrom_{};
+  StorePollMode pollMode_ = StorePollMode::LongWaits;
+  TableVersions pollFrom_{};
   std::vector<KeyOrder> orders_;
   std::vector<std::string> reports_;
   InstanceReport lastReport_;
-  bool hasFollowed_ = false;
-  bool hasFollowedAlone_ = false;
-  std::vector<std::pair<std::string, FleetNews>> news_;
+  bool hasSetPollMode_ = false;
+  bool hasPolledWithLongWaits_ = false;
+  std::vector<std::pair<std::string, FleetUpdate>> updates_;
   std::vector<std::string> fetches_;
   int configurationReads_ = 0;
   std::vector<std::pair<std::string, UseReport>> uses_;
@@ -136,12 +139,12 @@
   return report;
 }
 
-// One member of a fleet on a hand-turned clock: the test shows it the store's tables, and
-// what it decides is written down.
-class MemberOfAFleet : public testing::Test
+// A fleet member with a simulated clock. The test passes it the store's tables and checks the
+// recorded actions.
+class FleetMemberTest : public testing::Test
 {
 protected:
-  explicit MemberOfAFleet(std::optional<Duration> aApiKeyBound = std::nullopt)
+  explicit FleetMemberTest(std::optional<Duration> aApiKeyBound = std::nullopt)
     : apiKeyBound_(aApiKeyBound)
   {
   }
@@ -168,7 +171,7 @@
     return SerializePlacerRow({ aInstance, aRun, aAddress });
   }
 
-  void Pass(Duration aTime)
+  void Advance(Duration aTime)
   {
     const auto end = now_ + aTime;
     while (now_ < end) {
@@ -182,7 +185,7 @@
     const auto end = now_ + aTime;
     while (now_ < end) {
       const auto sent = fleet_.reports_.size();
-      Pass(milliseconds(50));
+      Advance(milliseconds(50));
       if (fleet_.reports_.size() > sent) {
         member_.OnReportAnswered(now_, ReportAnswer{ true, kBoth, aVersions });
       }
@@ -193,14 +196,14 @@
   {
     ShowTables();
     Show(FleetTable::Fleet, 7, {});
-    Pass(milliseconds(600));
+    Advance(milliseconds(600));
     ASSERT_EQ(fleet_.transactions_.size(), 1U);
-    Done(10);
+    Acknowledge(10);
     ASSERT_TRUE(member_.IsPlacer());
   }
 
-  // The store carried out the last transaction.
-  void Done(RowVersion aVersion)
+  // Acknowledges the last transaction as version aVersion.
+  void Acknowledge(RowVersion aVersion)
   {
     const auto& write = fleet_.transactions_.back().writes_.front();
     member_.OnTransactEnded(now_,
@@ -210,8 +213,8 @@
   std::optional<Duration> apiKeyBound_;
   Instant now_ = seconds(100);
   CountedEvents events_;
-  PlainDecoder decoder_;
-  RecordedFleet fleet_;
+  MinimalDecoder decoder_;
+  RecordingFleetActions fleet_;
   FleetMember member_{
     { { "i1", "run2", kSelf }, { "10.0.0.3:9" }, 1, {}, 1, "hall", apiKeyBound_ },
     decoder_,
--- a/Tests/LibFleet/TestFleetRoster.cpp
+++ b/Tests/LibFleet/TestFleetRoster.cpp
@@ -15,8 +15,8 @@
            aNumber % 7 == 0 ? 0.5 : 0.1 };
 }
 
-// The instances of a fleet of several hundred, which the placer hears one after the other
-// and tells each that reports.
+// The roster of a placer of several hundred instances, and that of an instance that receives its
+// changes.
 class RosterOfALargeFleet : public testing::Test
 {
 protected:
@@ -34,13 +34,13 @@
   FleetRoster others_;
 };
 
-TEST_F(RosterOfALargeFleet, ReporterKnowsAll_IsToldNothing)
+TEST_F(RosterOfALargeFleet, ReporterHasTheSameRoster_GetsNoChange)
 {
   EXPECT_EQ(others_.Digest(), placers_.Digest());
   EXPECT_TRUE(placers_.ChangesSince(others_.Digest()).IsEmpty());
 }
 
-TEST_F(RosterOfALargeFleet, OneLeavesAndOneJoins_ReporterIsToldOfTheseTwo)
+TEST_F(RosterOfALargeFleet, OneLeavesAndOneJoins_ReporterGetsTheseTwoChanges)
 {
   placers_.Remove(PeerOf(3).address_);
   placers_.Put(PeerOf(kInstances));
@@ -51,7 +51,7 @@
   EXPECT_EQ(others_.Digest(), placers_.Digest());
 }
 
-TEST_F(RosterOfALargeFleet, AnotherBecomesThePlacer_ItsRosterIsKnownToTheOthers)
+TEST_F(RosterOfALargeFleet, AnotherBecomesThePlacer_ItSendsOnlyTheDifference)
 {
   auto nexts = others_;
   nexts.Remove(PeerOf(0).address_);
@@ -59,7 +59,7 @@
             (RosterChange{ false, {}, { PeerOf(0).address_ } }));
 }
 
-TEST_F(RosterOfALargeFleet, DigestIsNotKnown_ReporterIsToldAll)
+TEST_F(RosterOfALargeFleet, DigestIsNotKnown_ReporterGetsTheWholeRoster)
 {
   const auto change = placers_.ChangesSince(12345);
   EXPECT_TRUE(change.isWhole_);
@@ -79,9 +79,9 @@
 
 TEST_F(RosterOfALargeFleet, ReadersAreChosen_AllAgreeOnTwoStrongOnesAHall)
 {
-  const auto readers = placers_.ReadersFrom("hall-2");
+  const auto readers = placers_.ReadersByProximity("hall-2");
   ASSERT_EQ(readers.size(), 10U);
-  EXPECT_EQ(readers, others_.ReadersFrom("hall-2"));
+  EXPECT_EQ(readers, others_.ReadersByProximity("hall-2"));
   EXPECT_EQ(readers[0].hall_, "hall-2");
   EXPECT_EQ(readers[1].hall_, "hall-2");
   for (const auto& reader : readers) {
@@ -92,22 +92,22 @@
 
 TEST_F(RosterOfALargeFleet, ReaderLeaves_AnotherOfItsHallTakesItsPlace)
 {
-  const auto reader = placers_.ReadersFrom("hall-2").front();
+  const auto reader = placers_.ReadersByProximity("hall-2").front();
   placers_.Remove(reader.address_);
-  const auto readers = placers_.ReadersFrom("hall-2");
+  const auto readers = placers_.ReadersByProximity("hall-2");
   EXPECT_EQ(readers.size(), 10U);
   EXPECT_EQ(readers[1].hall_, "hall-2");
   EXPECT_FALSE(placers_.IsReader(reader.address_));
 }
 
-TEST(FleetRoster, FleetIsSmall_NobodyReadsForOthers)
+TEST(FleetRoster, FleetIsSmall_HasNoReaders)
 {
   FleetRoster roster;
   for (int number = 0; number < 12; ++number) {
     roster.Put(PeerOf(number));
   }
   EXPECT_FALSE(roster.HasReaders());
-  EXPECT_TRUE(roster.ReadersFrom("hall-1").empty());
+  EXPECT_TRUE(roster.ReadersByProximity("hall-1").empty());
 }
 
 } // namespace
--- a/Tests/LibFleet/TestNewsTree.cpp
+++ b/Tests/LibFleet/TestUpdateTree.cpp
@@ -1,5 +1,5 @@
-#include "LibFleet/NewsTree.h"
-#include "LibFleet/SilentPeers.h"
+#include "LibFleet/UnresponsivePeers.h"
+#include "LibFleet/UpdateTree.h"
 
 #include <algorithm>
 #include <gtest/gtest.h>
@@ -10,14 +10,14 @@
 
 namespace {
 
-// News of a placer on their way through a fleet of several hundred instances in five
-// halls, some of which take nothing.
-class NewsInALargeFleet : public testing::Test
+// Simulates the distribution of a placer's update in a fleet of several hundred instances in five
+// halls, some of which accept no messages.
+class UpdateInALargeFleet : public testing::Test
 {
 protected:
   static constexpr int kInstances = 295;
 
-  NewsInALargeFleet()
+  UpdateInALargeFleet()
   {
     for (int number = 0; number < kInstances; ++number) {
       peers_.push_back({ "10.0.0." + std::to_string(number) + ":9",
@@ -26,25 +26,25 @@
     }
   }
 
-  // Delivers a message, and what comes of it. A sender whose message is not taken sends it
-  // to those that it should have been passed on to.
-  void Deliver(const std::string& aFrom, const NewsBranch& aBranch, int aDepth)
+  // Delivers a message and those forwarded from it. A sender whose message is not accepted sends it
+  // to the addresses in the receiver's branch itself.
+  void Deliver(const std::string& aFrom, const UpdateBranch& aBranch, int aDepth)
   {
     ++sent_[aFrom];
     crossings_ += HallOf(aFrom) == HallOf(aBranch.to_) ? 0 : 1;
-    const bool isTaken = !silent_.contains(aBranch.to_);
-    if (isTaken) {
+    const bool isAccepted = !silent_.contains(aBranch.to_);
+    if (isAccepted) {
       ++reached_[aBranch.to_];
       depth_ = std::max(depth_, aDepth);
     }
-    for (const auto& onward : SplitOnward(aBranch.onward_)) {
-      Deliver(isTaken ? aBranch.to_ : aFrom, onward, aDepth + 1);
+    for (const auto& onward : SplitForwarding(aBranch.forwardTo_)) {
+      Deliver(isAccepted ? aBranch.to_ : aFrom, onward, aDepth + 1);
     }
   }
 
-  void Spread()
+  void Broadcast()
   {
-    for (const auto& branch : PlanNewsTree(peers_, peers_.front())) {
+    for (const auto& branch : PlanUpdateTree(peers_, peers_.front())) {
       Deliver(peers_.front().address_, branch, 1);
     }
   }
@@ -65,9 +65,9 @@
   int depth_ = 0;
 };
 
-TEST_F(NewsInALargeFleet, AllTakeThem_EachGetsThemOnceAndNobodySendsMany)
+TEST_F(UpdateInALargeFleet, AllAcceptIt_EachGetsItOnceAndNoneSendsManyMessages)
 {
-  Spread();
+  Broadcast();
   EXPECT_EQ(reached_.size(), static_cast<std::size_t>(kInstances - 1));
   for (const auto& [address, times] : reached_) {
     EXPECT_EQ(times, 1) << address;
@@ -79,20 +79,20 @@
   EXPECT_LE(depth_, 3);
 }
 
-TEST_F(NewsInALargeFleet, SomeTakeNothing_AllOthersGetThem)
+TEST_F(UpdateInALargeFleet, SomeAreUnresponsive_AllOthersGetIt)
 {
   for (int number = 7; number < kInstances; number += 3) {
     silent_.insert(peers_[static_cast<std::size_t>(number)].address_);
   }
-  Spread();
+  Broadcast();
   EXPECT_EQ(reached_.size(), kInstances - 1 - silent_.size());
   EXPECT_LE(depth_, 6);
 }
 
-TEST_F(NewsInALargeFleet, OnlySomeAreToGetThem_NobodyElseDoes)
+TEST_F(UpdateInALargeFleet, SentToAPart_NoOtherInstanceGetsIt)
 {
   const std::vector<FleetPeer> some(peers_.begin() + 100, peers_.begin() + 140);
-  for (const auto& branch : PlanNewsTree(some, peers_.front())) {
+  for (const auto& branch : PlanUpdateTree(some, peers_.front())) {
     Deliver(peers_.front().address_, branch, 1);
   }
   EXPECT_EQ(reached_.size(), some.size());
@@ -101,39 +101,39 @@
   }
 }
 
-TEST(NewsTree, FleetIsSmall_EachIsToldDirectly)
+TEST(UpdateTree, FleetIsSmall_EachGetsItDirectly)
 {
   const std::vector<FleetPeer> peers{ { "a:1", "x", 1 }, { "b:1", "y", 1 }, { "c:1", "y", 1 } };
-  EXPECT_EQ(PlanNewsTree(peers, peers[0]),
-            (std::vector<NewsBranch>{ { "b:1", {} }, { "c:1", {} } }));
+  EXPECT_EQ(PlanUpdateTree(peers, peers[0]),
+            (std::vector<UpdateBranch>{ { "b:1", {} }, { "c:1", {} } }));
 }
 
-TEST(SilentPeers, OneTakesNoMessage_IsPassedAroundForAWhile)
+TEST(UnresponsivePeers, MessageIsNotAccepted_InstanceIsAvoidedForAWhile)
 {
   const Instant now = seconds(100);
-  SilentPeers peers;
+  UnresponsivePeers peers;
   peers.OnSent(now, "a:1", false);
-  EXPECT_TRUE(peers.IsSilent(now + milliseconds(1900), "a:1"));
-  EXPECT_FALSE(peers.IsSilent(now, "b:1"));
-  EXPECT_FALSE(peers.IsSilent(now + milliseconds(2000), "a:1"));
+  EXPECT_TRUE(peers.IsUnresponsive(now + milliseconds(1900), "a:1"));
+  EXPECT_FALSE(peers.IsUnresponsive(now, "b:1"));
+  EXPECT_FALSE(peers.IsUnresponsive(now + milliseconds(2000), "a:1"));
 }
 
-TEST(SilentPeers, OneTakesMessagesAgain_IsUsedAtOnce)
+TEST(UnresponsivePeers, MessageIsAcceptedAgain_InstanceIsUsedAtOnce)
 {
   const Instant now = seconds(100);
-  SilentPeers peers;
+  UnresponsivePeers peers;
   peers.OnSent(now, "a:1", false);
   peers.OnSent(now + milliseconds(700), "a:1", true);
-  EXPECT_FALSE(peers.IsSilent(now + milliseconds(700), "a:1"));
+  EXPECT_FALSE(peers.IsUnresponsive(now + milliseconds(700), "a:1"));
 }
 
-TEST(NewsMessage, WrittenAndRead_IsTheSame)
+TEST(UpdateMessage, Serialized_RoundTrips)
 {
-  const auto read = DecodeNewsMessage(EncodeNewsMessage({ "a:1", "b:2" }, "{\n}")).value();
-  EXPECT_EQ(read.onward_, (std::vector<std::string>{ "a:1", "b:2" }));
-  EXPECT_EQ(read.news_, "{\n}");
-  EXPECT_TRUE(DecodeNewsMessage(EncodeNewsMessage({}, "{}")).value().onward_.empty());
-  EXPECT_FALSE(DecodeNewsMessage("{}"));
+  const auto read = DecodeUpdateMessage(EncodeUpdateMessage({ "a:1", "b:2" }, "{\n}")).value();
+  EXPECT_EQ(read.forwardTo_, (std::vector<std::string>{ "a:1", "b:2" }));
+  EXPECT_EQ(read.update_, "{\n}");
+  EXPECT_TRUE(DecodeUpdateMessage(EncodeUpdateMessage({}, "{}")).value().forwardTo_.empty());
+  EXPECT_FALSE(DecodeUpdateMessage("{}"));
 }
 
 } // namespace
