--- a/Tests/Platform/TestTablePoller.cpp
+++ b/Tests/Platform/TestTablePoller.cpp
@@ -56,7 +56,7 @@
 protected:
   FollowerOfServers()
   {
-    poller_.SetPollMode(Following::Alone, 0);
+    poller_.SetPollMode(StorePollMode::LongWaits, 0);
     store_.Answer(200, R"({"rows":[{"key":"s1","value":"YQ==","ver":80}],"ver":90})");
     RunUntilRequest();
   }
@@ -116,9 +116,9 @@
 
 TEST_F(FollowerOfServers, PlacerSendsUpdates_PollingStops)
 {
-  poller_.SetPollMode(Following::Relayed, 95);
+  poller_.SetPollMode(StorePollMode::ConfigurationOnly, 95);
   EXPECT_FALSE(store_.callback_);
-  poller_.SetPollMode(Following::Alone, 95);
+  poller_.SetPollMode(StorePollMode::LongWaits, 95);
   EXPECT_EQ(LastRequestedVersion(), "95");
 }
 
@@ -127,8 +127,8 @@
   boost::asio::io_context context;
   ManualStore store;
   TablePoller poller(context, store, FleetTable::Configuration);
-  poller.SetPollMode(Following::Alone, 0);
-  poller.SetPollMode(Following::Relayed, 0);
+  poller.SetPollMode(StorePollMode::LongWaits, 0);
+  poller.SetPollMode(StorePollMode::ConfigurationOnly, 0);
   EXPECT_TRUE(store.callback_);
   store.Answer(200, R"({"rows":[{"key":"config","value":"YQ==","ver":80}],"ver":90})");
   while (!store.callback_) {
@@ -137,7 +137,7 @@
   }
   // The long wait, since the placer's answers name changes that were missed.
   EXPECT_NE(store.targets_.back().find("waitMs=8000"), std::string::npos);
-  poller.SetPollMode(Following::Alone, 80);
+  poller.SetPollMode(StorePollMode::LongWaits, 80);
   EXPECT_NE(store.targets_.back().find("after=80&waitMs=4000"), std::string::npos);
 }
 
