--- a/Libraries/LibInstance/DispatchDesk.cpp
+++ b/Libraries/LibInstance/DispatchDesk.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// When a key between owners is worth asking for again.
+// Retry-After hint while the owner of a key is changing.
 constexpr Duration kOwnerChangeRetry = milliseconds(50);
 constexpr Duration kOutageRetry = milliseconds(500);
 constexpr Duration kGrantAnswerLife = seconds(2);
@@ -219,8 +219,9 @@
 void
 DispatchDesk::Abandon(Instant aNow, HeldWork& aWork)
 {
-  // NOTE: Its slot stays taken until the server has said, in the answer to an
-  // order sent after this moment, what still runs there.
+  // NOTE: The work may still be running at the server, so its slot stays occupied.
+  // SettleAbandoned() frees it once the server has answered a grant command that was sent after
+  // this moment, because that answer counts the work that still runs there.
   aWork.phase_ = HeldWork::Phase::Abandoned;
   aWork.abandonedAt_ = aNow;
 }
@@ -462,8 +463,8 @@
     return;
   }
   auto& held = *found->second;
-  // Only the answer to the newest report counts: an older one may come from a
-  // placer that has been replaced since.
+  // Only the answer to the newest report counts: an older one may come from a placer that has
+  // been replaced since.
   const bool isCurrent = held.keeper_.CurrentFence() == aOrder.fence_ &&
                          held.reportSequence_ == aOrder.sequence_ && !held.isStopping_;
   if (isCurrent) {
@@ -511,7 +512,8 @@
       const auto key = HeldKey(service.name_, server.name_);
       auto& held = held_[key];
       if (held == nullptr) {
-        // A server that is no longer declared is only let go of by its holder.
+        // A server that was removed from the configuration has no address. It stays here
+        // until its work has ended, but is sent no grants.
         const auto shown =
           declared != nullptr ? *declared : ServerDeclaration{ server.name_, "", "", true };
         held = std::make_unique<HeldServer>(service, shown, context_.timing_.grant_);
@@ -559,8 +561,8 @@
 {
   for (auto& [key, held] : held_) {
     const auto before = held->keeper_.State();
-    // A holder that is being replaced renews until its work has ended, so that
-    // the work may finish under the grant it began with.
+    // A holder that is being replaced keeps renewing the grant until its work has ended, so
+    // that the work can finish under the grant it was started with.
     for (const auto& order : held->keeper_.Tick(aNow)) {
       if (held->address_.empty()) {
         continue;
@@ -575,8 +577,8 @@
                                 " fence=" + std::to_string(held->keeper_.CurrentFence()));
     }
     if (!held->keeper_.IsUsable(aNow)) {
-      // Its slots may be taken by work that never answers, so those who wait
-      // would wait until their deadlines for a server that cannot serve them.
+      // Work that never answers may occupy all slots. Requests that wait are rejected now
+      // instead of timing out behind a server that cannot serve them.
       TurnAwayWaiting(aNow, *held, Reason::OwnerChanging);
     }
     Pump(aNow, *held);
--- a/Libraries/LibInstance/DispatchDesk.h
+++ b/Libraries/LibInstance/DispatchDesk.h
@@ -13,9 +13,13 @@
 
 namespace latchslip {
 
-// Serves requests for the servers that this instance holds: claims, queues,
-// dispatches, and reports to the placers. Every request that is submitted is
-// answered exactly once through the answer function.
+// Runs requests on the backend servers that this instance holds. A request passes admission
+// control, a durable claim of its request id if it must run at most once, and the weighted
+// fair queue of its server; then it is dispatched under the server's grant. Reports the load
+// and the grant state of each server to the placer. Every submitted request is answered
+// exactly once through the answer function.
+// Does no I/O: actions go out through the outbox, and InstanceCore passes their outcomes to
+// the On...() functions.
 class DispatchDesk
 {
 public:
@@ -24,27 +28,35 @@
 
   DispatchDesk(InstanceContext aContext, AnswerFunction aAnswer, ReportFunction aReport);
 
+  // Accepts a request of this instance's callers or one that a peer forwarded. aReplyTo
+  // identifies the receiver of its answer.
   void Submit(Instant aNow, const WorkRequest& aRequest, const ReplyTo& aReplyTo);
-  // The one who waits gives up: what has not started is taken back.
+  // Cancels a request whose caller has gone away or whose deadline has passed. A request that
+  // is still waiting is answered NotRun; one that is running is answered Unknown and
+  // cancelled at the server.
   void Cancel(Instant aNow, const ReplyTo& aReplyTo);
 
   void Tick(Instant aNow);
-  // Takes on and lets go of servers as the view says.
+  // Starts to hold the servers that the view assigns to this instance, and begins to release
+  // those that it assigns to others. Called after each change of the view.
   void FollowView(Instant aNow);
 
   void OnWorkReply(Instant aNow, WorkId aId, const WorkReply& aReply);
   void OnGrantReply(Instant aNow, CallTag aTag, const GrantReply& aReply);
   void OnConnectionRefused(Instant aNow, CallTag aTag);
-  // False when the tag belongs to another part of the instance.
+  // Returns false if the tag belongs to another component.
   bool OnStoreReply(Instant aNow, CallTag aTag, const StoreReply& aReply);
+  // The placer has decided that a server whose grants are withheld keeps its slices; grants
+  // may be given again.
   void OnResume(const ResumeOrder& aOrder);
 
-  // Whether every server was let go of and all work has ended.
+  // Whether this instance holds no server any more and all its work has ended.
   bool IsIdle() const { return held_.empty(); }
   std::size_t HeldCount() const { return held_.size(); }
   const std::map<std::string, std::unique_ptr<HeldServer>>& Held() const { return held_; }
 
 private:
+  // A grant command that has been sent and not been answered yet.
   struct Order
   {
     std::string key_;
@@ -52,25 +64,38 @@
     GrantOrder order_;
   };
 
-  // The grant order that a tag stands for; each is answered once.
+  // Removes and returns the grant command that was sent under a tag. Each is answered at most
+  // once.
   std::optional<Order> TakeOrder(CallTag aTag);
   static std::string HeldKey(std::string_view aService, std::string_view aServer);
+  // Returns the held server that owns the key, or nullptr and the reason why it cannot be
+  // used.
   HeldServer* FindHeldFor(const WorkRequest& aRequest, KeyHash aHash, Reason& aReason);
+  // Returns None if the work may be queued now, else the reason; aRetryAfter is set on
+  // refusals.
   Reason CheckAdmission(Instant aNow,
                         HeldServer& aHeld,
                         const HeldWork& aWork,
                         Duration& aRetryAfter);
   void Enqueue(Instant aNow, HeldServer& aHeld, WorkId aId);
+  // Rejects expired requests and starts queued ones while slots are free.
   void Pump(Instant aNow, HeldServer& aHeld);
   void Dispatch(Instant aNow, HeldServer& aHeld, HeldWork& aWork);
   void Answer(Instant aNow, HeldWork& aWork, const WorkAnswer& aLast);
   void Measure(HeldServer& aHeld, const HeldWork& aWork, Duration aBusy);
   void Drop(HeldServer& aHeld, WorkId aId);
+  // Retries repeatable work after its connection broke, within the retry budget. Returns
+  // false if it must not be retried.
   bool TryAgain(Instant aNow, HeldServer& aHeld, HeldWork& aWork);
   void Abandon(Instant aNow, HeldWork& aWork);
   void TurnAwayWaiting(Instant aNow, HeldServer& aHeld, Reason aReason);
+  // Frees the slots of abandoned work after the server has answered a command that was sent at
+  // aOrderSentAt.
   void SettleAbandoned(HeldServer& aHeld, Instant aOrderSentAt);
+  // Sends the next call of the claim registry, unless one is in flight.
   void PumpClaims(Instant aNow);
+  // Removes the servers that are stopping and have no work left, and reports that to the
+  // placers.
   void LetGo(Instant aNow);
   bool IsHolderInView(const HeldServer& aHeld) const;
 
@@ -85,7 +110,7 @@
   CallTag claimTag_ = 0;
 };
 
-// Tags and work ids are unique within one process.
+// Returns the next id for calls and for work, unique within this process.
 std::uint64_t
 NextTag();
 
--- a/Libraries/LibInstance/EntryDesk.cpp
+++ b/Libraries/LibInstance/EntryDesk.cpp
@@ -110,8 +110,8 @@
                             " holder=" + holder + " attempt=" + std::to_string(pending.attempts_));
   if (isSelf) {
     pending.phase_ = Phase::Local;
-    // NOTE: The request is copied because its answer may come at once and end
-    // the entry that it lives in.
+    // NOTE: The request is copied because the answer may arrive during the call and erase the
+    // entry that owns it.
     const auto request = pending.request_;
     submit_(aNow, request, { {}, attempt });
     return;
@@ -231,7 +231,8 @@
     Finish(aEntry, MakeUnknown(Reason::DeadlinePassed));
     return;
   }
-  // The dispatch desk knows whether it has started, and answers at once.
+  // The dispatcher of this instance knows whether the request has started, and answers
+  // synchronously.
   cancel_(aNow, { {}, attempt });
 }
 
--- a/Libraries/LibInstance/EntryDesk.h
+++ b/Libraries/LibInstance/EntryDesk.h
@@ -9,24 +9,28 @@
 
 namespace latchslip {
 
-// Serves the callers of this instance: finds the instance that holds the owner
-// of the key, hands the request over, tries again while it is certain that
-// nothing ran, and gives every caller exactly one answer.
+// Routes the requests of this instance's callers. Finds the instance that holds the server
+// which owns the key, runs the request there (locally or forwarded to a peer), and retries
+// with exponential backoff as long as it is certain that the request did not run, or if it is
+// repeatable. Every caller gets exactly one answer.
 class EntryDesk
 {
 public:
-  // Hands a request to this instance's own dispatch desk.
+  // Submits a request to the dispatcher of this instance.
   using SubmitFunction = std::function<void(Instant, const WorkRequest&, const ReplyTo&)>;
   using CancelFunction = std::function<void(Instant, const ReplyTo&)>;
 
   EntryDesk(InstanceContext aContext, SubmitFunction aSubmit, CancelFunction aCancel);
 
-  // aIsFresh: whether this instance's view may be served from.
+  // Accepts a request. aIsFresh tells whether this instance's view is recent enough to serve
+  // from; if not, the request is refused.
   void OnRequest(Instant aNow, CallerId aCaller, const WorkRequest& aRequest, bool aIsFresh);
-  // The caller has gone away and wants no answer.
+  // The caller has disconnected. Its request is cancelled where that is possible, and its
+  // answer is discarded by the outbox.
   void OnCallerGone(Instant aNow, CallerId aCaller);
   void OnWorkAnswer(Instant aNow, std::uint64_t aAttempt, const WorkAnswer& aAnswer);
-  // The link to a peer broke: what was forwarded to it may or may not have run.
+  // The link to a peer broke, so the fate of the requests forwarded to it is unknown.
+  // Repeatable ones are retried; the others are answered Unknown.
   void OnPeerDown(Instant aNow, const InstanceId& aPeer);
   void Tick(Instant aNow);
 
@@ -36,7 +40,7 @@
 private:
   enum class Phase
   {
-    // Waiting for its key to find an owner.
+    // Waits for a retry, since the key has no reachable owner at the moment.
     Parked,
     Local,
     Forwarded,
@@ -47,20 +51,23 @@
     WorkRequest request_;
     Phase phase_ = Phase::Parked;
     InstanceId holder_;
-    // Names the current attempt; an answer to an older one is ignored.
+    // Id of the current attempt; answers to earlier attempts are ignored.
     std::uint64_t attempt_ = 0;
     unsigned attempts_ = 0;
-    // An attempt ended without certainty, so "not run" may not be said any more.
+    // An earlier attempt may have run, so the request must not be answered NotRun any more.
     bool mayHaveRun_ = false;
     Instant arrivedAt_{ 0 };
     Instant retryAt_{ 0 };
   };
   using Entry = std::map<CallerId, PendingRequest>::iterator;
 
+  // Returns None if the request may be routed, else the reason for refusing it.
   Reason Validate(const WorkRequest& aRequest, bool aIsFresh) const;
-  // The identity of the holder, or empty when the key has none now.
+  // Returns the instance that holds the owner of the key, or an empty id if there is none at
+  // the moment.
   InstanceId FindHolder(const WorkRequest& aRequest) const;
   void Route(Instant aNow, Entry aEntry);
+  // Schedules a retry after a backoff, or answers with aWhy if it would come too late.
   void Park(Instant aNow, Entry aEntry, const WorkAnswer& aWhy);
   void Finish(Entry aEntry, const WorkAnswer& aLast);
   void GiveUp(Instant aNow, Entry aEntry);
--- a/Libraries/LibInstance/HeldServer.h
+++ b/Libraries/LibInstance/HeldServer.h
@@ -11,11 +11,11 @@
 
 namespace latchslip {
 
-// Who waits for the answer to a piece of work: a request of this instance's own
-// callers, or one that a peer forwarded.
+// Identifies who receives the answer to a request: a caller of this instance, or a peer that
+// forwarded the request.
 struct ReplyTo
 {
-  // Empty for this instance itself.
+  // Empty for a caller of this instance.
   InstanceId peer_;
   std::uint64_t id_ = 0;
 
@@ -25,7 +25,7 @@
   }
 };
 
-// One request at the instance that holds its server.
+// A request at the instance that holds its server.
 struct HeldWork
 {
   enum class Phase
@@ -33,7 +33,7 @@
     Claiming,
     Waiting,
     Running,
-    // Given up on, but its slot may still be taken at the server.
+    // Its connection broke. It may still run, and occupy a slot, at the server.
     Abandoned,
   };
 
@@ -44,13 +44,14 @@
   Phase phase_ = Phase::Claiming;
   bool hasClaim_ = false;
   bool isAnswered_ = false;
-  // An earlier try of this work broke off, so "not run" may not be said any more.
+  // An earlier attempt may have run, so the request must not be answered NotRun any more.
   bool mayHaveRun_ = false;
   Instant startedAt_{ 0 };
   Instant abandonedAt_{ 0 };
 };
 
-// A server that this instance holds: its grant, its queue and its work.
+// A backend server that this instance holds: its grant, its request queue, its load
+// statistics and the requests in progress.
 class HeldServer
 {
 public:
@@ -58,21 +59,25 @@
              const ServerDeclaration& aServer,
              const GrantTiming& aTiming);
 
+  // Applies the configuration: the slots, the sharing intents and the server's address.
   void Configure(const Declaration& aConfiguration);
-  // Takes what the newest placement says of this server.
+  // Applies the newest placement: the fence and the key ranges of this server.
   void FollowPlacement(const PlacedService& aPlaced, ServerIndex aIndex);
 
-  // Whether work that was sent may still be running at the server.
+  // Whether work that was sent to the server may still be running there, under this holder or
+  // a former one.
   bool MayHaveWork() const;
 
-  // Work that waits for its claim or for a slot.
+  // Returns the work that waits for its claim or for a slot.
   std::vector<WorkId> NotYetSent() const;
-  // Work that was given up on before a moment.
+  // Returns the work that was abandoned before a moment.
   std::vector<WorkId> AbandonedBefore(Instant aMoment) const;
 
-  // Work whose key is in none of the wished ranges and that has not ended.
+  // Whether work for a key outside the placed ranges of this server may still be running.
+  // While it may, those ranges do not count as released.
   bool HasWorkOutside(const Placement& aPlacement, ServerIndex aIndex) const;
 
+  // Builds the next report for the placer, without load.
   ServerReport ComposeReport(Instant aNow,
                              const InstanceId& aSelf,
                              const Placement& aPlacement,
@@ -87,15 +92,16 @@
   LoadMeter meter_;
   RetryBudget retries_;
   std::map<WorkId, HeldWork> works_;
-  // Set once the placement names another holder; ends when the work has.
+  // Set once the placement names another holder. The entry is removed when its work has
+  // ended.
   bool isStopping_ = false;
-  // The last attempt to reach the server found no process listening.
+  // The last connection attempt was refused, so no process is listening.
   bool isRefused_ = false;
 
   Instant reportedAt_{ 0 };
   Instant loadReportedAt_{ 0 };
   std::uint64_t reportSequence_ = 0;
-  // What the last report said, to notice news.
+  // The last report that was sent, to detect changes.
   ServerReport lastReport_;
 };
 
--- a/Libraries/LibInstance/HolderReporter.cpp
+++ b/Libraries/LibInstance/HolderReporter.cpp
@@ -16,9 +16,9 @@
   if (aHeld.keeper_.State() != GrantState::Withheld) {
     return false;
   }
-  // A server that checks drops what it runs once its grant has run out. The
-  // others would finish it, however long they were frozen, so that their keys
-  // must not move before it has ended or the process is known to be gone.
+  // A server that checks fences aborts its work when its grant expires. Any other server
+  // finishes its work however long it was frozen, so its keys must not move before that work
+  // has ended or the process is known to be gone.
   const auto* service = context_.view_.Configuration().FindService(aHeld.service_);
   const bool isDeclared = service != nullptr && service->FindServer(aHeld.server_) != nullptr;
   return aHeld.checksOrders_ || aHeld.isRefused_ || !isDeclared ||
--- a/Libraries/LibInstance/HolderReporter.h
+++ b/Libraries/LibInstance/HolderReporter.h
@@ -8,9 +8,10 @@
 
 namespace latchslip {
 
-// Tells the placers what this instance knows of the servers that it holds, and
-// that it has let go of those it held before. News goes out at once, load at
-// intervals, and what the placer must act on is repeated until it has.
+// Reports the state of the held servers to the placers, and the release of servers that this
+// instance no longer holds. Changes of state are sent at once, load at a fixed interval
+// (InstanceTiming::reportInterval_). A report that requires an action of the placer is
+// repeated until the placer has acted.
 class HolderReporter
 {
 public:
@@ -19,13 +20,17 @@
 
   HolderReporter(InstanceContext aContext, ReportFunction aReport);
 
+  // Sends a report about a held server if one is due.
   void Report(Instant aNow, HeldServer& aHeld);
-  // For every server whose placement still waits for this instance to stop.
+  // Sends a report for every server whose placement still lists this instance as a former
+  // holder, once this instance does not hold the server any more.
   void ReportStopped(Instant aNow, const HoldsFunction& aHolds);
-  // Another server was let go of: the next ReportStopped says so at once.
+  // Makes the next ReportStopped() send at once, since another server has been released.
   void ForgetStopped() { stoppedReportedAt_ = Instant{ 0 }; }
 
 private:
+  // Whether the grant has expired and nothing that was dispatched under it can still be
+  // running, so that the server's keys may safely move.
   bool IsCertainlyWithheld(const HeldServer& aHeld) const;
 
   InstanceContext context_;
--- a/Libraries/LibInstance/InstanceContext.h
+++ b/Libraries/LibInstance/InstanceContext.h
@@ -10,7 +10,8 @@
 
 namespace latchslip {
 
-// The terms and intervals of one instance; all instances of a fleet use the same.
+// Timeouts, intervals and bounds of an instance. All instances of a fleet must use the same
+// values.
 struct InstanceTiming
 {
   MembershipTiming membership_;
@@ -19,20 +20,20 @@
   ClaimTiming claim_;
   Duration heartbeatInterval_ = milliseconds(200);
   Duration reportInterval_ = seconds(1);
-  // How often an event that the placer has not acted on is reported again.
+  // How often a report is repeated until the placer has acted on it.
   Duration reportRepeat_ = milliseconds(200);
   Duration storePoll_ = seconds(1);
-  // A view that neither the store nor peers have confirmed for this long, with
-  // most instances unheard as well, is not served from.
+  // A view that neither the store nor a peer has confirmed for this long is not served from,
+  // unless a majority of the instances was heard from within the same time.
   Duration viewBound_ = seconds(3);
-  // How long a request may wait for its key to find an owner.
+  // How long a request may be retried while its key has no reachable owner.
   Duration mostParked_ = seconds(1);
   std::size_t mostInFlight_ = 4096;
-  // How long a confirmation waits for the instances to have it in force.
+  // How long a confirmation waits until all instances have applied the configuration.
   Duration confirmWait_ = seconds(5);
 };
 
-// What the parts of one instance share.
+// References shared by the components of an instance; all outlive the components.
 struct InstanceContext
 {
   View& view_;
--- a/Libraries/LibInstance/InstanceCore.cpp
+++ b/Libraries/LibInstance/InstanceCore.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-// While the view is older than this, heartbeats also go to peers that do not
-// watch this instance, so that each learns how many of the others it can hear.
+// Once the view is older than this, heartbeats are also sent to peers that do not monitor
+// this instance, so that every instance can check whether it can reach a majority.
 constexpr Duration kAgeingView = milliseconds(1500);
 constexpr Duration kWideHeartbeatInterval = milliseconds(500);
-// A read that was not answered in this time is given up on.
+// Timeout of a store read.
 constexpr Duration kPollLife = seconds(2);
 
 } // namespace
@@ -169,7 +169,8 @@
     dispatch_.FollowView(aNow);
   }
   if (view_.Revision() != revision) {
-    // The new configuration may name services whose rows were not asked for.
+    // The new configuration may name services whose rows were not requested; poll again at
+    // once.
     polledAt_ = Instant{ 0 };
   }
 }
@@ -235,7 +236,7 @@
 {
   events_.Record(Event::PeerConnected, "peer=" + aPeer + " hall=" + std::string(aHall));
   membership_.OnHeard(aNow, aPeer, aHall, membership_.IsLeavingInstance(aPeer));
-  // Whatever this instance missed while they were apart comes with the answer.
+  // The peer replies with every row that changed while the two were disconnected.
   outbox_.SendToPeer(aPeer, ViewStamps{ view_.Stamps() });
   TellInForce(aPeer);
 }
@@ -266,7 +267,7 @@
 {
   membership_.OnHeartbeat(aNow, aFrom, aMessage.isLeaving_);
   if (aMessage.viewDigest_ == view_.Digest()) {
-    // Equal views: what the peer knows of their age holds here too.
+    // Equal views: the age that the peer reports for its view is valid for this one too.
     viewAsOf_ = std::max(viewAsOf_, aNow - aMessage.viewAge_);
     return;
   }
--- a/Libraries/LibInstance/InstanceCore.h
+++ b/Libraries/LibInstance/InstanceCore.h
@@ -10,9 +10,10 @@
 
 namespace latchslip {
 
-// All decisions of one entry instance: events and a clock in, actions out
-// through the outbox. It does no I/O, reads no clock and starts no thread, so
-// tests and the daemon run exactly the same code.
+// The decision logic of an entry instance: routing, dispatch, placement, membership and
+// configuration. Deterministic: input events and the time are passed in, actions go out
+// through the outbox. It does no I/O, reads no clock and starts no thread, so that the
+// simulation tests and the daemon run the same code.
 class InstanceCore
 {
 public:
@@ -24,7 +25,7 @@
   InstanceCore(const InstanceCore&) = delete;
   InstanceCore& operator=(const InstanceCore&) = delete;
 
-  // To be called every few milliseconds.
+  // Runs all timers. Called every few milliseconds.
   void Tick(Instant aNow);
 
   void OnInstanceList(Instant aNow, std::vector<ListedInstance> aList);
@@ -37,7 +38,7 @@
 
   void OnStoreReply(Instant aNow, CallTag aTag, const StoreReply& aReply);
   void OnGrantReply(Instant aNow, CallTag aTag, const GrantReply& aReply);
-  // The server's host answered that nothing listens there: the process is gone.
+  // The server's host refused the connection: no process is listening there.
   void OnConnectionRefused(Instant aNow, CallTag aTag)
   {
     dispatch_.OnConnectionRefused(aNow, aTag);
@@ -47,15 +48,17 @@
   void OnPlan(Instant aNow, OperatorId aOperator, const std::string& aDeclaration);
   void OnConfirm(Instant aNow, OperatorId aOperator, const std::string& aPlan);
 
-  // Begins a planned stop: peers take over what this instance holds, and what
-  // it has begun is finished.
+  // Starts a graceful shutdown: peers take over the servers that this instance holds, and
+  // requests in progress are finished.
   void BeginLeaving(Instant aNow);
   bool IsLeaving() const { return membership_.IsLeaving(); }
-  // Whether a leaving instance may stop without cutting anything.
+  // Whether a leaving instance may exit without cutting off a request.
   bool MayStop() const;
 
+  // Whether the view is recent enough to serve from: confirmed within viewBound_, or backed
+  // by a majority of the instances.
   bool IsViewFresh(Instant aNow) const;
-  // A JSON document for operators.
+  // Returns the status document for operators as JSON.
   std::string DescribeStatus(Instant aNow) const;
   const View& CurrentView() const { return view_; }
   const Membership& Members() const { return membership_; }
@@ -67,11 +70,13 @@
   void SendHeartbeats(Instant aNow);
   void PollStore(Instant aNow);
   void OnPollReply(Instant aNow, const StoreReply& aReply);
+  // Installs a row that was just committed and broadcasts it to the peers.
   void InstallAndSpread(Instant aNow, const Row& aRow);
   bool Install(const Row& aRow);
-  // Tells the instance that confirmed the standing configuration, if it is this
-  // peer, that the configuration is in force here.
+  // Reports to the peer, if the configuration in force was confirmed through it, that this
+  // instance has applied the configuration.
   void TellInForce(const InstanceId& aPeer);
+  // Sends a message to every peer that has a known id.
   void Broadcast(const PeerMessage& aMessage);
   void SendReport(Instant aNow, const ServerReport& aReport);
   void DeliverAnswer(Instant aNow, const ReplyTo& aReplyTo, const WorkAnswer& aAnswer);
@@ -97,7 +102,7 @@
   PlacerDesk placers_;
   OperatorDesk operators_;
 
-  // When the view was last known to be the newest there is.
+  // When the view was last known to be up to date.
   Instant viewAsOf_{ 0 };
   bool hasView_ = false;
   bool wasFresh_ = false;
--- a/Libraries/LibInstance/Messages.h
+++ b/Libraries/LibInstance/Messages.h
@@ -16,20 +16,19 @@
 
 namespace latchslip {
 
-// The typed messages that an instance exchanges with callers, peers, backend
-// servers and operators.
+// Messages that an instance exchanges with callers, peers, backend servers and operators.
 
-// Bodies are large and pass through unchanged, so they are shared, not copied.
+// Shared and immutable, since bodies are large and pass through unchanged.
 using Body = std::shared_ptr<const std::string>;
 
-// What is certain about a request once it is answered.
+// Tells a caller whether its request has run.
 enum class RequestOutcome
 {
-  // The server's complete answer is in hand.
+  // The server has answered, and the answer is complete.
   Answered,
-  // The request certainly did not run and will not run.
+  // The request did not run and will not run; retrying it is safe.
   NotRun,
-  // It may have run, or may still do so.
+  // The request may have run or may still run.
   Unknown,
 };
 inline constexpr NameTable<RequestOutcome, 3> kRequestOutcomeNames{
@@ -83,17 +82,17 @@
   std::string service_;
   std::string group_;
   std::string key_;
-  // Chosen by the caller; empty when the caller answers for repeats itself.
+  // Idempotency key chosen by the caller; empty if the caller handles duplicates itself.
   std::string requestId_;
   bool isRepeatable_ = false;
-  // On the clock of the process that has the request.
+  // On the monotonic clock of the process that handles the request.
   Instant deadline_{ 0 };
   Body body_;
-  // Names this one sending of a request that needs a claim, through all of its
-  // attempts; set by the instance that the caller reached.
+  // Unique token of one delivery of a request that needs a claim, the same for all of its
+  // attempts. Set by the instance that accepted the request from the caller.
   std::string sendingToken_;
 
-  // Whether its id must be claimed before it runs.
+  // Whether the request id must be claimed durably before the request runs.
   bool NeedsClaim() const { return !isRepeatable_ && !requestId_.empty(); }
 };
 
@@ -101,13 +100,13 @@
 {
   RequestOutcome outcome_ = RequestOutcome::NotRun;
   Reason reason_ = Reason::None;
-  // The server's own status; only for answered requests.
+  // The server's HTTP status; only set for Answered.
   unsigned status_ = 0;
-  // When to come back; for requests that did not run.
+  // Delay after which a retry is useful; only set for NotRun.
   Duration retryAfter_{ 0 };
   Body body_;
   std::string contentType_;
-  // What is known of an earlier attempt under the same id.
+  // The recorded outcome of an earlier request with the same id; set for duplicates.
   std::string detail_;
 };
 
@@ -122,7 +121,7 @@
   bool isLeaving_ = false;
   // Equal digests mean equal views.
   std::uint64_t viewDigest_ = 0;
-  // How long ago the sender's view was known to be the newest.
+  // Age of the sender's view: time since it was known to be up to date.
   Duration viewAge_{ 0 };
 };
 struct Suspicion
@@ -130,7 +129,7 @@
   InstanceId target_;
   bool isSuspected_ = false;
 };
-// Asks for every row that is newer than these.
+// Requests every row that is newer than its stamp.
 struct ViewStamps
 {
   std::vector<RowStamp> stamps_;
@@ -139,7 +138,7 @@
 {
   std::vector<Row> rows_;
 };
-// The sender has this configuration in force.
+// The sender has applied this revision of the configuration.
 struct InForce
 {
   RowVersion revision_ = 0;
@@ -147,7 +146,7 @@
 struct ForwardedRequest
 {
   std::uint64_t id_ = 0;
-  // The deadline is a remaining time while the request is on its way.
+  // While the request is in transit, its deadline is a remaining time.
   WorkRequest request_;
 };
 struct ForwardedAnswer
@@ -170,7 +169,7 @@
                                  ServerReport,
                                  ResumeOrder>;
 
-// Work for a backend server.
+// A command to a backend server to run a request.
 struct WorkOrder
 {
   WorkId id_ = 0;
@@ -179,24 +178,25 @@
   Fence fence_ = 0;
   KeyHash hash_ = 0;
   WorkRequest request_;
-  // The server must not start the work later than this on its own clock.
+  // Latest time on the server's clock at which it may start the work, in microseconds.
   std::int64_t validUntil_ = 0;
 };
 
+// How an attempt at a backend server ended.
 enum class WorkEnd
 {
   Answered,
-  // The server checked its grants and would not run it.
+  // The server rejected the fence or the grant and did not run the work.
   Refused,
-  // The server is too busy and did not run it.
+  // The server is overloaded and shed the work without running it.
   Shed,
-  // Its deadline had passed on the server's clock; not run.
+  // The deadline had passed on the server's clock; not run.
   Expired,
-  // The server took it back before it started.
+  // Cancelled before it started.
   Cancelled,
   // No byte of the request was sent.
   NotSent,
-  // The connection broke after bytes were sent.
+  // The connection broke after bytes were sent; the work may have run.
   Broken,
 };
 
@@ -209,8 +209,8 @@
   std::string contentType_;
 };
 
-// A call of the table service: a transaction, or a read of every row that is
-// newer than its stamp.
+// A call to the table service: a transaction, or a read of every row that is newer than its
+// stamp.
 struct StoreCall
 {
   bool isRead_ = false;
--- a/Libraries/LibInstance/OperatorDesk.cpp
+++ b/Libraries/LibInstance/OperatorDesk.cpp
@@ -124,7 +124,8 @@
   const auto* found = FindRow(aReply.rows_, kConfigurationKey);
   const auto version = found == nullptr ? 0 : found->version_;
   if (version == aConfirmation.plan_.baseRevision_) {
-    // Not in force yet: the same write again is safe under its condition.
+    // Not written yet. Repeating the write is safe, since its condition lets it take effect
+    // at most once.
     Send(aConfirmation);
     return false;
   }
@@ -135,8 +136,8 @@
   if (version != 0) {
     install_(aNow, *found);
   }
-  // NOTE: When the standing revision is higher still, this plan may have been in
-  // force in between; the conflict's fresh plan shows what differs now.
+  // NOTE: If the current revision is higher still, this plan may have been in force in
+  // between. The fresh plan in the conflict answer shows the differences that remain.
   AnswerConflict(aConfirmation);
   return true;
 }
--- a/Libraries/LibInstance/OperatorDesk.h
+++ b/Libraries/LibInstance/OperatorDesk.h
@@ -11,8 +11,10 @@
 
 namespace latchslip {
 
-// Makes plans and confirms them. A confirmation is one write that is
-// conditional on the revision the plan was made from.
+// Serves the plan and confirm calls of operators. Confirming is one compare-and-swap write of
+// the configuration row, conditional on the revision that the plan was made from. The answer
+// waits, up to InstanceTiming::confirmWait_, until all instances have applied the new
+// configuration.
 class OperatorDesk
 {
 public:
@@ -20,13 +22,16 @@
 
   OperatorDesk(InstanceContext aContext, InstallFunction aInstall);
 
-  // Answers with the plan for a declaration.
+  // Answers with the plan for a declaration (200), or with the field that is invalid (400).
   void OnPlan(Instant aNow, OperatorId aOperator, const std::string& aDeclaration);
-  // Puts exactly the given plan in force, or says why not.
+  // Puts exactly the given plan in force. Answers 200 with the revision, 409 with a fresh
+  // plan if another plan was confirmed since, 503 if the store is unavailable, or 504 if the
+  // outcome of the write is not known.
   void OnConfirm(Instant aNow, OperatorId aOperator, const std::string& aPlan);
 
+  // Returns false if the tag belongs to another component.
   bool OnStoreReply(Instant aNow, CallTag aTag, const StoreReply& aReply);
-  // A peer has a revision in force.
+  // A peer has applied a revision.
   void OnInForce(Instant aNow, const InstanceId& aPeer, RowVersion aRevision);
   void Tick(Instant aNow);
 
@@ -48,9 +53,13 @@
   void Send(Confirmation& aConfirmation);
   void ReadBack(Confirmation& aConfirmation);
   void OnCommitted(Instant aNow, Confirmation& aConfirmation, const Row& aRow);
-  // True when the confirmation has ended.
+  // Returns true if the confirmation is finished and has been answered.
   bool OnReply(Instant aNow, Confirmation& aConfirmation, const StoreReply& aReply);
+  // Compares the configuration row that is stored now with the one of the confirmation.
+  // Returns true if the confirmation is finished.
   bool OnStanding(Instant aNow, Confirmation& aConfirmation, const StoreReply& aReply);
+  // Answers if all instances have applied the revision, or at the timeout. Returns whether it
+  // did.
   bool TryFinish(Instant aNow, const Confirmation& aConfirmation);
   void AnswerConflict(const Confirmation& aConfirmation);
   void AnswerError(OperatorId aOperator,
--- a/Libraries/LibInstance/Outbox.h
+++ b/Libraries/LibInstance/Outbox.h
@@ -12,26 +12,26 @@
 
 struct OperatorAnswer
 {
-  // An HTTP status: 200, 400 for a bad document, 409 for a conflict, 503.
+  // HTTP status: 200, 400 for an invalid document, 409 for a conflict, 503 if the store is
+  // unavailable, 504 if the outcome is not known.
   unsigned status_ = 200;
   // A JSON document.
   std::string body_;
 };
 
-// Where the decision code puts its actions. The daemon carries them out over
-// the network; tests carry them out on fakes. Nothing here blocks, and the
-// outcome of an action comes back as an event of InstanceCore.
+// Interface through which the decision logic performs actions. The daemon implements it over
+// the network, tests with fakes. No call blocks; the outcome of an action comes back as an
+// event of InstanceCore.
 class Outbox
 {
 public:
   virtual ~Outbox() = default;
 
-  // False when there is no link to that run of the peer: nothing was sent.
+  // Returns false if there is no link to this incarnation of the peer; then nothing was sent.
   virtual bool SendToPeer(const InstanceId& aTo, const PeerMessage& aMessage) = 0;
   // Answered by OnStoreReply with the same tag.
   virtual void CallStore(CallTag aTag, const StoreCall& aCall) = 0;
-  // Answered by OnGrantReply or OnConnectionRefused with the same tag, or not
-  // at all.
+  // Answered by OnGrantReply or OnConnectionRefused with the same tag, or not at all.
   virtual void SendGrant(CallTag aTag, const std::string& aAddress, const GrantOrder& aOrder) = 0;
   // Always answered by OnWorkReply.
   virtual void SendWork(const WorkOrder& aOrder) = 0;
--- a/Libraries/LibInstance/PlacerDesk.cpp
+++ b/Libraries/LibInstance/PlacerDesk.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr Duration kOutagePause = milliseconds(200);
-// Between two rounds while nothing is to be decided; a report ends it at once.
+// Pause between two rounds that had nothing to decide. A report ends it at once.
 constexpr Duration kIdleRoundPause = milliseconds(30);
 constexpr Duration kReadBackPause = milliseconds(50);
 
@@ -42,8 +42,9 @@
 bool
 PlacerDesk::IsCandidate(Instant aNow, const std::string& aService) const
 {
-  // Highest hash of instance and service first, so that the services spread
-  // over the instances and all instances agree without talking.
+  // Rendezvous hashing: the instance with the highest hash of instance and service is the
+  // candidate. The services spread over the instances, and all instances agree without
+  // communication.
   const auto& self = context_.membership_.Self();
   const auto own = HashPair(self, aService);
   const auto live = context_.membership_.Live(aNow);
@@ -203,7 +204,7 @@
   const auto standing = row == nullptr ? FieldResult<Placement>(FieldError{ "row", "is absent" })
                                        : ParsePlacement(row->value_);
   if (standing && standing.value().token_ == aRole.proposal_->placement_.token_) {
-    // An earlier try under this token took effect and its answer was lost.
+    // An earlier attempt to write this token succeeded and its answer was lost.
     OnCommitted(aNow, aRole, *row);
     return;
   }
@@ -229,8 +230,8 @@
   const auto* row = FindRow(aReply.rows_, PlacementKey(aService));
   const auto version = row == nullptr ? 0 : row->version_;
   if (version == aRole.proposal_->baseVersion_) {
-    // NOTE: It has not taken effect, but it may still be under way. Sending the
-    // same again is safe: at most one of the two can meet the condition.
+    // NOTE: The write has not taken effect but may still be in flight. Repeating it is safe:
+    // the condition lets at most one of the two succeed.
     Send(aService, aRole);
     return;
   }
@@ -271,7 +272,7 @@
       break;
     case StoreStatus::Unavailable:
       if (role.isUnsure_) {
-        // An earlier try may still take effect, so its fate stays open.
+        // An earlier attempt may still take effect, so the outcome remains open.
         role.notBefore_ = aNow + kOutagePause;
       } else {
         OnRefused(aNow, role);
--- a/Libraries/LibInstance/PlacerDesk.h
+++ b/Libraries/LibInstance/PlacerDesk.h
@@ -9,15 +9,16 @@
 
 namespace latchslip {
 
-// Takes the placer's role for services whose placer is missing, and commits
-// what the placers propose. A role is a lease without a term: it is held as
-// long as the row names this instance, and every write is conditional on the
-// row being the one that was read, so a placer that was replaced while it slept
-// can change nothing.
+// Runs the placers of the services for which this instance has the placer role, takes the
+// role over when the placer of a service is missing or leaving, and commits what the placers
+// propose.
+// A role is held as long as the service's placement row names this instance; it does not
+// expire. Every write is conditional on the version of the row that the decision was based
+// on, so a placer that was replaced while it was suspended cannot change anything.
 class PlacerDesk
 {
 public:
-  // Called with a row that is now known to stand, to be installed and spread.
+  // Called with a committed row, to be installed and broadcast.
   using InstallFunction = std::function<void(Instant, const Row&)>;
   using ResumeFunction = std::function<void(const InstanceId&, const ResumeOrder&)>;
 
@@ -25,11 +26,13 @@
 
   void Tick(Instant aNow);
   void OnReport(Instant aNow, const ServerReport& aReport);
+  // Returns false if the tag belongs to another component.
   bool OnStoreReply(Instant aNow, CallTag aTag, const StoreReply& aReply);
-  // Nothing is decided before the store was read once: a service that seems to
-  // have no placement may only not be known yet.
+  // The store has been read. No decision is made before, because a service without a
+  // placement in the view may only not have been loaded yet.
   void OnStoreRead() { hasReadStore_ = true; }
 
+  // Returns the number of services for which this instance is the placer.
   std::size_t RolesHeld() const;
 
 private:
@@ -42,17 +45,18 @@
 
     Placer placer_;
     bool isPlacer_ = false;
-    // The proposal that is being committed; one at a time.
+    // The proposal being committed; one at a time.
     std::optional<PlacementProposal> proposal_;
     CallTag tag_ = 0;
     bool isReadBack_ = false;
-    // The answer was lost; the fate of the proposal is open.
+    // The answer to the write was lost; it may or may not have taken effect.
     bool isUnsure_ = false;
     Instant notBefore_{ 0 };
     Instant idleUntil_{ 0 };
   };
 
   Role& RoleOf(const std::string& aService);
+  // Whether this instance is the one that may take over the placer role of a service.
   bool IsCandidate(Instant aNow, const std::string& aService) const;
   void Decide(Instant aNow, const ServiceDeclaration& aService, Role& aRole);
   void Commit(Instant aNow, const std::string& aService, Role& aRole, PlacementProposal aProposal);
@@ -61,6 +65,7 @@
   void OnCommitted(Instant aNow, Role& aRole, const Row& aRow);
   void OnRefused(Instant aNow, Role& aRole);
   void OnReadBack(Instant aNow, const std::string& aService, Role& aRole, const StoreReply& aReply);
+  // The condition of the write failed; checks whether an earlier attempt had succeeded.
   void OnConflict(Instant aNow, const std::string& aService, Role& aRole, const StoreReply& aReply);
 
   InstanceContext context_;
--- a/Libraries/LibInstance/View.cpp
+++ b/Libraries/LibInstance/View.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// A configuration row is the token on the first line and then the declaration.
+// A configuration row consists of the write token, this character and the declaration.
 constexpr char kTokenEnd = '\n';
 
 std::uint64_t
--- a/Libraries/LibInstance/View.h
+++ b/Libraries/LibInstance/View.h
@@ -21,7 +21,7 @@
 {
   Installed,
   NotNewer,
-  // The text could not be read; the older row stays.
+  // The row could not be parsed; the older row stays.
   Invalid,
 };
 
@@ -32,25 +32,27 @@
   RowVersion version_ = 0;
 };
 
-// What this instance knows of the shared rows: the confirmed configuration and
-// the placements. Rows only ever get newer.
+// This instance's copy of the shared rows: the confirmed configuration and the placements. A
+// row is only ever replaced by a newer version of it.
 class View
 {
 public:
   InstallResult Install(const Row& aRow);
 
   const Declaration& Configuration() const { return configuration_; }
-  // 0 before any configuration is known.
+  // Version of the configuration row; 0 before a configuration has been installed.
   RowVersion Revision() const { return revision_; }
-  // The instance through which the configuration was confirmed.
+  // The instance through which the configuration in force was confirmed.
   const std::string& ConfirmedBy() const { return confirmedBy_; }
   const PlacedService* FindPlacement(std::string_view aService) const;
 
-  // One stamp for each row that this view has or, by its configuration, should
-  // have (version 0).
+  // Returns a stamp for each row that this view has or, by its configuration, should have
+  // (version 0).
   std::vector<RowStamp> Stamps() const;
   std::vector<Row> RowsNewerThan(const std::vector<RowStamp>& aStamps) const;
+  // Whether a stamp has a newer version than this view.
   bool HasOlderThan(const std::vector<RowStamp>& aStamps) const;
+  // Hash over the keys and versions of all rows; equal digests mean equal views.
   std::uint64_t Digest() const { return digest_; }
   const Row* FindRow(std::string_view aKey) const;
 
@@ -66,11 +68,11 @@
   std::map<std::string, PlacedService, std::less<>> placements_;
 };
 
-// The text of the configuration row: the declaration and the unique token of
-// the confirmation that wrote it.
+// Returns the content of the configuration row: the write token of the confirmation and the
+// declaration.
 std::string
 SerializeConfigurationRow(std::string_view aToken, const Declaration& aDeclaration);
-// A token is "INSTANCE/NUMBER", so that it also tells who wrote the row.
+// Returns a unique write token, "INSTANCE/NUMBER", from which the writer can be read.
 std::string
 MakeWriteToken(std::string_view aInstance, std::uint64_t aNumber);
 std::string_view
--- a/Tests/LibInstance/TestInstanceCore.cpp
+++ b/Tests/LibInstance/TestInstanceCore.cpp
@@ -11,7 +11,7 @@
 using testing::AllOf;
 using testing::Field;
 
-// A fleet of three with one service, on the fakes of the scenarios.
+// Three instances with one service, simulated on the fakes of the scenario tests.
 class FleetOfThree : public testing::Test
 {
 protected:
@@ -116,7 +116,7 @@
   }
 }
 
-// What one instance does before it knows anything.
+// A single instance with a mocked outbox, before it has installed any view.
 class OutboxMock : public Outbox
 {
 public:
