--- a/Libraries/LibDispatch/ClaimBook.cpp
+++ b/Libraries/LibDispatch/ClaimBook.cpp
@@ -116,7 +116,8 @@
   const auto isUsed = [&](const std::string& aKey) {
     return std::find(used.begin(), used.end(), aKey) != used.end();
   };
-  // A row stands once in a transaction; what comes second waits for the next.
+  // A transaction may contain a row only once; a second change of it waits for the next
+  // transaction.
   while (!updates_.empty() && updatesInFlight_.size() < timing_.batch_ &&
          !isUsed(updates_.front().rowKey_)) {
     add(updates_.front().rowKey_, updates_.front().expected_, updates_.front().value_);
@@ -146,14 +147,14 @@
     }
     return ClaimDecision{ aClaim.id_, ClaimVerdict::Claimed, "" };
   }
-  // NOTE: Taking over rewrites the row, so that the former holder's release, which
-  // may still be under way, no longer meets its condition.
+  // NOTE: Taking over rewrites the row, so that a release by the former holder that is still
+  // in flight fails its condition.
   const bool isSameSending = !isAbsent && aRow->value_.starts_with(aClaim.sending_);
   if (isAbsent || isSameSending || aRow->value_ == kReleased) {
     if (abandoned_.erase(aClaim.id_) != 0) {
       return std::nullopt;
     }
-    // Free: try again on what stands now.
+    // The id is free; retry on the version that is stored now.
     aClaim.expected_ = isAbsent ? 0 : aRow->version_;
     pending_.push_back(std::move(aClaim));
     return std::nullopt;
@@ -191,7 +192,7 @@
   for (auto& claim : claims) {
     const auto* row = FindRow(aReply.rows_, claim.rowKey_);
     if (row == nullptr) {
-      // Its own condition held; another row of the batch failed.
+      // The condition on this row held; another row of the batch failed.
       if (abandoned_.erase(claim.id_) == 0) {
         pending_.push_back(std::move(claim));
       }
@@ -201,7 +202,7 @@
       decisions.push_back(*decision);
     }
   }
-  // An update whose row has changed is void: somebody else has the last word.
+  // An update whose row has changed is dropped: another writer owns the row now.
   for (auto& update : updatesInFlight_) {
     if (FindRow(aReply.rows_, update.rowKey_) == nullptr) {
       updates_.push_back(std::move(update));
@@ -269,8 +270,9 @@
     case StoreStatus::Conflict:
       return OnConflict(aReply);
     case StoreStatus::Unsure:
-      // NOTE: The claims stay undecided; dispatching or refusing for good on a
-      // guess could run a booking twice or forbid its retry.
+      // NOTE: The outcome of the claims is unknown. Dispatching now could run a booking
+      // twice, and reporting a duplicate could forbid its retry for good, so the rows are
+      // read back first.
       mustReadBack_ = true;
       outageUntil_ = wasRead ? aNow + timing_.outagePause_ : outageUntil_;
       return {};
--- a/Libraries/LibDispatch/ClaimBook.h
+++ b/Libraries/LibDispatch/ClaimBook.h
@@ -12,18 +12,13 @@
 
 namespace latchslip {
 
-// Claims the ids of requests that must run at most once, durably and before
-// they are dispatched, in batches that keep to a rate of transactions. A
-// request id that was claimed once is never run a second time, whichever
-// instance it comes through. Pure decisions.
-
 using ClaimId = std::uint64_t;
 
 enum class ClaimVerdict
 {
-  // Durably claimed for this attempt: it may be dispatched.
+  // Claimed durably for this attempt: the request may be dispatched.
   Claimed,
-  // An earlier attempt under the same id has started or may have.
+  // An earlier attempt with the same id has started or may have.
   Duplicate,
   // The table service cannot be reached; nothing was claimed.
   StoreUnavailable,
@@ -33,14 +28,14 @@
 {
   ClaimId id_ = 0;
   ClaimVerdict verdict_ = ClaimVerdict::Claimed;
-  // What the row says of the earlier attempt; set for duplicates.
+  // Content of the row of the earlier attempt; set for duplicates.
   std::string earlier_;
 };
 
-// A call of the table service that the book wants made; at most one at a time.
+// A call to the table service; at most one is in flight.
 struct ClaimCall
 {
-  // When set, the transaction's answer was lost and the rows are to be read.
+  // Set if the answer of the transaction was lost and the rows must be read back.
   bool isRead_ = false;
   Transaction transaction_;
   std::vector<std::string> keys_;
@@ -48,33 +43,43 @@
 
 struct ClaimTiming
 {
-  // Transactions per second that this instance may spend on claims.
+  // Token bucket: transactions per second that this instance may spend on claims, and the
+  // burst.
   double rate_ = 30;
   double burst_ = 4;
+  // Maximum number of claims, and of updates, in one transaction.
   std::size_t batch_ = 64;
-  // How long after an outage showed the store is left alone.
+  // How long no call is made after the store was found unavailable.
   Duration outagePause_ = milliseconds(200);
 };
 
+// Deduplicates, durably and across instances, the requests that must run at most once. Before
+// such a request is dispatched, its id is claimed by a conditional write to the table
+// service. A claimed id never runs a second time, whichever instance the request comes
+// through. Claims are written in batches, limited by a token bucket of transactions. Pure
+// decisions without I/O.
 class ClaimBook
 {
 public:
-  // aWriter makes the rows of this process recognisable to itself.
+  // aWriter identifies the rows written by this process.
   ClaimBook(std::string aWriter, ClaimTiming aTiming);
 
-  // Asks for a claim; the decision comes out of OnReply. False when an outage is
-  // known, so that nothing is promised. aSendingToken names one sending of the
-  // request: a claim that another holder made for the same sending is taken over,
-  // since it is only handed on when it certainly did not run there.
+  // Queues a claim; OnReply returns the decision. Returns false during a known outage, when
+  // nothing is queued. aSendingToken identifies one delivery of the request: a claim that
+  // another holder made for the same delivery is taken over, because a delivery is only
+  // passed on if it certainly did not run there.
   bool Submit(Instant aNow, ClaimId aId, std::string aRowKey, const std::string& aSendingToken);
 
-  // The request was certainly not run: its id may be claimed again.
+  // The request certainly did not run: its id may be claimed again.
   void Release(ClaimId aId);
 
-  // The request has run or may have: the row keeps saying so with this word.
+  // The request has run or may have run: records its outcome in the row, permanently.
   void Close(ClaimId aId, std::string_view aOutcome);
 
+  // Returns the next call to make, or nothing if there is none, one is in flight, or the
+  // token bucket is empty.
   std::optional<ClaimCall> NextCall(Instant aNow);
+  // Handles the reply to the last call and returns the claims that it has decided.
   std::vector<ClaimDecision> OnReply(Instant aNow, const StoreReply& aReply);
 
   std::size_t Pending() const { return pending_.size(); }
@@ -89,18 +94,19 @@
   {
     ClaimId id_ = 0;
     std::string rowKey_;
-    // What the row says of any holder's claim for this sending.
+    // Prefix of the row content that any holder writes for this delivery.
     std::string sending_;
     std::string value_;
     RowVersion expected_ = 0;
   };
-  // A later word about a claim that was won.
+  // A change of the row of a claim that this process holds.
   struct Update
   {
     std::string rowKey_;
     std::string value_;
     RowVersion expected_ = 0;
   };
+  // A claim that this process holds.
   struct Won
   {
     std::string rowKey_;
@@ -108,10 +114,13 @@
     RowVersion version_ = 0;
   };
 
+  // Decides a claim by the row that is stored, or queues it again. Returns nothing if
+  // undecided.
   std::optional<ClaimDecision> Settle(Claim& aClaim, const Row* aRow);
   std::vector<ClaimDecision> OnTransactionDone(const StoreReply& aReply);
   std::vector<ClaimDecision> OnConflict(const StoreReply& aReply);
   std::vector<ClaimDecision> OnReadBack(const StoreReply& aReply);
+  // Fails all claims after the store was found unavailable.
   std::vector<ClaimDecision> FailAll(Instant aNow);
   void Refill(Instant aNow);
 
@@ -130,7 +139,7 @@
   std::deque<Update> updates_;
   std::vector<Update> updatesInFlight_;
   std::map<ClaimId, Won> won_;
-  // Released while their claim was still being made.
+  // Claims that were released while their write was in flight.
   std::map<ClaimId, bool> abandoned_;
 };
 
--- a/Libraries/LibDispatch/GrantKeeper.cpp
+++ b/Libraries/LibDispatch/GrantKeeper.cpp
@@ -54,8 +54,8 @@
     bootId_ = 0;
     echoClock_ = 0;
   }
-  // A server that checks orders is fenced off by the higher fence itself; for
-  // the others only certainty about the former holders will do.
+  // A server that checks fences rejects former holders by the higher fence itself. For any
+  // other server, the former holders must be known to have stopped.
   if (state_ == GrantState::Waiting && (checksOrders_ || aFormerHoldersSettled)) {
     state_ = GrantState::Contacting;
   }
@@ -87,7 +87,7 @@
   order.fence_ = fence_;
   order.generation_ = generation_;
   order.bootId_ = bootId_;
-  // An echo older than a term would compose an order that has expired already.
+  // With a clock reading older than a term, the grant would have expired already.
   const bool hasEcho = bootId_ != 0 && aNow - echoSentAt_ < timing_.term_;
   if (hasEcho && state_ != GrantState::Withheld) {
     order.validUntil_ = echoClock_ + timing_.term_.count();
@@ -101,8 +101,8 @@
 void
 GrantKeeper::Withhold()
 {
-  // NOTE: From here on no grant of this fence is valid, and none is made even if
-  // the server returns, because the placer may be moving its slices.
+  // NOTE: No grant of this fence is valid any more, and none is given even if the server
+  // returns, because the placer may be moving its slices.
   state_ = GrantState::Withheld;
   hasSentGrants_ = false;
   granted_.clear();
@@ -143,8 +143,8 @@
   }
   lastAnswerAt_ = aNow;
   if (aReply.bootId_ != bootId_) {
-    // The server runs anew: what it was granted is gone with its memory, and so
-    // is every older reading of its clock.
+    // The server has restarted: its grants are lost, and so is every earlier reading of its
+    // clock.
     bootId_ = aReply.bootId_;
     echoClock_ = 0;
     granted_.clear();
@@ -176,8 +176,8 @@
     state_ = GrantState::Granted;
     granted_ = wish_;
     grantedValidUntil_ = std::max(grantedValidUntil_, aOrder.validUntil_);
-    // The server's clock was read after the order was sent, so the grant ends
-    // no earlier than this on the clock of this process.
+    // The server read its clock after the command was sent, so on the clock of this process the
+    // grant ends no earlier than this.
     usableUntil_ = std::max(usableUntil_, aSentAt + Duration(aOrder.validUntil_ - aReply.clock_));
   }
 }
@@ -202,7 +202,8 @@
 bool
 GrantKeeper::MayDispatch(Instant aNow, KeyHash aHash) const
 {
-  // Granted by the server and still wished: a range on its way out gets no work.
+  // The range must be granted by the server and still be desired: a range that is being
+  // released gets no new work.
   return IsUsable(aNow) && CoversHash(granted_, aHash) && CoversHash(wish_, aHash);
 }
 
--- a/Libraries/LibDispatch/GrantKeeper.h
+++ b/Libraries/LibDispatch/GrantKeeper.h
@@ -12,14 +12,10 @@
 
 namespace latchslip {
 
-// Keeps the grant of one server alive on behalf of the instance that holds it.
-// A grant is valid for a short term on the server's own clock, is renewed as a
-// whole, and carries the fence of the holder. Pure decisions.
-
-// First and last hash of a granted range, both included.
+// First and last hash of a key range, both included.
 using HashRange = std::pair<KeyHash, KeyHash>;
 
-// Whether one of the sorted ranges covers the hash.
+// Whether one of the ranges, which must be sorted, contains the hash.
 bool
 CoversHash(const std::vector<HashRange>& aRanges, KeyHash aHash);
 
@@ -27,44 +23,46 @@
 bool
 ShareHash(const std::vector<HashRange>& aLeft, const std::vector<HashRange>& aRight);
 
+// Sets the grant of a server to the given ranges, in place of the former ones.
 struct GrantOrder
 {
   std::string service_;
   std::string server_;
   Fence fence_ = 0;
-  // Rises with each change of the ranges under one fence.
+  // Increases with each change of the ranges under one fence.
   std::uint64_t generation_ = 0;
-  // The run of the server that the validity is meant for; 0 when not yet known.
+  // Incarnation of the server that the expiry is meant for; 0 if not known yet.
   std::uint64_t bootId_ = 0;
-  // End of the grant on the server's clock; 0 grants nothing and only asks.
+  // Expiry on the server's clock, in microseconds; 0 grants nothing and only probes the
+  // server.
   std::int64_t validUntil_ = 0;
   std::vector<HashRange> ranges_;
 };
 
 struct GrantReply
 {
-  // False when the server has seen a higher fence or generation.
+  // False if the server has seen a higher fence or generation.
   bool accepted_ = false;
   std::uint64_t bootId_ = 0;
   // The server's clock when it answered, in microseconds.
   std::int64_t clock_ = 0;
   Fence fence_ = 0;
   std::uint64_t generation_ = 0;
-  // Requests that run under a lower fence.
+  // Number of requests that still run under a lower fence.
   unsigned foreignRunning_ = 0;
-  // Requests that run for keys outside the ranges granted now.
+  // Number of requests that still run for keys outside the ranges granted now.
   unsigned releasedRunning_ = 0;
 };
 
 enum class GrantState
 {
-  // Must not contact the server until former holders have certainly stopped.
+  // Must not contact the server until the former holders have certainly stopped.
   Waiting,
-  // No grant acknowledged yet.
+  // The server is being probed; it has not acknowledged a grant yet.
   Contacting,
   Granted,
-  // The last grant has run out unanswered; nothing is granted until the placer
-  // has decided.
+  // The last grant has expired without an answer. Nothing is granted until the placer has
+  // decided what happens to the slices.
   Withheld,
 };
 inline constexpr NameTable<GrantState, 4> kGrantStateNames{
@@ -75,51 +73,59 @@
 {
   Duration term_ = milliseconds(500);
   Duration renewInterval_ = milliseconds(150);
-  // Allowance for clocks that run at slightly different rates over one term.
+  // Maximum clock drift between two machines over one term.
   Duration margin_ = milliseconds(20);
 };
 
+// Maintains the grant of one server for the instance that holds it: first contact, renewal,
+// release of ranges, and expiry.
+// A grant is a lease: it lets the holder dispatch work for a set of key ranges until a time
+// on the server's own clock. It carries the fencing token (fence) of the holder, and is
+// renewed as a whole before it expires. Pure decisions without I/O.
 class GrantKeeper
 {
 public:
   GrantKeeper(std::string aService, std::string aServer, bool aChecksOrders, GrantTiming aTiming);
 
-  // Takes the wish of the newest placement. Ranges that are no longer wished
-  // are taken back; the release is complete when ReleasedVersion() reaches it.
+  // Sets the ranges that the newest placement assigns to the server. Ranges that are no
+  // longer assigned are released; that is complete when ReleasedVersion() reaches
+  // aPlacementVersion.
   void SetWish(Fence aFence,
                RowVersion aPlacementVersion,
                std::vector<HashRange> aRanges,
                bool aFormerHoldersSettled);
 
-  // The order to send now, if any.
+  // Returns the command to send now, if one is due.
   std::vector<GrantOrder> Tick(Instant aNow);
 
-  // aSentAt is when the order that this answers was handed to the network.
+  // Handles the server's answer to aOrder. aSentAt is when the command was passed to the
+  // network.
   void OnReply(Instant aNow, Instant aSentAt, const GrantOrder& aOrder, const GrantReply& aReply);
 
-  // The placer has decided that the server keeps its slices after all.
+  // The placer has decided that the server keeps its slices: leaves the Withheld state.
   void Resume();
 
-  // Whether there is a grant under which any work may be sent now.
+  // Whether an unexpired grant is acknowledged.
   bool IsUsable(Instant aNow) const;
 
-  // Whether work for the key may be sent now under this holder's fence.
+  // Whether work for the key may be dispatched now under this holder's fence.
   bool MayDispatch(Instant aNow, KeyHash aHash) const;
 
-  // A time on the server's clock by which work sent now must have started;
-  // 0 when the server's clock is unknown.
+  // The time on the server's clock, in microseconds, by which work dispatched now must have
+  // started; 0 if the server's clock is unknown.
   std::int64_t ValidUntilOnServer() const { return grantedValidUntil_; }
 
   GrantState State() const { return state_; }
   Fence CurrentFence() const { return fence_; }
-  // Whether the server answered within the last term.
+  // Whether the server has answered within the last term.
   bool IsReachable(Instant aNow) const;
-  // When nothing that was ever sent under this fence is valid any more.
+  // When every grant that was sent under this fence has certainly expired.
   Instant ExpiryBound() const { return expiryBound_; }
-  // Whether the server has accepted an order under the current fence.
+  // Whether the server has accepted a command under the current fence.
   bool IsConfirmed() const { return isConfirmed_; }
-  // Every range that this placement version took away is certainly released.
+  // Every range that this placement version took away has certainly been released.
   RowVersion ReleasedVersion() const { return releasedVersion_; }
+  // Number of requests that still run at the server under a lower fence.
   unsigned ForeignRunning() const { return foreignRunning_; }
   bool WasRefused() const { return refused_; }
 
@@ -142,7 +148,8 @@
   std::vector<HashRange> granted_;
   std::uint64_t grantedGeneration_ = 0;
 
-  // The server's clock as last echoed, and when it was asked and answered.
+  // The last reading of the server's clock, and when the command that asked for it was sent and
+  // answered.
   std::uint64_t bootId_ = 0;
   std::int64_t echoClock_ = 0;
   Instant echoSentAt_{ 0 };
@@ -152,7 +159,8 @@
   // Whether a grant that may still be valid was sent under this fence.
   bool hasSentGrants_ = false;
   bool isConfirmed_ = false;
-  // Since when the server is being contacted in vain; 0 before the first tick.
+  // Since when the server has been contacted without a grant being sent; 0 before the first
+  // tick.
   Instant contactingSince_{ 0 };
   bool refused_ = false;
   Instant lastSentAt_{ 0 };
--- a/Libraries/LibDispatch/LoadMeter.h
+++ b/Libraries/LibDispatch/LoadMeter.h
@@ -12,15 +12,16 @@
 
 namespace latchslip {
 
-// Measures how busy one server, each of its slices and its hottest key are.
-// Memory does not grow with keys: the busiest are found with the space-saving
-// counters of Metwally, Agrawal and El Abbadi (2005).
+// Measures the load of one server, of each of its slices and of its hottest key. The hottest
+// key is found by the Space-Saving algorithm (Metwally, Agrawal and El Abbadi, 2005), so that
+// memory does not grow with the number of keys.
 class LoadMeter
 {
 public:
+  // Adds the service time of one finished request.
   void Add(KeyHash aHash, KeyHash aSliceStart, Duration aBusy);
 
-  // Writes the mean load since the last call into a report and starts afresh.
+  // Writes the mean load over aSpan, in busy slots, into a report and resets the meter.
   void Fill(Duration aSpan, ServerReport& aReport);
 
 private:
@@ -30,7 +31,7 @@
   {
     KeyHash hash_ = 0;
     Duration busy_{ 0 };
-    // The most that the counter may owe to keys it displaced.
+    // Upper bound of the time that was inherited from displaced keys.
     Duration error_{ 0 };
   };
 
--- a/Libraries/LibDispatch/RetryBudget.h
+++ b/Libraries/LibDispatch/RetryBudget.h
@@ -4,18 +4,18 @@
 
 namespace latchslip {
 
-// Bounds retries to a share of the requests, so that retries cannot multiply
-// the load of a server that is in trouble.
+// Limits retries to a fraction of the requests, so that retries cannot amplify the load of an
+// overloaded server.
 class RetryBudget
 {
 public:
-  // Each request earns this much of a retry, up to a limit.
+  // Credit that each request earns, in retries, and the cap of the credit.
   static constexpr double kEarnedPerRequest = 0.1;
   static constexpr double kMost = 10;
 
   void OnRequest() { credit_ = std::min(kMost, credit_ + kEarnedPerRequest); }
 
-  // Takes one retry out of the budget; false when it is spent.
+  // Spends one retry; returns false if the budget is exhausted.
   bool TrySpend()
   {
     if (credit_ < 1) {
--- a/Libraries/LibDispatch/ServerQueue.cpp
+++ b/Libraries/LibDispatch/ServerQueue.cpp
@@ -6,13 +6,13 @@
 
 namespace {
 
-// What a server is thought to need per request before anything was measured.
+// Initial estimate of the service time, before anything was measured.
 constexpr Duration kFirstServiceTime = milliseconds(2);
-// The weight of one new measurement in the mean.
+// Weight of a new sample in the moving average of the service time.
 constexpr double kMeanGain = 0.05;
-// How far an interactive group may run ahead of a deferrable one, in requests
-// of a group of portion 1. Longer than a burst, shorter than a second of work,
-// so that portions hold over the span that intents are judged by.
+// Priority offset of an interactive group over a deferrable one, in requests of a group of
+// portion 1. It is longer than a burst and shorter than a second of work, so that portions
+// hold over the time span by which intents are judged.
 constexpr double kInteractiveHeadStart = 32;
 constexpr Duration kLeastRetryAfter = milliseconds(10);
 constexpr Duration kMostRetryAfter = seconds(5);
@@ -43,7 +43,7 @@
         return aIntent.group_ == name;
       });
     if (!isKept) {
-      // What waits is still served, but nothing more is admitted.
+      // Waiting requests are still served, but no new ones are admitted.
       group.maxWaiting_ = 0;
     }
   }
@@ -100,7 +100,7 @@
   }
   auto& group = groups_.find(aGroup)->second;
   if (group.waiting_.empty() && group.running_ == 0) {
-    // An idle group earns no credit for the time in which it asked for nothing.
+    // A group earns no credit for the time in which it was idle.
     group.tag_ = std::max(group.tag_, virtualTime_);
   }
   // Earliest deadline first within the group.
@@ -146,8 +146,8 @@
   --waiting_;
   group->tag_ = std::max(group->tag_, virtualTime_) + 1 / group->portion_;
   ++group->running_;
-  // Virtual time follows the group that is furthest behind among those waiting,
-  // so that a group which falls idle cannot save up a claim on the server.
+  // Virtual time advances with the most lagging of the waiting groups, so that a group which
+  // becomes idle cannot accumulate a claim on the server.
   double behind = group->tag_;
   for (const auto& [name, other] : groups_) {
     if (!other.waiting_.empty()) {
--- a/Libraries/LibDispatch/ServerQueue.h
+++ b/Libraries/LibDispatch/ServerQueue.h
@@ -21,55 +21,60 @@
   Admitted,
   // The queue of the group is full.
   QueueFull,
-  // By the queue's estimate the request could not start in time.
+  // By the estimated wait, the request could not finish before its deadline.
   DeadlineTooNear,
   UnknownGroup,
 };
 
+// Result of admission control for one request.
 struct Admission
 {
   AdmissionVerdict verdict_ = AdmissionVerdict::Admitted;
-  // When trying again makes sense; set for refusals.
+  // Delay after which a retry is useful; set for refusals.
   Duration retryAfter_{ 0 };
 };
 
-// Divides the slots of one server among the groups that share it: weighted fair
-// queueing by start tags (Goyal, Vin, Cheng: Start-time Fair Queueing, 1996),
-// work conserving, with a head start for interactive groups. Pure decisions.
+// Request queue of one server, with admission control. Divides the server's slots among the
+// groups that share it by Start-time Fair Queueing (Goyal, Vin and Cheng, 1996): weighted by
+// portion, work-conserving, earliest deadline first within a group, and with a priority
+// offset for interactive groups. Pure decisions without I/O.
 class ServerQueue
 {
 public:
   explicit ServerQueue(unsigned aSlots);
 
-  // Takes the intents of this server's service; waiting requests are kept.
+  // Applies the number of slots and the intents of this server's service; waiting requests
+  // are kept.
   void Configure(unsigned aSlots, const std::vector<SharingIntent>& aIntents);
 
-  // Whether a request would be admitted now.
+  // Checks whether a request would be admitted now.
   Admission Check(Instant aNow, std::string_view aGroup, Instant aDeadline) const;
 
-  // Puts a request into its group's queue if Check agrees.
+  // Queues a request if Check() admits it.
   Admission Admit(Instant aNow, WorkId aId, std::string_view aGroup, Instant aDeadline);
 
-  // The request to start now, if a slot is free; it takes the slot.
+  // Dequeues the request to start now if a slot is free; the request then occupies the slot.
   std::optional<WorkId> StartNext();
 
-  // A started request has ended and gives its slot back.
+  // Frees the slot of a started request. aServiceTime updates the service time estimate; 0 if
+  // the request did not run to its end.
   void Finish(WorkId aId, Duration aServiceTime);
 
-  // Takes a waiting request out; false when it was not waiting.
+  // Removes a waiting request; returns false if it was not waiting.
   bool Remove(WorkId aId);
 
-  // Takes out the requests whose deadline would pass before they could end.
+  // Removes and returns the waiting requests that, by the estimated service time, can no
+  // longer finish before their deadlines.
   std::vector<WorkId> TakeExpired(Instant aNow);
 
-  // Slots that work of a former holder still occupies.
+  // Sets the number of slots that work of a former holder still occupies.
   void SetForeign(unsigned aSlots) { foreign_ = aSlots; }
 
   std::size_t Waiting() const { return waiting_; }
   std::size_t Running() const { return running_.size(); }
   unsigned Slots() const { return slots_; }
   Duration MeanServiceTime() const { return meanServiceTime_; }
-  // How long a new request of the group would wait by the present estimate.
+  // Estimated wait of a new request of the group.
   Duration EstimateWait(std::string_view aGroup) const;
 
 private:
@@ -85,13 +90,14 @@
     unsigned maxWaiting_ = 0;
     unsigned maxSlots_ = 0;
     unsigned running_ = 0;
-    // Virtual time at which its next request starts.
+    // Start tag: the virtual time at which the next request of the group starts.
     double tag_ = 0;
     std::deque<Entry> waiting_;
 
     bool CanStart() const { return !waiting_.empty() && (maxSlots_ == 0 || running_ < maxSlots_); }
   };
 
+  // Returns the group with the lowest start tag that can start a request, or nullptr.
   GroupQueue* ChooseGroup();
 
   unsigned slots_;
--- a/Tests/LibDispatch/TestClaimBook.cpp
+++ b/Tests/LibDispatch/TestClaimBook.cpp
@@ -27,7 +27,7 @@
     return table_.Read(stamps);
   }
 
-  // Makes calls until the book wants none; all decisions on the way.
+  // Executes calls until there are no more, and returns all decisions.
   std::vector<ClaimDecision> Settle()
   {
     std::vector<ClaimDecision> decisions;
--- a/Tests/LibDispatch/TestGrantKeeper.cpp
+++ b/Tests/LibDispatch/TestGrantKeeper.cpp
@@ -9,7 +9,7 @@
 const std::vector<HashRange> kAll{ { 0, ~KeyHash{ 0 } } };
 constexpr std::uint64_t kBoot = 5;
 
-// A server whose clock runs apart from the keeper's by a fixed offset.
+// A server whose clock has a fixed offset from that of the process that sends the commands.
 class KeeperAndServer : public testing::Test
 {
 protected:
@@ -30,7 +30,7 @@
     return reply;
   }
 
-  // Lets time pass; the server answers each order after a millisecond.
+  // Advances time; the server answers each command after one millisecond.
   void Run(Duration aSpan, bool aAnswers)
   {
     const auto end = now_ + aSpan;
--- a/Tests/LibDispatch/TestServerQueue.cpp
+++ b/Tests/LibDispatch/TestServerQueue.cpp
@@ -46,7 +46,7 @@
     }
   }
 
-  // Starts and ends requests one after the other; counts those of a group.
+  // Starts and finishes requests one after the other, and counts those of a group.
   std::size_t ServeAndCount(std::size_t aCount, const std::string& aGroup)
   {
     std::size_t count = 0;
