--- a/Libraries/LibPlacement/HolderAssigner.cpp
+++ b/Libraries/LibPlacement/HolderAssigner.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-// One instance may hold this many servers more than another of the service.
+// Maximum difference in the number of servers that two instances hold of one service.
 constexpr std::size_t kHolderSlack = 1;
 
 } // namespace
@@ -58,9 +58,9 @@
     if (hasHolder) {
       continue;
     }
-    // A holder in another data hall outlives the loss of the server's hall, and
-    // then knows when the server's last grant ran out. The hash breaks ties so
-    // that the services do not all choose the same instance.
+    // A holder in another data hall survives the loss of the server's hall, and can then determine
+    // when the server's last grant expired. The hash breaks ties so that the services do not
+    // all choose the same instance.
     const auto chosen = std::min_element(
       candidates.begin(), candidates.end(), [&](const auto& aLeft, const auto& aRight) {
         const auto rank = [&](const LiveInstance& aInstance) {
@@ -87,7 +87,7 @@
   const auto former = std::exchange(aServer.holder_, aHolder);
   aServer.fence_ = ++aDraft.next_.lastFence_;
   goneSince_.erase(aServer.name_);
-  // A holder that comes back must not count as stopped by an old report.
+  // A holder that is assigned again must not count as stopped by an old report.
   stopped_[aServer.name_].erase(aHolder);
   std::erase(unsettled, aHolder);
   aDraft.Note(Event::HolderAssigned,
@@ -116,8 +116,8 @@
     }
     const auto since = goneSince_.emplace(server.name_, aDraft.now_).first->second;
     const auto* report = aReportOf(server);
-    // Grants under a lower fence are void once a server that checks has
-    // answered the higher one; otherwise they must have run out.
+    // Once a server that checks fences has answered under the higher fence, all grants under
+    // lower ones are void. Otherwise they must have expired.
     const bool isFencedOff = aDraft.service_.checksOrders_ && report != nullptr &&
                              report->isReachable_ && !report->isUnconfirmed_;
     if (isFencedOff || aDraft.now_ - since >= grantTail_) {
@@ -154,7 +154,7 @@
   if (most->second <= least->second + kHolderSlack) {
     return;
   }
-  // One a round, and never into the server's own hall.
+  // At most one server per round, and never to an instance in the server's own hall.
   for (auto& server : aDraft.next_.servers_) {
     const bool isApart = halls[least->first] != server.hall_;
     if (server.holder_ == most->first && isApart && server.unsettled_.empty()) {
--- a/Libraries/LibPlacement/HolderAssigner.h
+++ b/Libraries/LibPlacement/HolderAssigner.h
@@ -10,43 +10,44 @@
 
 namespace latchslip {
 
-// Decides which instance holds each server of one service, and from when the
-// former holders have certainly stopped. Pure decisions.
+// Assigns the servers of one service to the instances that hold them, and tracks when the
+// former holders of a server have certainly stopped. Pure decisions without I/O.
 class HolderAssigner
 {
 public:
-  // The newest report of a server's present holder, if there is one.
+  // Returns the newest report of a server's current holder, or nullptr.
   using ReportFunction = std::function<const ServerReport*(const PlacedServer&)>;
 
-  // aGrantTail: how long after a former holder is gone its last grant may still
-  // be valid.
+  // aGrantTail: how long the last grant of a former holder may remain valid after that holder
+  // is gone.
   explicit HolderAssigner(Duration aGrantTail)
     : grantTail_(aGrantTail)
   {
   }
 
-  // A former holder says that it has nothing in flight at the server.
+  // A former holder reports that it has no work in flight at the server.
   void OnStopped(const std::string& aServer, const InstanceId& aHolder);
 
-  // Gives servers whose holder is lost or leaving to others.
+  // Reassigns the servers whose holder is lost or leaving.
   void Assign(PlacementDraft& aDraft);
-  // Strikes off the former holders that can give no orders any more.
+  // Removes the former holders that can no longer send a command that the server would obey.
   void Settle(PlacementDraft& aDraft, const ReportFunction& aReportOf);
-  // Hands one server over when one instance holds more than its share.
+  // Reassigns one server if the numbers of servers held are uneven.
   void EvenOut(PlacementDraft& aDraft);
 
-  // Whether no grant of any former holder of the server can be valid.
+  // Whether every grant of the server's former holders has expired.
   bool AreFormerGrantsOver(Instant aNow, const PlacedServer& aServer) const;
 
+  // Discards all state; called when the placer role begins or ends.
   void Forget();
 
 private:
   void GiveTo(PlacementDraft& aDraft, PlacedServer& aServer, const InstanceId& aHolder);
 
   Duration grantTail_;
-  // Former holders that said they have stopped, by server.
+  // Former holders that have reported that they stopped, by server.
   std::map<std::string, std::set<std::string>> stopped_;
-  // Since when no former holder of a server can have renewed its grant.
+  // Since when no former holder of a server can have renewed its grant, by server.
   std::map<std::string, Instant> goneSince_;
 };
 
--- a/Libraries/LibPlacement/Placement.cpp
+++ b/Libraries/LibPlacement/Placement.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-// Hashes are written as hexadecimal text, since JSON readers of other languages
-// round numbers above 2^53.
+// Hashes are written as hexadecimal text, because JSON parsers of other languages round
+// integers above 2^53.
 std::string
 ToHex(KeyHash aHash)
 {
--- a/Libraries/LibPlacement/Placement.h
+++ b/Libraries/LibPlacement/Placement.h
@@ -12,47 +12,48 @@
 
 namespace latchslip {
 
-// Which servers own the keys of one service, and which instance holds each
-// server. This is the record that the table service keeps, one row a service.
+// The placement of a service assigns its key ranges to backend servers, and each server to
+// the instance that holds it. It is stored in the table service, one row per service.
 
 using ServerIndex = std::uint32_t;
 inline constexpr ServerIndex kNoServer = 0xffffffff;
 
-// Orders to a server carry a fence; a server obeys the highest it has seen.
+// Fencing token. Commands to a server carry it, and a server obeys only the highest it has
+// seen.
 using Fence = std::uint64_t;
 
 enum class PlacedState
 {
   Active,
-  // Gives its slices away and gets no new work.
+  // Its slices are being moved away, and it gets no new ones.
   Draining,
-  // Its grants are known to have run out; it owns nothing.
+  // Its grants have certainly expired; it owns no slices.
   Lost,
 };
 inline constexpr NameTable<PlacedState, 3> kPlacedStateNames{ { "active", "draining", "lost" } };
 
-// A server and the one instance that may give it orders.
+// A server and the one instance that may send it commands.
 struct PlacedServer
 {
   std::string name_;
   std::string hall_;
-  // Identity of the holding instance, "name#incarnation".
+  // Id of the holding instance, "name#incarnation".
   std::string holder_;
   Fence fence_ = 0;
   PlacedState state_ = PlacedState::Active;
-  // Former holders that may still be giving orders under a lower fence.
+  // Former holders that may still send commands under a lower fence.
   std::vector<std::string> unsettled_;
 
   bool operator==(const PlacedServer&) const = default;
 };
 
-// The keys whose hash is at least start_ and below the start of the next slice.
-// The slice of a single hot key covers one hash.
+// A range of the hash space: the hashes from start_ up to the start of the next slice. The
+// slice of a single hot key covers one hash.
 struct Slice
 {
   KeyHash start_ = 0;
   ServerIndex owner_ = kNoServer;
-  // The server that gets the slice once the owner has released it.
+  // The server that becomes the owner once the present owner has released the slice.
   ServerIndex next_ = kNoServer;
 
   bool IsMoving() const { return next_ != kNoServer; }
@@ -62,34 +63,36 @@
 struct Placement
 {
   std::string service_;
-  // The instance that decides on this service, and how often that changed.
+  // The instance that decides the placement of this service, and how often that changed.
   std::string placer_;
   std::uint64_t epoch_ = 0;
-  // The highest fence ever given out in this service. It outlives servers that
-  // are removed, so that one added again under its old name is not refused.
+  // The highest fence ever assigned in this service. It is kept when servers are removed, so
+  // that a server that is added again under its old name does not reject its holder.
   Fence lastFence_ = 0;
-  // Unique to each write, so that a writer who lost the answer recognises it.
+  // Unique per write, so that a writer that lost the answer can recognize its own write.
   std::string token_;
   std::vector<PlacedServer> servers_;
-  // Sorted by start; the first starts at 0.
+  // Sorted by start_; the first starts at 0.
   std::vector<Slice> slices_;
 
-  // The slice that holds a key. Allocates nothing. There must be a slice.
+  // Returns the index of the slice that contains the hash. Requires at least one slice. Does
+  // not allocate.
   std::size_t SliceIndexOf(KeyHash aHash) const;
 
-  // The last hash that a slice covers.
+  // Returns the last hash of a slice.
   KeyHash LastHashOf(std::size_t aSlice) const;
 
   std::optional<ServerIndex> FindServer(std::string_view aName) const;
 
-  // How many slices each server owns or is to own next.
+  // Returns for each server the number of slices that it owns or will own after the moves in
+  // progress.
   std::vector<std::size_t> CountSlices() const;
 
-  // Splits a slice so that one starts at aHash; returns the index of it.
+  // Splits a slice so that one starts at aHash, and returns the index of that one.
   std::size_t SplitAt(KeyHash aHash);
 
-  // Joins neighbours that have the same owner and are not moving, but for the
-  // even cuts that the placement began with (aEvenSlices of them).
+  // Merges adjacent slices that have the same owner and are not moving. The boundaries of the
+  // aEvenSlices equal slices that the placement began with are kept.
   void JoinNeighbours(std::size_t aEvenSlices);
 
   bool operator==(const Placement&) const = default;
--- a/Libraries/LibPlacement/PlacementDraft.h
+++ b/Libraries/LibPlacement/PlacementDraft.h
@@ -12,14 +12,15 @@
 
 namespace latchslip {
 
-// One line of the log for one decision of a proposal.
+// A decision of a proposal, as it is written to the log.
 struct PlacementDecision
 {
   Event event_;
   std::string detail_;
 };
 
-// A proposal in the making: what stands, what is known, and what is to stand next.
+// Working state while a proposal is computed: the inputs, the next placement, and the
+// decisions made so far.
 struct PlacementDraft
 {
   Instant now_;
@@ -31,6 +32,7 @@
   std::vector<PlacementDecision> decisions_{};
   std::vector<std::string> lostServers_{};
 
+  // Records a decision for the log.
   void Note(Event aEvent, std::string aDetail)
   {
     decisions_.push_back({ aEvent, std::move(aDetail) });
--- a/Libraries/LibPlacement/Placer.cpp
+++ b/Libraries/LibPlacement/Placer.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-// Enough slices that one server's loss can be spread over all the others, few
-// enough that the record of a service stays some kilobytes.
+// Enough slices to spread the load of a lost server over all the others, and few enough to
+// keep the placement row at a few kilobytes.
 constexpr std::size_t kSlicesPerServer = 16;
 
 } // namespace
@@ -123,7 +123,7 @@
       slice.owner_ = slice.next_;
       slice.next_ = kNoServer;
     } else if (target.state_ != PlacedState::Active) {
-      // The target cannot take it any more: the owner keeps it for now.
+      // The target is not available any more; the owner keeps the slice.
       slice.next_ = kNoServer;
     }
   }
@@ -158,7 +158,8 @@
   if (!aReport.isUnconfirmed_) {
     return true;
   }
-  // A holder that never reached the server cannot vouch for its predecessors.
+  // A holder that never reached the server cannot determine whether the grants of its predecessors
+  // have expired.
   return holders_.AreFormerGrantsOver(aDraft.now_, aServer);
 }
 
@@ -198,7 +199,7 @@
       continue;
     }
     if (report->isReachable_) {
-      // It is back already: resuming costs no churn.
+      // The server is reachable again; resuming it avoids moving its slices.
       continue;
     }
     const auto active = aDraft.ActiveServers().size();
@@ -413,7 +414,7 @@
 void
 Placer::OnNotCommitted(const PlacementProposal& aProposal)
 {
-  // What was not done does not count against the share that may be lost.
+  // Losses that were not committed do not count against the loss limit.
   const auto count = std::min(aProposal.lostServers_.size(), losses_.size());
   losses_.resize(losses_.size() - count);
 }
@@ -434,7 +435,8 @@
       continue;
     }
     orders.push_back({ report->service_, report->server_, report->fence_, report->sequence_ });
-    // Kept, so that an older report that arrives late is not taken for news.
+    // The report is kept, so that an older one that arrives late is still recognized as
+    // older.
     reports_[server.name_].isWithheld_ = false;
   }
   return orders;
--- a/Libraries/LibPlacement/Placer.h
+++ b/Libraries/LibPlacement/Placer.h
@@ -18,19 +18,15 @@
 
 namespace latchslip {
 
-// Decides who owns and who holds what in one service. It proposes placements;
-// whoever runs it commits them to the table service under the condition that
-// the row still has the version that the proposal was made from. Pure
-// decisions: nothing is done until the commit is known.
-
 struct PlacerTiming
 {
-  // How long after a former holder is gone its last grant may still be valid.
+  // How long the last grant of a former holder may remain valid after that holder is gone.
   Duration grantTail_ = milliseconds(540);
-  // A server that came back must stay reachable this long to own keys again.
+  // How long a returned server must stay reachable before it may own keys again.
   Duration returnDelay_ = seconds(2);
   Duration rebalanceInterval_ = seconds(1);
-  // Of the active servers, this share may be declared lost within lossSpan_.
+  // Loss limit: at most this fraction of the active servers, but at least one, may be
+  // declared lost within lossSpan_.
   double lossShare_ = 0.5;
   Duration lossSpan_ = seconds(5);
 };
@@ -40,21 +36,25 @@
   Placement placement_;
   RowVersion baseVersion_ = 0;
   std::vector<PlacementDecision> decisions_;
-  // Holders whose withheld grants this proposal acts on.
+  // Servers that this proposal declares lost because their grants are withheld.
   std::vector<std::string> lostServers_;
 };
 
+// Decides the placement of one service: which server owns each slice of the hash space, and
+// which instance holds each server. The placer proposes; PlacerDesk commits a proposal to the
+// table service on the condition that the row still has the version that the proposal was
+// made from. Pure decisions without I/O: a proposal has no effect until its commit is known.
 class Placer
 {
 public:
   Placer(std::string aService, PlacerTiming aTiming);
 
-  // Remembers a holder's report. Only the holder of the current fence counts,
-  // but for a former holder that says it has stopped.
+  // Records a holder's report. Reports under a lower fence than the known one are ignored,
+  // except for one that tells that a former holder has stopped.
   void OnReport(Instant aNow, const ServerReport& aReport);
 
-  // What should stand instead of aCurrent (version 0: nothing stands), or
-  // nothing when all is as it should be.
+  // Returns the placement to commit in place of aCurrent, or nothing if no change is needed.
+  // aVersion is the version of aCurrent's row, 0 if there is none.
   std::optional<PlacementProposal> Propose(Instant aNow,
                                            const ServiceDeclaration& aService,
                                            PlacementProfile aProfile,
@@ -62,44 +62,58 @@
                                            RowVersion aVersion,
                                            const Membership& aMembership);
 
-  // Withheld servers that answer again, and keep what the standing placement
-  // gives them. NOTE: Only to be asked for while the fate of no proposal is open,
-  // since one may take their slices away.
+  // Returns resume commands for the withheld servers that are reachable again and keep their
+  // slices. NOTE: Must only be called while no proposal has an open outcome, because such a
+  // proposal may move their slices away.
   std::vector<ResumeOrder> TakeResumable(const Placement& aCurrent);
 
   // The proposal certainly did not take effect.
   void OnNotCommitted(const PlacementProposal& aProposal);
 
-  // Decisions not to act, each noted once.
+  // Returns the losses that were deferred since the last call, each reported once.
   std::vector<PlacementDecision> TakeNotes();
 
-  // All that was learnt as the placer of a former epoch is void.
+  // Discards all that was learnt in an earlier epoch of this placer.
   void Forget();
 
 private:
+  // Adds declared servers and starts or ends draining as declared.
   void ReconcileServers(PlacementDraft& aDraft);
+  // Completes the moves whose slice has been released, and cancels those whose target is
+  // gone.
   void FinishMoves(PlacementDraft& aDraft);
+  // Declares servers lost whose grants have certainly expired, and reassigns their slices.
   void MoveLost(PlacementDraft& aDraft);
+  // Reactivates lost servers that have stayed reachable for returnDelay_.
   void ReturnLost(PlacementDraft& aDraft);
+  // Creates the initial slices of a service that has none.
   void PlaceFirst(PlacementDraft& aDraft);
+  // Starts to move the slices of draining servers away.
   void EmptyDraining(PlacementDraft& aDraft);
+  // Removes servers that are not declared any more and own no slices.
   void RemoveUndeclared(PlacementDraft& aDraft);
   void Rebalance(PlacementDraft& aDraft);
+  // Starts to move slices to an active server that has none; returns false if there is none.
   bool FillEmptyServer(PlacementDraft& aDraft);
   void EvenOutLoad(PlacementDraft& aDraft);
+  // Whether another server may be declared lost under the loss limit.
   bool IsLossAllowed(Instant aNow, std::size_t aActive);
+  // Whether every grant of the server, of this holder and of former ones, has expired.
   bool IsCertainlySilent(const PlacementDraft& aDraft,
                          const PlacedServer& aServer,
                          const ServerReport& aReport) const;
+  // Returns the last report of the server's current holder, or nullptr.
   const ServerReport* ReportOf(const PlacedServer& aServer) const;
+  // Reassigns all slices of a lost server and returns their number.
   std::size_t GiveAway(PlacementDraft& aDraft, ServerIndex aLost);
+  // Returns the active server with the fewest slices, or kNoServer.
   static ServerIndex LeastLoaded(const PlacementDraft& aDraft,
                                  const std::vector<std::size_t>& aCounts);
 
   std::string service_;
   PlacerTiming timing_;
   std::map<std::string, ServerReport> reports_;
-  // Load by server, kept from the last report that carried load.
+  // Load by server, from the reports that carried load.
   LoadTable loads_;
   HolderAssigner holders_;
   std::map<std::string, Instant> reachableSince_;
--- a/Libraries/LibPlacement/Rebalancer.cpp
+++ b/Libraries/LibPlacement/Rebalancer.cpp
@@ -8,19 +8,18 @@
 
 namespace {
 
-// The share of a server's slots that must be busy before evening out is worth a
-// move.
+// Share of a server's slots that must be busy before balancing its load is worth a move.
 constexpr double kNegligibleShare = 0.2;
-// The weight of one report against all before it.
+// Weight of a new report in the moving average.
 constexpr double kReportGain = 0.4;
 constexpr double kForgottenLoad = 1e-4;
 
-// The loads while moves are being chosen.
+// Server loads, updated as moves are chosen.
 struct Balance
 {
   std::vector<ServerIndex> active_;
   std::vector<double> loads_;
-  // The share of each server's load that cannot be taken off it.
+  // Whether none of the remaining moves would improve the server's load.
   std::vector<bool> isStuck_;
 
   double Mean() const
@@ -84,7 +83,7 @@
     aCandidates.push_back({ start, false, false, aFrom, kNoServer, load });
     const bool isOneKey = aPlacement.LastHashOf(index) == start;
     const bool hasHotKey = aPlacement.SliceIndexOf(aLoad.hottestKey_) == index;
-    // A slice whose load is one key's cannot be halved to any purpose.
+    // Halving a slice does not help if one key causes most of its load.
     if (!isOneKey && !(hasHotKey && aLoad.hottestLoad_ > load / 2)) {
       aCandidates.push_back({ start, false, true, aFrom, kNoServer, load / 2 });
     }
@@ -97,14 +96,15 @@
   }
 }
 
-// The move that leaves the two servers most even, whole slices before cuts.
+// Returns the move that leaves the two servers most even, preferring whole slices over
+// splits.
 std::optional<SliceMove>
 BestMove(const std::vector<SliceMove>& aCandidates, double aSurplus, double aLeastGain)
 {
   std::optional<SliceMove> best;
   double bestGain = 0;
   for (const auto& candidate : aCandidates) {
-    // Taking more than the surplus only swaps the roles of the two servers.
+    // Moving more than the surplus only makes the target the busier server.
     const double gain = std::min(candidate.load_, aSurplus * 2 - candidate.load_);
     const double cost = candidate.isHalf_ || candidate.isSingleKey_ ? aLeastGain / 2 : 0;
     if (gain >= aLeastGain && gain - cost > bestGain) {
@@ -124,7 +124,7 @@
   const double gain = isFirst ? 1 : kReportGain;
   const auto blend = [&](double& aKnown, double aNew) { aKnown += gain * (aNew - aKnown); };
   blend(load_, aReport.load_);
-  // A slice that is not reported had no load, or has gone elsewhere.
+  // A slice that is not reported had no load or has been moved away.
   for (auto& [start, load] : slices_) {
     load *= 1 - gain;
   }
--- a/Libraries/LibPlacement/Rebalancer.h
+++ b/Libraries/LibPlacement/Rebalancer.h
@@ -10,7 +10,7 @@
 
 namespace latchslip {
 
-// Load as the holders last reported it, by server name.
+// Load of a server in busy slots, smoothed over the reports of its holders.
 struct ServerLoad
 {
   double load_ = 0;
@@ -18,20 +18,22 @@
   KeyHash hottestKey_ = 0;
   double hottestLoad_ = 0;
 
-  // Takes a report in. One report is a small sample, and moves made on its noise
-  // would be churn, so that older reports keep a weight.
+  // Adds a report to an exponential moving average. A single report is a small sample, and
+  // moves made on its noise would be churn.
   void Blend(const ServerReport& aReport);
 };
 using LoadTable = std::map<std::string, ServerLoad>;
 
-// The load of a slice goes with it, before the next reports show that.
+// Moves the load of a slice from one server to another in the table, since reports will show
+// the move only later.
 void
 MoveLoad(LoadTable& aLoads, KeyHash aStart, const std::string& aFrom, const std::string& aTo);
 
-// How eagerly load is evened out. Below leastLoad_ busy slots on the busiest
-// server nothing waits anywhere, so that a move would be churn for nothing. A move pays when it
-// takes at least leastGain_ of the mean load off the busiest server; nothing moves while the
-// busiest is within tolerance_ of the mean.
+// Hysteresis and limits of load balancing.
+// Nothing moves while the busiest server has fewer than leastLoad_ busy slots, since no
+// requests wait then, or while its load is within tolerance_ of the mean. A move must take at
+// least leastGain_ of the mean load off the busiest server. At most mostMoves_ moves are made
+// at once.
 struct RebalancePolicy
 {
   double tolerance_ = 0;
@@ -44,7 +46,7 @@
 
 struct SliceMove
 {
-  // Set when the slice must first be cut out of a larger one.
+  // Set if the single key, or the half, must first be split off a larger slice.
   KeyHash start_ = 0;
   bool isSingleKey_ = false;
   bool isHalf_ = false;
@@ -53,12 +55,13 @@
   double load_ = 0;
 };
 
-// Chooses moves that even out the load among the active servers, greedily and
-// with as few moves as possible. Pure: equal inputs give equal moves.
+// Chooses moves that even out the load of the active servers, greedily and with as few moves
+// as possible. Deterministic.
 std::vector<SliceMove>
 ChooseMoves(const Placement& aPlacement, const LoadTable& aLoads, const RebalancePolicy& aPolicy);
 
-// Largest load over mean load among the active servers; 1 when there is none.
+// Returns the largest load divided by the mean load of the active servers; 1 if there is no
+// load.
 double
 ImbalanceOf(const Placement& aPlacement, const LoadTable& aLoads);
 
--- a/Libraries/LibPlacement/ServerReport.h
+++ b/Libraries/LibPlacement/ServerReport.h
@@ -10,12 +10,12 @@
 
 namespace latchslip {
 
-// What the holder of a server tells the placer of its service.
+// Reports from the holder of a server to the placer of its service.
 
 struct SliceLoad
 {
   KeyHash start_ = 0;
-  // Slots kept busy by the slice, as a mean over the report's span.
+  // Mean number of busy slots over the time span of the report.
   double load_ = 0;
 
   bool operator==(const SliceLoad&) const = default;
@@ -25,34 +25,33 @@
 {
   std::string service_;
   std::string server_;
-  // The instance that reports.
+  // The reporting instance.
   std::string holder_;
   Fence fence_ = 0;
-  // Rises with each report of this holder about this server.
+  // Increases with each report of this holder about this server.
   std::uint64_t sequence_ = 0;
-  // Every range that this placement version took away is released.
+  // Every range that this placement version took away has been released.
   RowVersion releasedVersion_ = 0;
   // The server answers this holder.
   bool isReachable_ = false;
-  // This holder's grants have certainly run out and stay withheld until the
-  // placer answers.
+  // This holder's grants have certainly expired and are withheld until the placer answers.
   bool isWithheld_ = false;
-  // The server never accepted an order under this holder's fence, so grants of
-  // former holders may still be valid.
+  // The server has not accepted a command under this holder's fence, so grants of former
+  // holders may still be valid.
   bool isUnconfirmed_ = false;
-  // The reporter holds the server no more and has nothing in flight there.
+  // The reporter does not hold the server any more and has no work in flight there.
   bool hasStopped_ = false;
-  // Load is only valid when set; reports of events carry none.
+  // Whether the load fields are set; a report of a state change carries no load.
   bool hasLoad_ = false;
   double load_ = 0;
   std::vector<SliceLoad> slices_;
-  // The busiest single key, to be given a slice of its own.
+  // The hottest key of the server, a candidate for a slice of its own.
   KeyHash hottestKey_ = 0;
   double hottestLoad_ = 0;
 };
 
-// The placer's word to a holder whose grants are withheld: nothing was or will
-// be decided on that report, so the server keeps its slices.
+// The placer's answer to a holder whose grants are withheld: no decision was or will be made
+// on that report, so the server keeps its slices.
 struct ResumeOrder
 {
   std::string service_;
--- a/Tests/LibPlacement/TestPlacement.cpp
+++ b/Tests/LibPlacement/TestPlacement.cpp
@@ -76,7 +76,7 @@
   EXPECT_FALSE(ParsePlacement(SerializePlacement(placement_)));
 }
 
-// Loads of the two servers, one slot busy by each slice at first.
+// Loads of the two servers; initially each slice keeps one slot busy.
 class RebalancingOfTwo : public PlacementOfTwo
 {
 protected:
