--- a/Libraries/LibStore/Row.h
+++ b/Libraries/LibStore/Row.h
@@ -7,12 +7,12 @@
 
 namespace latchslip {
 
-// The count of writes that a row of the table service has seen; 0 means that
-// the row does not exist.
+// Version of a row in the table service: increases with every write; 0 if the row does not
+// exist.
 using RowVersion = std::uint64_t;
 
-// How often a store has come back from an older copy of itself. Versions go back then, and
-// are given out again to other changes.
+// How often the store has been restored from an older copy of itself. Row versions go back
+// then and are assigned again to other changes.
 using StoreEpoch = std::uint64_t;
 
 struct Row
@@ -22,7 +22,7 @@
   std::string value_;
 };
 
-// States which version of a row somebody has or expects.
+// A row key with the version that a process has or expects.
 struct RowStamp
 {
   std::string key_;
@@ -37,8 +37,8 @@
   std::string value_;
 };
 
-// All writes take effect together, or none does: when a row named by a
-// condition has another version, nothing is written.
+// An atomic conditional write. If a row named by a condition has another version, nothing is
+// written.
 struct Transaction
 {
   std::vector<RowStamp> conditions_;
@@ -48,23 +48,23 @@
 enum class StoreStatus
 {
   Done,
-  // A condition failed; the rows of the answer say what stands instead.
+  // A condition failed; the reply contains the current rows.
   Conflict,
   // The answer was lost: the write may have taken effect or may still do so.
   Unsure,
-  // The request was certainly not carried out.
+  // The request was certainly not executed.
   Unavailable,
 };
 
 struct StoreReply
 {
   StoreStatus status_ = StoreStatus::Unavailable;
-  // After a read the rows that exist, after a transaction those written or,
-  // on a conflict, those that differ (version 0 when absent).
+  // After a read, the rows that exist; after a transaction, the rows written or, on a
+  // conflict, those whose version differs (0 if absent).
   std::vector<Row> rows_;
 };
 
-// The row of that key, or nothing.
+// Returns the row with the key, or nullptr.
 const Row*
 FindRow(const std::vector<Row>& aRows, std::string_view aKey);
 
--- a/Libraries/LibStore/StoreEpoch.h
+++ b/Libraries/LibStore/StoreEpoch.h
@@ -6,15 +6,15 @@
 
 namespace latchslip {
 
-// The versions of a store that may come back from an older copy of itself. Its counter goes
-// back then and gives numbers out again, so that a number alone orders nothing. A RowVersion
-// that is made here holds the epoch in its upper bits and the store's number in its lower
-// ones: whatever compares versions orders those of a later epoch after all earlier ones. 0
-// stays the version of a row that does not exist.
+// Row versions that stay ordered when the store is restored from an older copy of itself.
+// Such a restore sets the store's version counter back, so that it assigns the same numbers
+// again. A RowVersion made here holds the store epoch in its upper bits and the store's
+// number in its lower bits, so a version of a later epoch compares greater than all versions
+// of earlier epochs. 0 is still the version of a row that does not exist.
 
-// Enough numbers for 170 years at 3,200 writes a second.
+// Enough numbers for 170 years at 3,200 writes per second.
 inline constexpr unsigned kNumberBits = 44;
-// Returns beyond this count cannot be told apart.
+// Restores beyond this number cannot be told apart.
 inline constexpr StoreEpoch kMostEpoch = (StoreEpoch{ 1 } << (64 - kNumberBits)) - 1;
 inline constexpr std::uint64_t kMostNumber = (std::uint64_t{ 1 } << kNumberBits) - 1;
 
@@ -30,14 +30,14 @@
   return aVersion >> kNumberBits;
 }
 
-// What the store itself calls the version.
+// Returns the version as the store numbers it.
 constexpr std::uint64_t
 NumberOf(RowVersion aVersion)
 {
   return aVersion & kMostNumber;
 }
 
-// For the log: the epoch and the number, or the number alone in epoch 0.
+// Formats a version for the log: "EPOCH:NUMBER", or the number alone in epoch 0.
 inline std::string
 DescribeVersion(RowVersion aVersion)
 {
--- a/Libraries/LibStore/StoreJson.h
+++ b/Libraries/LibStore/StoreJson.h
@@ -9,7 +9,7 @@
 
 namespace latchslip {
 
-// The JSON documents of the platform's table service.
+// Serializes and parses the JSON documents of the platform's table service.
 
 std::string
 SerializeTransaction(const Transaction& aTransaction);
