--- a/Libraries/LibConfig/Declaration.cpp
+++ b/Libraries/LibConfig/Declaration.cpp
@@ -13,12 +13,12 @@
 
 constexpr unsigned kMostSlots = 1024;
 constexpr unsigned kMostConnections = 65536;
-// Connections that a holder needs besides one for each slot.
+// Connections that a holder needs in addition to one per slot.
 constexpr unsigned kControlConnections = 2;
 constexpr unsigned kDefaultMaxWaiting = 256;
 constexpr double kMostPortion = 1e6;
 
-// Whether the text is an IP number and a port, since latchslip resolves no names.
+// Whether the text is an IP address and port. Host names are not resolved.
 bool
 IsAddress(const std::string& aText)
 {
--- a/Libraries/LibConfig/Declaration.h
+++ b/Libraries/LibConfig/Declaration.h
@@ -9,14 +9,14 @@
 
 namespace latchslip {
 
-// A backend server as an operator declares it.
+// A backend server as declared by an operator.
 struct ServerDeclaration
 {
   std::string name_;
-  // IP number and port, "10.0.0.7:8080".
+  // IP address and port, "10.0.0.7:8080".
   std::string address_;
   std::string hall_;
-  // A draining server gives its keys away and gets no new work.
+  // A draining server's keys are moved away, and it gets no new work.
   bool draining_ = false;
 
   bool operator==(const ServerDeclaration&) const = default;
@@ -25,8 +25,9 @@
 struct ServiceDeclaration
 {
   std::string name_;
-  // Whether its servers check the fence of whoever gives them an order.
+  // Whether its servers check the fence of the commands that they are sent.
   bool checksOrders_ = true;
+  // Requests that one server runs at once.
   unsigned slots_ = 0;
   unsigned connections_ = 0;
   std::vector<ServerDeclaration> servers_;
@@ -36,7 +37,7 @@
   bool operator==(const ServiceDeclaration&) const = default;
 };
 
-// Interactive work goes ahead of deferrable work within the portions owed.
+// Interactive work is started before deferrable work, within the portions of the groups.
 enum class LatencyClass
 {
   Interactive,
@@ -44,23 +45,23 @@
 };
 inline constexpr NameTable<LatencyClass, 2> kLatencyClassNames{ { "interactive", "deferrable" } };
 
-// What one group may use of one service.
+// The share of one service that a group may use.
 struct SharingIntent
 {
   std::string group_;
   std::string service_;
-  // The weight of the group when capacity is short.
+  // Weight of the group in fair queueing while capacity is short.
   double portion_ = 0;
   LatencyClass latencyClass_ = LatencyClass::Interactive;
-  // How many of its requests may wait at one server.
+  // Maximum number of its requests that may wait at one server.
   unsigned maxWaiting_ = 0;
-  // How many slots of one server it may use at once; 0 means all.
+  // Maximum number of slots of one server it may use at once; 0 means all.
   unsigned maxSlots_ = 0;
 
   bool operator==(const SharingIntent&) const = default;
 };
 
-// What placement weighs most.
+// Which the placer minimizes first: unavailability of keys, or churn (moves of slices).
 enum class PlacementProfile
 {
   UnavailabilityFirst,
@@ -69,7 +70,7 @@
 inline constexpr NameTable<PlacementProfile, 2> kPlacementProfileNames{ { "unavailability-first",
                                                                           "churn-first" } };
 
-// Everything that operators declare: the content of one intents file.
+// The complete configuration as operators declare it: the content of one intents file.
 struct Declaration
 {
   PlacementProfile profile_ = PlacementProfile::UnavailabilityFirst;
@@ -83,13 +84,13 @@
   bool operator==(const Declaration&) const = default;
 };
 
-// Reads a declaration from JSON. The error names the field by its path, such as
-// "services[0].slots", and says what is allowed. Unknown fields are errors.
+// Parses a declaration from JSON. The error contains the path of the field, such as
+// "services[0].slots", and the allowed values. Unknown fields are errors.
 FieldResult<Declaration>
 ParseDeclaration(std::string_view aText);
 
-// Writes a declaration as JSON in one fixed order, so that equal declarations
-// have equal texts.
+// Serializes a declaration to JSON in a fixed order, so that equal declarations have equal
+// texts.
 std::string
 SerializeDeclaration(const Declaration& aDeclaration);
 
--- a/Libraries/LibConfig/JsonReader.h
+++ b/Libraries/LibConfig/JsonReader.h
@@ -9,12 +9,14 @@
 
 namespace latchslip {
 
-// Reads the members of one JSON object and names the path of whatever is wrong.
+// Reads typed members of a JSON object. Errors contain the path of the member.
 class JsonReader
 {
 public:
   static FieldResult<JsonReader> Create(const boost::json::value& aValue, std::string aPath);
 
+  // Text() and List() require the member; the ...Or() functions return the default if it is
+  // absent.
   FieldResult<std::string> Text(std::string_view aName) const;
   FieldResult<std::string> TextOr(std::string_view aName, std::string_view aDefault) const;
   FieldResult<bool> FlagOr(std::string_view aName, bool aDefault) const;
@@ -24,9 +26,10 @@
                                double aMost) const;
   FieldResult<const boost::json::array*> List(std::string_view aName) const;
 
-  // Refuses members that are not in the list, since they are likely misspelt.
+  // Returns an error for members that are not in the list, as they are likely misspelt.
   FieldResult<void> AllowOnly(std::initializer_list<std::string_view> aNames) const;
 
+  // Returns the path of a member, such as "services[0].slots".
   std::string PathOf(std::string_view aName) const;
 
 private:
@@ -36,7 +39,7 @@
   std::string path_;
 };
 
-// Parses a JSON text; the error tells where reading stopped.
+// Parses a JSON text; the error contains the position at which parsing stopped.
 FieldResult<boost::json::value>
 ParseJson(std::string_view aText, std::string_view aWhat);
 
--- a/Libraries/LibConfig/Plan.h
+++ b/Libraries/LibConfig/Plan.h
@@ -9,8 +9,8 @@
 
 namespace latchslip {
 
-// What would change if a declaration came into force. A plan is a document that
-// the operator keeps; the system remembers none of it.
+// The changes that a declaration would make to the configuration. A plan is a document that
+// the operator keeps; instances do not store it.
 struct Plan
 {
   // The revision of the configuration that the plan was made from.
@@ -18,7 +18,7 @@
   std::vector<std::string> changes_;
   Declaration declaration_;
 
-  // Identifies exactly this plan: base and declaration.
+  // Returns a hash of the base revision and the declaration.
   std::string Id() const;
 };
 
@@ -28,7 +28,7 @@
 std::string
 SerializePlan(const Plan& aPlan);
 
-// Reads a plan back; an edited plan is an error, since its id no longer fits.
+// Parses a plan. An edited plan is an error, because its id does not match any more.
 FieldResult<Plan>
 ParsePlan(std::string_view aText);
 
