--- a/Libraries/LibBase/Event.h
+++ b/Libraries/LibBase/Event.h
@@ -6,8 +6,8 @@
 
 namespace latchslip {
 
-// The numbered events of the log. docs/EVENTS.md is their catalogue, and a test
-// compares the two. Numbers are never used again for another meaning.
+// The numbered events of the log. docs/EVENTS.md documents them, and a test compares the two.
+// A number is never reused for another event.
 enum class Event : int
 {
   InstanceStarted = 100,
@@ -94,20 +94,20 @@
   std::string_view name_;
 };
 
-// All events with their names, in the order of their numbers.
+// Returns all events with their names, ordered by number.
 std::span<const EventName>
 AllEvents();
 
 std::string_view
 NameOf(Event aEvent);
 
-// Receives the events of the decision code.
+// Receives the events of the decision logic.
 class EventSink
 {
 public:
   virtual ~EventSink() = default;
 
-  // Records one event; aDetail is "name=value" words with the reason.
+  // Records one event; aDetail consists of "name=value" words and includes the reason.
   virtual void Record(Event aEvent, std::string_view aDetail) = 0;
 };
 
--- a/Libraries/LibBase/KeyHash.h
+++ b/Libraries/LibBase/KeyHash.h
@@ -5,15 +5,15 @@
 
 namespace latchslip {
 
-// The place of a key in the hash space of its service.
+// Position of a key in the hash space of its service.
 using KeyHash = std::uint64_t;
 
-// Hashes a key. Every process and every release must agree on the result, so
-// the function is XXH3 and not a hash that may differ between runs.
+// Hashes a key. Every process and every release must compute the same value, so the function
+// is XXH3 and not a hash that may differ between runs.
 KeyHash
 HashKey(std::string_view aKey);
 
-// Combines two words into one hash that all processes agree on.
+// Hashes two words into one value that is the same in all processes.
 std::uint64_t
 HashPair(std::string_view aFirst, std::string_view aSecond);
 
--- a/Libraries/LibBase/NameTable.h
+++ b/Libraries/LibBase/NameTable.h
@@ -7,7 +7,8 @@
 
 namespace latchslip {
 
-// The names of an enumeration, in the order of its values.
+// Maps the values of an enumeration to names. The names are listed in the order of the
+// values, which start at 0.
 template<typename Enum, std::size_t Count>
 struct NameTable
 {
--- a/Libraries/LibBase/Result.h
+++ b/Libraries/LibBase/Result.h
@@ -8,17 +8,17 @@
 
 namespace outcome = BOOST_OUTCOME_V2_NAMESPACE;
 
-// A value or the error of one layer. Each layer names its own error type.
+// A value or an error. Each layer defines its own error type.
 template<typename T, typename Error>
 using Result = outcome::basic_result<T, Error, outcome::policy::all_narrow>;
 
-// An error of a text that a person wrote: which field, and what is wrong.
+// An error in a document written by a person: the field and the problem.
 struct FieldError
 {
   std::string field_;
   std::string problem_;
 
-  // One sentence that names the field.
+  // Returns the field and the problem as one line.
   std::string Describe() const { return field_ + ": " + problem_; }
 };
 
--- a/Libraries/LibBase/Time.h
+++ b/Libraries/LibBase/Time.h
@@ -4,11 +4,11 @@
 
 namespace latchslip {
 
-// A span of time in microseconds.
+// A time span in microseconds.
 using Duration = std::chrono::microseconds;
 
-// A moment on the monotonic clock of one machine, in microseconds since an
-// arbitrary origin. Instants of two machines are never compared.
+// A time on the monotonic clock of one machine, in microseconds since an arbitrary origin.
+// Instants of different machines must not be compared.
 using Instant = std::chrono::microseconds;
 
 using std::chrono::duration_cast;
@@ -16,7 +16,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// In seconds, with fractions.
+// Converts to seconds, with fractions.
 constexpr double
 ToSeconds(Duration aTime)
 {
@@ -24,7 +24,7 @@
   return static_cast<double>(aTime.count()) * kMicrosecond;
 }
 
-// In milliseconds, with fractions.
+// Converts to milliseconds, with fractions.
 constexpr double
 ToMilliseconds(Duration aTime)
 {
@@ -32,15 +32,15 @@
   return static_cast<double>(aTime.count()) / kMillisecond;
 }
 
-// A span of time that is aFactor times as long, in whole microseconds.
+// Multiplies a time span by a factor; truncates to whole microseconds.
 constexpr Duration
 Scale(Duration aTime, double aFactor)
 {
   return Duration(static_cast<Duration::rep>(static_cast<double>(aTime.count()) * aFactor));
 }
 
-// A mean in which a new sample has that weight; the first sample is the mean. Zero for a
-// mean of nothing.
+// Exponential moving average: adds a sample with the given weight. The first sample becomes
+// the mean; a mean of 0 counts as no mean.
 constexpr Duration
 Blend(Duration aMean, Duration aSample, double aWeight)
 {
