--- a/Benchmarks/BenchDecisions.cpp
+++ b/Benchmarks/BenchDecisions.cpp
@@ -1,5 +1,5 @@
 #include "AllocationCount.h"
-#include "LibDispatch/ClaimBook.h"
+#include "LibDispatch/ClaimRegistry.h"
 #include "LibDispatch/ServerQueue.h"
 #include "LibNet/PeerCodec.h"
 #include "LibNet/ServerProtocol.h"
@@ -88,7 +88,7 @@
   const auto batch = static_cast<ClaimId>(aState.range(0));
   ClaimTiming timing;
   timing.batch_ = batch;
-  ClaimBook book("instance-1#0123abcd", timing);
+  ClaimRegistry book("instance-1#0123abcd", timing);
   Instant now = seconds(1);
   ClaimId id = 0;
   std::size_t transactions = 0;
@@ -178,8 +178,8 @@
     const auto start = static_cast<KeyHash>(index) << 40U;
     ranges.emplace_back(start, start + 1000);
   }
-  GrantKeeper keeper("rates", "rates-1", true, GrantTiming{});
-  keeper.SetWish(1, 1, ranges, true);
+  GrantManager keeper("rates", "rates-1", true, GrantTiming{});
+  keeper.SetDesiredRanges(1, 1, ranges, true);
   Instant now = seconds(1);
   double bytes = 0;
   for (auto _ : aState) {
@@ -206,11 +206,11 @@
 public:
   bool SendToPeer(const InstanceId&, const PeerMessage&) override { return true; }
   void CallStore(CallTag aTag, const StoreCall&) override { lastStore_ = aTag; }
-  void SendGrant(CallTag aTag, const std::string&, const GrantOrder& aOrder) override
+  void SendGrant(CallTag aTag, const std::string&, const GrantCommand& aOrder) override
   {
     grants_.emplace_back(aTag, aOrder);
   }
-  void SendWork(const WorkOrder& aOrder) override { lastWork_ = aOrder.id_; }
+  void SendWork(const WorkCommand& aOrder) override { lastWork_ = aOrder.id_; }
   void CancelWork(WorkId) override {}
   void AnswerCaller(CallerId, const WorkAnswer&) override { ++answered_; }
   void AnswerOperator(OperatorId, const OperatorAnswer&) override {}
@@ -218,7 +218,7 @@
   CallTag lastStore_ = 0;
   WorkId lastWork_ = 0;
   std::uint64_t answered_ = 0;
-  std::vector<std::pair<CallTag, GrantOrder>> grants_;
+  std::vector<std::pair<CallTag, GrantCommand>> grants_;
 };
 
 class NullEvents : public EventSink
@@ -288,7 +288,7 @@
   request.key_ = "hotel-darkhan-1234";
   request.body_ = std::make_shared<const std::string>("body");
   WorkReply reply;
-  reply.end_ = WorkEnd::Answered;
+  reply.outcome_ = WorkOutcome::Answered;
   reply.status_ = 200;
   CallerId caller = 0;
   const auto before = Allocations();
--- a/Libraries/LibConfig/Declaration.cpp
+++ b/Libraries/LibConfig/Declaration.cpp
@@ -60,7 +60,7 @@
     reader.AllowOnly({ "name", "checks_orders", "slots", "connections", "servers" }));
   ServiceDeclaration service;
   BOOST_OUTCOME_TRY(service.name_, reader.Text("name"));
-  BOOST_OUTCOME_TRY(service.checksOrders_, reader.FlagOr("checks_orders", true));
+  BOOST_OUTCOME_TRY(service.checksGrants_, reader.FlagOr("checks_orders", true));
   BOOST_OUTCOME_TRY(const auto slots, reader.NumberOr("slots", 0, 1, kMostSlots));
   BOOST_OUTCOME_TRY(const auto connections, reader.NumberOr("connections", 0, 1, kMostConnections));
   if (slots == 0 || connections == 0) {
@@ -213,7 +213,7 @@
                                              { "draining", server.draining_ } });
     }
     services.push_back(boost::json::object{ { "name", service.name_ },
-                                            { "checks_orders", service.checksOrders_ },
+                                            { "checks_orders", service.checksGrants_ },
                                             { "slots", service.slots_ },
                                             { "connections", service.connections_ },
                                             { "servers", std::move(servers) } });
--- a/Libraries/LibConfig/Declaration.h
+++ b/Libraries/LibConfig/Declaration.h
@@ -26,7 +26,7 @@
 {
   std::string name_;
   // Whether its servers check the fence of the commands that they are sent.
-  bool checksOrders_ = true;
+  bool checksGrants_ = true;
   // Requests that one server runs at once.
   unsigned slots_ = 0;
   unsigned connections_ = 0;
--- a/Libraries/LibConfig/Plan.cpp
+++ b/Libraries/LibConfig/Plan.cpp
@@ -16,7 +16,7 @@
 {
   return "slots=" + std::to_string(aService.slots_) +
          " connections=" + std::to_string(aService.connections_) +
-         " checks_orders=" + (aService.checksOrders_ ? "true" : "false");
+         " checks_orders=" + (aService.checksGrants_ ? "true" : "false");
 }
 
 std::string
--- a/Libraries/LibDaemon/InstanceHost.cpp
+++ b/Libraries/LibDaemon/InstanceHost.cpp
@@ -302,7 +302,7 @@
 }
 
 void
-InstanceHost::SendGrant(CallTag aTag, const std::string& aAddress, const GrantOrder& aOrder)
+InstanceHost::SendGrant(CallTag aTag, const std::string& aAddress, const GrantCommand& aOrder)
 {
   serverClient_->Send(
     aAddress, MakeGrantRequest(aOrder), kGrantTimeout, [this, aTag](const HttpExchange& aExchange) {
@@ -320,7 +320,7 @@
 }
 
 void
-InstanceHost::SendWork(const WorkOrder& aOrder)
+InstanceHost::SendWork(const WorkCommand& aOrder)
 {
   addressOfWork_[aOrder.id_] = aOrder.address_;
   const auto timeout = std::max(aOrder.request_.deadline_ - Now(), Duration{ 0 }) + kWorkSlack;
@@ -330,9 +330,9 @@
                       [this, aOrder](const HttpExchange& aExchange) {
                         addressOfWork_.erase(aOrder.id_);
                         WorkReply reply;
-                        reply.end_ = WorkEnd::Broken;
+                        reply.outcome_ = WorkOutcome::Broken;
                         if (aExchange.end_ == ExchangeEnd::NotSent) {
-                          reply.end_ = WorkEnd::NotSent;
+                          reply.outcome_ = WorkOutcome::NotSent;
                         } else if (aExchange.end_ == ExchangeEnd::Complete) {
                           reply = ToWorkReply(aOrder, aExchange.response_);
                         }
--- a/Libraries/LibDaemon/InstanceHost.h
+++ b/Libraries/LibDaemon/InstanceHost.h
@@ -46,8 +46,8 @@
 
   bool SendToPeer(const InstanceId& aTo, const PeerMessage& aMessage) override;
   void CallStore(CallTag aTag, const StoreCall& aCall) override;
-  void SendGrant(CallTag aTag, const std::string& aAddress, const GrantOrder& aOrder) override;
-  void SendWork(const WorkOrder& aOrder) override;
+  void SendGrant(CallTag aTag, const std::string& aAddress, const GrantCommand& aOrder) override;
+  void SendWork(const WorkCommand& aOrder) override;
   void CancelWork(WorkId aId) override;
   void AnswerCaller(CallerId aCaller, const WorkAnswer& aAnswer) override;
   void AnswerOperator(OperatorId aOperator, const OperatorAnswer& aAnswer) override;
--- a/Libraries/LibDaemon/Settings.cpp
+++ b/Libraries/LibDaemon/Settings.cpp
@@ -205,7 +205,7 @@
   if (aTiming.heartbeatInterval_ * 2 > aTiming.membership_.silenceLimit_) {
     return FieldError{ "--heartbeat_interval_ms", "must be at most half of --silence_limit_ms" };
   }
-  aTiming.placer_.grantTail_ = aTiming.grant_.term_ + aTiming.grant_.margin_ * 2;
+  aTiming.placer_.formerGrantTimeout_ = aTiming.grant_.term_ + aTiming.grant_.margin_ * 2;
   return outcome::success();
 }
 
@@ -213,10 +213,10 @@
 ReadIntervals(InstanceTiming& aTiming)
 {
   BOOST_OUTCOME_TRY(
-    aTiming.viewBound_,
+    aTiming.maxViewAge_,
     MillisecondsWithin("view_bound_ms", absl::GetFlag(FLAGS_view_bound_ms), 500, 600000));
   BOOST_OUTCOME_TRY(
-    aTiming.storePoll_,
+    aTiming.storePollInterval_,
     MillisecondsWithin("store_poll_ms", absl::GetFlag(FLAGS_store_poll_ms), 50, 60000));
   BOOST_OUTCOME_TRY(
     aTiming.reportInterval_,
@@ -230,14 +230,14 @@
     Within("claim_writes_per_second", absl::GetFlag(FLAGS_claim_writes_per_second), 1, 1000));
   aTiming.claim_.rate_ = claims;
   BOOST_OUTCOME_TRY(
-    aTiming.mostParked_,
+    aTiming.maxParkedTime_,
     MillisecondsWithin("max_parked_ms", absl::GetFlag(FLAGS_max_parked_ms), 0, 60000));
   BOOST_OUTCOME_TRY(
-    aTiming.confirmWait_,
+    aTiming.confirmTimeout_,
     MillisecondsWithin("confirm_wait_ms", absl::GetFlag(FLAGS_confirm_wait_ms), 100, 60000));
   BOOST_OUTCOME_TRY(const auto inFlight,
                     Within("max_in_flight", absl::GetFlag(FLAGS_max_in_flight), 1, 1000000));
-  aTiming.mostInFlight_ = static_cast<std::size_t>(inFlight);
+  aTiming.maxInFlight_ = static_cast<std::size_t>(inFlight);
   return outcome::success();
 }
 
--- a/Libraries/LibDispatch/ClaimBook.cpp
+++ b/Libraries/LibDispatch/ClaimRegistry.cpp
@@ -1,4 +1,4 @@
-#include "LibDispatch/ClaimBook.h"
+#include "LibDispatch/ClaimRegistry.h"
 
 #include <algorithm>
 #include <utility>
@@ -13,14 +13,16 @@
 } // namespace
 
 std::string
-ClaimBook::RowKey(std::string_view aService, std::string_view aGroup, std::string_view aRequestId)
+ClaimRegistry::RowKey(std::string_view aService,
+                      std::string_view aGroup,
+                      std::string_view aRequestId)
 {
   std::string key = "claim/";
   key.append(aService).append("/").append(aGroup).append("/").append(aRequestId);
   return key;
 }
 
-ClaimBook::ClaimBook(std::string aWriter, ClaimTiming aTiming)
+ClaimRegistry::ClaimRegistry(std::string aWriter, ClaimTiming aTiming)
   : writer_(std::move(aWriter))
   , timing_(aTiming)
   , allowance_(aTiming.burst_)
@@ -28,7 +30,10 @@
 }
 
 bool
-ClaimBook::Submit(Instant aNow, ClaimId aId, std::string aRowKey, const std::string& aSendingToken)
+ClaimRegistry::Submit(Instant aNow,
+                      ClaimId aId,
+                      std::string aRowKey,
+                      const std::string& aSendingToken)
 {
   if (IsOutage(aNow)) {
     return false;
@@ -43,7 +48,7 @@
 }
 
 void
-ClaimBook::Release(ClaimId aId)
+ClaimRegistry::Release(ClaimId aId)
 {
   const auto won = won_.find(aId);
   if (won != won_.end()) {
@@ -61,7 +66,7 @@
 }
 
 void
-ClaimBook::Close(ClaimId aId, std::string_view aOutcome)
+ClaimRegistry::Close(ClaimId aId, std::string_view aOutcome)
 {
   const auto won = won_.find(aId);
   if (won == won_.end()) {
@@ -72,7 +77,7 @@
 }
 
 void
-ClaimBook::Refill(Instant aNow)
+ClaimRegistry::Refill(Instant aNow)
 {
   const auto elapsed = std::chrono::duration<double>(aNow - refilledAt_).count();
   allowance_ = std::min(timing_.burst_, allowance_ + elapsed * timing_.rate_);
@@ -80,7 +85,7 @@
 }
 
 std::optional<ClaimCall>
-ClaimBook::NextCall(Instant aNow)
+ClaimRegistry::NextCall(Instant aNow)
 {
   if (isCallOut_ || IsOutage(aNow)) {
     return std::nullopt;
@@ -135,7 +140,7 @@
 }
 
 std::optional<ClaimDecision>
-ClaimBook::Settle(Claim& aClaim, const Row* aRow)
+ClaimRegistry::Settle(Claim& aClaim, const Row* aRow)
 {
   const bool isAbsent = aRow == nullptr || aRow->version_ == 0;
   if (!isAbsent && aRow->value_ == aClaim.value_) {
@@ -166,7 +171,7 @@
 }
 
 std::vector<ClaimDecision>
-ClaimBook::OnTransactionDone(const StoreReply& aReply)
+ClaimRegistry::OnTransactionDone(const StoreReply& aReply)
 {
   std::vector<ClaimDecision> decisions;
   for (auto& claim : inFlight_) {
@@ -184,7 +189,7 @@
 }
 
 std::vector<ClaimDecision>
-ClaimBook::OnConflict(const StoreReply& aReply)
+ClaimRegistry::OnConflict(const StoreReply& aReply)
 {
   std::vector<ClaimDecision> decisions;
   auto claims = std::move(inFlight_);
@@ -213,7 +218,7 @@
 }
 
 std::vector<ClaimDecision>
-ClaimBook::OnReadBack(const StoreReply& aReply)
+ClaimRegistry::OnReadBack(const StoreReply& aReply)
 {
   std::vector<ClaimDecision> decisions;
   auto claims = std::move(inFlight_);
@@ -235,7 +240,7 @@
 }
 
 std::vector<ClaimDecision>
-ClaimBook::FailAll(Instant aNow)
+ClaimRegistry::FailAll(Instant aNow)
 {
   outageUntil_ = aNow + timing_.outagePause_;
   std::vector<ClaimDecision> decisions;
@@ -260,7 +265,7 @@
 }
 
 std::vector<ClaimDecision>
-ClaimBook::OnReply(Instant aNow, const StoreReply& aReply)
+ClaimRegistry::OnReply(Instant aNow, const StoreReply& aReply)
 {
   isCallOut_ = false;
   const bool wasRead = std::exchange(isReadOut_, false);
@@ -269,7 +274,7 @@
       return wasRead ? OnReadBack(aReply) : OnTransactionDone(aReply);
     case StoreStatus::Conflict:
       return OnConflict(aReply);
-    case StoreStatus::Unsure:
+    case StoreStatus::Indeterminate:
       // NOTE: The outcome of the claims is unknown. Dispatching now could run a booking
       // twice, and reporting a duplicate could forbid its retry for good, so the rows are
       // read back first.
--- a/Libraries/LibDispatch/ClaimBook.h
+++ b/Libraries/LibDispatch/ClaimRegistry.h
@@ -58,11 +58,11 @@
 // service. A claimed id never runs a second time, whichever instance the request comes
 // through. Claims are written in batches, limited by a token bucket of transactions. Pure
 // decisions without I/O.
-class ClaimBook
+class ClaimRegistry
 {
 public:
   // aWriter identifies the rows written by this process.
-  ClaimBook(std::string aWriter, ClaimTiming aTiming);
+  ClaimRegistry(std::string aWriter, ClaimTiming aTiming);
 
   // Queues a claim; OnReply returns the decision. Returns false during a known outage, when
   // nothing is queued. aSendingToken identifies one delivery of the request: a claim that
--- a/Libraries/LibDispatch/GrantKeeper.cpp
+++ b/Libraries/LibDispatch/GrantManager.cpp
@@ -1,4 +1,4 @@
-#include "LibDispatch/GrantKeeper.h"
+#include "LibDispatch/GrantManager.h"
 
 #include <algorithm>
 
@@ -15,7 +15,7 @@
 }
 
 bool
-ShareHash(const std::vector<HashRange>& aLeft, const std::vector<HashRange>& aRight)
+RangesOverlap(const std::vector<HashRange>& aLeft, const std::vector<HashRange>& aRight)
 {
   return std::any_of(aLeft.begin(), aLeft.end(), [&](const HashRange& aOne) {
     return std::any_of(aRight.begin(), aRight.end(), [&](const HashRange& aOther) {
@@ -24,22 +24,22 @@
   });
 }
 
-GrantKeeper::GrantKeeper(std::string aService,
-                         std::string aServer,
-                         bool aChecksOrders,
-                         GrantTiming aTiming)
+GrantManager::GrantManager(std::string aService,
+                           std::string aServer,
+                           bool aChecksGrants,
+                           GrantTiming aTiming)
   : service_(std::move(aService))
   , server_(std::move(aServer))
-  , checksOrders_(aChecksOrders)
+  , checksGrants_(aChecksGrants)
   , timing_(aTiming)
 {
 }
 
 void
-GrantKeeper::SetWish(Fence aFence,
-                     RowVersion aPlacementVersion,
-                     std::vector<HashRange> aRanges,
-                     bool aFormerHoldersSettled)
+GrantManager::SetDesiredRanges(Fence aFence,
+                               RowVersion aPlacementVersion,
+                               std::vector<HashRange> aRanges,
+                               bool aFormerHoldersSettled)
 {
   if (aFence != fence_) {
     fence_ = aFence;
@@ -56,7 +56,7 @@
   }
   // A server that checks fences rejects former holders by the higher fence itself. For any
   // other server, the former holders must be known to have stopped.
-  if (state_ == GrantState::Waiting && (checksOrders_ || aFormerHoldersSettled)) {
+  if (state_ == GrantState::Waiting && (checksGrants_ || aFormerHoldersSettled)) {
     state_ = GrantState::Contacting;
   }
   wishVersion_ = aPlacementVersion;
@@ -70,7 +70,7 @@
 }
 
 bool
-GrantKeeper::IsOrderDue(Instant aNow) const
+GrantManager::IsOrderDue(Instant aNow) const
 {
   if (state_ == GrantState::Waiting) {
     return false;
@@ -78,10 +78,10 @@
   return isChanged_ || aNow - lastSentAt_ >= timing_.renewInterval_;
 }
 
-GrantOrder
-GrantKeeper::ComposeOrder(Instant aNow)
+GrantCommand
+GrantManager::ComposeOrder(Instant aNow)
 {
-  GrantOrder order;
+  GrantCommand order;
   order.service_ = service_;
   order.server_ = server_;
   order.fence_ = fence_;
@@ -99,7 +99,7 @@
 }
 
 void
-GrantKeeper::Withhold()
+GrantManager::Withhold()
 {
   // NOTE: No grant of this fence is valid any more, and none is given even if the server
   // returns, because the placer may be moving its slices.
@@ -111,8 +111,8 @@
   isChanged_ = true;
 }
 
-std::vector<GrantOrder>
-GrantKeeper::Tick(Instant aNow)
+std::vector<GrantCommand>
+GrantManager::Tick(Instant aNow)
 {
   const bool isActive = state_ == GrantState::Granted || state_ == GrantState::Contacting;
   if (isActive && hasSentGrants_ && aNow >= expiryBound_) {
@@ -133,10 +133,10 @@
 }
 
 void
-GrantKeeper::OnReply(Instant aNow,
-                     Instant aSentAt,
-                     const GrantOrder& aOrder,
-                     const GrantReply& aReply)
+GrantManager::OnReply(Instant aNow,
+                      Instant aSentAt,
+                      const GrantCommand& aOrder,
+                      const GrantReply& aReply)
 {
   if (aOrder.fence_ != fence_) {
     return;
@@ -183,7 +183,7 @@
 }
 
 void
-GrantKeeper::Resume()
+GrantManager::Resume()
 {
   if (state_ == GrantState::Withheld) {
     state_ = GrantState::Contacting;
@@ -194,13 +194,13 @@
 }
 
 bool
-GrantKeeper::IsUsable(Instant aNow) const
+GrantManager::IsUsable(Instant aNow) const
 {
   return state_ == GrantState::Granted && aNow < usableUntil_;
 }
 
 bool
-GrantKeeper::MayDispatch(Instant aNow, KeyHash aHash) const
+GrantManager::MayDispatch(Instant aNow, KeyHash aHash) const
 {
   // The range must be granted by the server and still be desired: a range that is being
   // released gets no new work.
@@ -208,7 +208,7 @@
 }
 
 bool
-GrantKeeper::IsReachable(Instant aNow) const
+GrantManager::IsReachable(Instant aNow) const
 {
   return lastAnswerAt_ != Instant{ 0 } && aNow - lastAnswerAt_ <= timing_.term_;
 }
--- a/Libraries/LibDispatch/GrantKeeper.h
+++ b/Libraries/LibDispatch/GrantManager.h
@@ -21,10 +21,10 @@
 
 // Whether two lists of ranges have a hash in common.
 bool
-ShareHash(const std::vector<HashRange>& aLeft, const std::vector<HashRange>& aRight);
+RangesOverlap(const std::vector<HashRange>& aLeft, const std::vector<HashRange>& aRight);
 
 // Sets the grant of a server to the given ranges, in place of the former ones.
-struct GrantOrder
+struct GrantCommand
 {
   std::string service_;
   std::string server_;
@@ -82,25 +82,25 @@
 // A grant is a lease: it lets the holder dispatch work for a set of key ranges until a time
 // on the server's own clock. It carries the fencing token (fence) of the holder, and is
 // renewed as a whole before it expires. Pure decisions without I/O.
-class GrantKeeper
+class GrantManager
 {
 public:
-  GrantKeeper(std::string aService, std::string aServer, bool aChecksOrders, GrantTiming aTiming);
+  GrantManager(std::string aService, std::string aServer, bool aChecksGrants, GrantTiming aTiming);
 
   // Sets the ranges that the newest placement assigns to the server. Ranges that are no
   // longer assigned are released; that is complete when ReleasedVersion() reaches
   // aPlacementVersion.
-  void SetWish(Fence aFence,
-               RowVersion aPlacementVersion,
-               std::vector<HashRange> aRanges,
-               bool aFormerHoldersSettled);
+  void SetDesiredRanges(Fence aFence,
+                        RowVersion aPlacementVersion,
+                        std::vector<HashRange> aRanges,
+                        bool aFormerHoldersSettled);
 
   // Returns the command to send now, if one is due.
-  std::vector<GrantOrder> Tick(Instant aNow);
+  std::vector<GrantCommand> Tick(Instant aNow);
 
   // Handles the server's answer to aOrder. aSentAt is when the command was passed to the
   // network.
-  void OnReply(Instant aNow, Instant aSentAt, const GrantOrder& aOrder, const GrantReply& aReply);
+  void OnReply(Instant aNow, Instant aSentAt, const GrantCommand& aOrder, const GrantReply& aReply);
 
   // The placer has decided that the server keeps its slices: leaves the Withheld state.
   void Resume();
@@ -130,13 +130,13 @@
   bool WasRefused() const { return refused_; }
 
 private:
-  GrantOrder ComposeOrder(Instant aNow);
+  GrantCommand ComposeOrder(Instant aNow);
   bool IsOrderDue(Instant aNow) const;
   void Withhold();
 
   std::string service_;
   std::string server_;
-  bool checksOrders_;
+  bool checksGrants_;
   GrantTiming timing_;
 
   GrantState state_ = GrantState::Waiting;
--- a/Libraries/LibDispatch/ServerQueue.h
+++ b/Libraries/LibDispatch/ServerQueue.h
@@ -68,7 +68,7 @@
   std::vector<WorkId> TakeExpired(Instant aNow);
 
   // Sets the number of slots that work of a former holder still occupies.
-  void SetForeign(unsigned aSlots) { foreign_ = aSlots; }
+  void SetForeignSlots(unsigned aSlots) { foreign_ = aSlots; }
 
   std::size_t Waiting() const { return waiting_; }
   std::size_t Running() const { return running_.size(); }
--- a/Libraries/LibFleet/PlacerDuty.cpp
+++ b/Libraries/LibFleet/PlacerDuty.cpp
@@ -236,7 +236,7 @@
     return;
   }
   switch (aReply.status_) {
-    case StoreStatus::Unsure:
+    case StoreStatus::Indeterminate:
       events_.Record(Event::StoreUnsure, "row=" + write.transaction_.writes_.front().key_);
       [[fallthrough]];
     case StoreStatus::Unavailable:
--- a/Libraries/LibInstance/DispatchDesk.cpp
+++ b/Libraries/LibInstance/DispatchController.cpp
@@ -1,4 +1,4 @@
-#include "LibInstance/DispatchDesk.h"
+#include "LibInstance/DispatchController.h"
 
 #include <algorithm>
 #include <atomic>
@@ -21,7 +21,9 @@
   return ++sLast;
 }
 
-DispatchDesk::DispatchDesk(InstanceContext aContext, AnswerFunction aAnswer, ReportFunction aReport)
+DispatchController::DispatchController(InstanceContext aContext,
+                                       AnswerFunction aAnswer,
+                                       ReportFunction aReport)
   : context_(aContext)
   , answer_(std::move(aAnswer))
   , reporter_(aContext, std::move(aReport))
@@ -30,13 +32,13 @@
 }
 
 std::string
-DispatchDesk::HeldKey(std::string_view aService, std::string_view aServer)
+DispatchController::HeldKey(std::string_view aService, std::string_view aServer)
 {
   return std::string(aService) + "/" + std::string(aServer);
 }
 
 HeldServer*
-DispatchDesk::FindHeldFor(const WorkRequest& aRequest, KeyHash aHash, Reason& aReason)
+DispatchController::FindHeldFor(const WorkRequest& aRequest, KeyHash aHash, Reason& aReason)
 {
   const auto* placed = context_.view_.FindPlacement(aRequest.service_);
   aReason = Reason::NotHolder;
@@ -58,10 +60,10 @@
 }
 
 Reason
-DispatchDesk::CheckAdmission(Instant aNow,
-                             HeldServer& aHeld,
-                             const HeldWork& aWork,
-                             Duration& aRetryAfter)
+DispatchController::CheckAdmission(Instant aNow,
+                                   HeldServer& aHeld,
+                                   const HeldWork& aWork,
+                                   Duration& aRetryAfter)
 {
   if (!aHeld.keeper_.MayDispatch(aNow, aWork.hash_)) {
     aRetryAfter = kOwnerChangeRetry;
@@ -83,7 +85,7 @@
 }
 
 void
-DispatchDesk::Submit(Instant aNow, const WorkRequest& aRequest, const ReplyTo& aReplyTo)
+DispatchController::Submit(Instant aNow, const WorkRequest& aRequest, const ReplyTo& aReplyTo)
 {
   const auto hash = HashKey(aRequest.key_);
   auto reason = Reason::None;
@@ -107,7 +109,8 @@
   const bool needsClaim = aRequest.NeedsClaim();
   const auto id = work.id_;
   if (needsClaim) {
-    const auto rowKey = ClaimBook::RowKey(aRequest.service_, aRequest.group_, aRequest.requestId_);
+    const auto rowKey =
+      ClaimRegistry::RowKey(aRequest.service_, aRequest.group_, aRequest.requestId_);
     if (!claims_.Submit(aNow, id, rowKey, aRequest.sendingToken_)) {
       answer_(aNow, aReplyTo, MakeNotRun(Reason::StoreUnavailable, kOutageRetry));
       return;
@@ -125,7 +128,7 @@
 }
 
 void
-DispatchDesk::Enqueue(Instant aNow, HeldServer& aHeld, WorkId aId)
+DispatchController::Enqueue(Instant aNow, HeldServer& aHeld, WorkId aId)
 {
   auto& work = aHeld.works_.at(aId);
   Duration retryAfter{ 0 };
@@ -141,7 +144,7 @@
 }
 
 void
-DispatchDesk::Answer(Instant aNow, HeldWork& aWork, const WorkAnswer& aLast)
+DispatchController::Answer(Instant aNow, HeldWork& aWork, const WorkAnswer& aLast)
 {
   if (aWork.isAnswered_) {
     return;
@@ -167,18 +170,18 @@
 }
 
 void
-DispatchDesk::Drop(HeldServer& aHeld, WorkId aId)
+DispatchController::Drop(HeldServer& aHeld, WorkId aId)
 {
   heldOfWork_.erase(aId);
   aHeld.works_.erase(aId);
 }
 
 void
-DispatchDesk::Dispatch(Instant aNow, HeldServer& aHeld, HeldWork& aWork)
+DispatchController::Dispatch(Instant aNow, HeldServer& aHeld, HeldWork& aWork)
 {
   aWork.phase_ = HeldWork::Phase::Running;
   aWork.startedAt_ = aNow;
-  WorkOrder order;
+  WorkCommand order;
   order.id_ = aWork.id_;
   order.server_ = aHeld.server_;
   order.address_ = aHeld.address_;
@@ -195,7 +198,7 @@
 }
 
 void
-DispatchDesk::Pump(Instant aNow, HeldServer& aHeld)
+DispatchController::Pump(Instant aNow, HeldServer& aHeld)
 {
   for (const auto id : aHeld.queue_.TakeExpired(aNow)) {
     auto& work = aHeld.works_.at(id);
@@ -217,7 +220,7 @@
 }
 
 void
-DispatchDesk::Abandon(Instant aNow, HeldWork& aWork)
+DispatchController::Abandon(Instant aNow, HeldWork& aWork)
 {
   // NOTE: The work may still be running at the server, so its slot stays occupied.
   // SettleAbandoned() frees it once the server has answered a grant command that was sent after
@@ -227,7 +230,7 @@
 }
 
 void
-DispatchDesk::Cancel(Instant aNow, const ReplyTo& aReplyTo)
+DispatchController::Cancel(Instant aNow, const ReplyTo& aReplyTo)
 {
   const auto found = workOfReply_.find(aReplyTo);
   if (found == workOfReply_.end()) {
@@ -247,7 +250,7 @@
 }
 
 bool
-DispatchDesk::TryAgain(Instant aNow, HeldServer& aHeld, HeldWork& aWork)
+DispatchController::TryAgain(Instant aNow, HeldServer& aHeld, HeldWork& aWork)
 {
   const bool mayRepeat = aWork.request_.isRepeatable_ && !aWork.isAnswered_ &&
                          aHeld.keeper_.MayDispatch(aNow, aWork.hash_) && aHeld.retries_.TrySpend();
@@ -271,7 +274,7 @@
 }
 
 void
-DispatchDesk::Measure(HeldServer& aHeld, const HeldWork& aWork, Duration aBusy)
+DispatchController::Measure(HeldServer& aHeld, const HeldWork& aWork, Duration aBusy)
 {
   const auto* placed = context_.view_.FindPlacement(aHeld.service_);
   if (placed != nullptr) {
@@ -282,7 +285,7 @@
 }
 
 void
-DispatchDesk::OnWorkReply(Instant aNow, WorkId aId, const WorkReply& aReply)
+DispatchController::OnWorkReply(Instant aNow, WorkId aId, const WorkReply& aReply)
 {
   const auto owner = heldOfWork_.find(aId);
   if (owner == heldOfWork_.end()) {
@@ -294,45 +297,45 @@
     return;
   }
   WorkAnswer answer;
-  switch (aReply.end_) {
-    case WorkEnd::Answered:
+  switch (aReply.outcome_) {
+    case WorkOutcome::Answered:
       answer.outcome_ = RequestOutcome::Answered;
       answer.status_ = aReply.status_;
       answer.body_ = aReply.body_;
       answer.contentType_ = aReply.contentType_;
       Measure(held, work, aNow - work.startedAt_);
       break;
-    case WorkEnd::Refused:
+    case WorkOutcome::Refused:
       answer = MakeNotRun(Reason::ServerRefused, kOwnerChangeRetry);
       break;
-    case WorkEnd::Shed:
+    case WorkOutcome::Shed:
       answer = MakeNotRun(Reason::ServerShed, std::max(aReply.retryAfter_, kOwnerChangeRetry));
       break;
-    case WorkEnd::Expired:
+    case WorkOutcome::Expired:
       answer = MakeNotRun(Reason::DeadlinePassed, held.queue_.EstimateWait(work.request_.group_));
       break;
-    case WorkEnd::Cancelled:
+    case WorkOutcome::Cancelled:
       answer = MakeNotRun(Reason::Cancelled, Duration{ 0 });
       break;
-    case WorkEnd::NotSent:
+    case WorkOutcome::NotSent:
       answer = MakeNotRun(Reason::ServerUnreachable, kOwnerChangeRetry);
       break;
-    case WorkEnd::Broken:
+    case WorkOutcome::Broken:
       Abandon(aNow, work);
       if (!TryAgain(aNow, held, work)) {
         Answer(aNow, work, MakeUnknown(Reason::ConnectionBroken));
       }
       return;
   }
-  const bool ran = aReply.end_ == WorkEnd::Answered;
+  const bool ran = aReply.outcome_ == WorkOutcome::Answered;
   held.queue_.Finish(aId, ran ? aNow - work.startedAt_ : Duration{ 0 });
   Answer(aNow, work, answer);
   Drop(held, aId);
   Pump(aNow, held);
 }
 
-std::optional<DispatchDesk::Order>
-DispatchDesk::TakeOrder(CallTag aTag)
+std::optional<DispatchController::Order>
+DispatchController::TakeOrder(CallTag aTag)
 {
   const auto found = orders_.find(aTag);
   if (found == orders_.end()) {
@@ -344,7 +347,7 @@
 }
 
 void
-DispatchDesk::OnGrantReply(Instant aNow, CallTag aTag, const GrantReply& aReply)
+DispatchController::OnGrantReply(Instant aNow, CallTag aTag, const GrantReply& aReply)
 {
   const auto order = TakeOrder(aTag);
   const auto entry = order ? held_.find(order->key_) : held_.end();
@@ -367,14 +370,14 @@
         " state=" + std::string(kGrantStateNames.NameOf(held.keeper_.State())));
   }
   held.isRefused_ = false;
-  held.queue_.SetForeign(held.keeper_.ForeignRunning());
+  held.queue_.SetForeignSlots(held.keeper_.ForeignRunning());
   SettleAbandoned(held, order->sentAt_);
   reporter_.Report(aNow, held);
   Pump(aNow, held);
 }
 
 void
-DispatchDesk::SettleAbandoned(HeldServer& aHeld, Instant aOrderSentAt)
+DispatchController::SettleAbandoned(HeldServer& aHeld, Instant aOrderSentAt)
 {
   for (const auto id : aHeld.AbandonedBefore(aOrderSentAt)) {
     aHeld.queue_.Finish(id, Duration{ 0 });
@@ -383,7 +386,7 @@
 }
 
 void
-DispatchDesk::OnConnectionRefused(Instant aNow, CallTag aTag)
+DispatchController::OnConnectionRefused(Instant aNow, CallTag aTag)
 {
   const auto order = TakeOrder(aTag);
   const auto entry = order ? held_.find(order->key_) : held_.end();
@@ -395,7 +398,7 @@
 }
 
 void
-DispatchDesk::PumpClaims(Instant aNow)
+DispatchController::PumpClaims(Instant aNow)
 {
   if (claimTag_ != 0) {
     return;
@@ -415,7 +418,7 @@
 }
 
 bool
-DispatchDesk::OnStoreReply(Instant aNow, CallTag aTag, const StoreReply& aReply)
+DispatchController::OnStoreReply(Instant aNow, CallTag aTag, const StoreReply& aReply)
 {
   if (aTag != claimTag_ || aTag == 0) {
     return false;
@@ -456,7 +459,7 @@
 }
 
 void
-DispatchDesk::OnResume(const ResumeOrder& aOrder)
+DispatchController::OnResume(const ResumeCommand& aOrder)
 {
   const auto found = held_.find(HeldKey(aOrder.service_, aOrder.server_));
   if (found == held_.end()) {
@@ -474,7 +477,7 @@
 }
 
 bool
-DispatchDesk::IsHolderInView(const HeldServer& aHeld) const
+DispatchController::IsHolderInView(const HeldServer& aHeld) const
 {
   const auto* placed = context_.view_.FindPlacement(aHeld.service_);
   if (placed == nullptr) {
@@ -485,9 +488,9 @@
 }
 
 void
-DispatchDesk::TurnAwayWaiting(Instant aNow, HeldServer& aHeld, Reason aReason)
+DispatchController::TurnAwayWaiting(Instant aNow, HeldServer& aHeld, Reason aReason)
 {
-  for (const auto id : aHeld.NotYetSent()) {
+  for (const auto id : aHeld.UnsentWork()) {
     aHeld.queue_.Remove(id);
     Answer(aNow, aHeld.works_.at(id), MakeNotRun(aReason, kOwnerChangeRetry));
     Drop(aHeld, id);
@@ -495,7 +498,7 @@
 }
 
 void
-DispatchDesk::FollowView(Instant aNow)
+DispatchController::FollowView(Instant aNow)
 {
   const auto& configuration = context_.view_.Configuration();
   for (const auto& service : configuration.services_) {
@@ -533,7 +536,7 @@
 }
 
 void
-DispatchDesk::LetGo(Instant aNow)
+DispatchController::LetGo(Instant aNow)
 {
   for (auto entry = held_.begin(); entry != held_.end();) {
     auto& held = *entry->second;
@@ -557,7 +560,7 @@
 }
 
 void
-DispatchDesk::Tick(Instant aNow)
+DispatchController::Tick(Instant aNow)
 {
   for (auto& [key, held] : held_) {
     const auto before = held->keeper_.State();
--- a/Libraries/LibInstance/DispatchDesk.h
+++ b/Libraries/LibInstance/DispatchController.h
@@ -20,13 +20,13 @@
 // exactly once through the answer function.
 // Does no I/O: actions go out through the outbox, and InstanceCore passes their outcomes to
 // the On...() functions.
-class DispatchDesk
+class DispatchController
 {
 public:
   using AnswerFunction = std::function<void(Instant, const ReplyTo&, const WorkAnswer&)>;
   using ReportFunction = HolderReporter::ReportFunction;
 
-  DispatchDesk(InstanceContext aContext, AnswerFunction aAnswer, ReportFunction aReport);
+  DispatchController(InstanceContext aContext, AnswerFunction aAnswer, ReportFunction aReport);
 
   // Accepts a request of this instance's callers or one that a peer forwarded. aReplyTo
   // identifies the receiver of its answer.
@@ -48,7 +48,7 @@
   bool OnStoreReply(Instant aNow, CallTag aTag, const StoreReply& aReply);
   // The placer has decided that a server whose grants are withheld keeps its slices; grants
   // may be given again.
-  void OnResume(const ResumeOrder& aOrder);
+  void OnResume(const ResumeCommand& aOrder);
 
   // Whether this instance holds no server any more and all its work has ended.
   bool IsIdle() const { return held_.empty(); }
@@ -61,7 +61,7 @@
   {
     std::string key_;
     Instant sentAt_;
-    GrantOrder order_;
+    GrantCommand order_;
   };
 
   // Removes and returns the grant command that was sent under a tag. Each is answered at most
@@ -102,7 +102,7 @@
   InstanceContext context_;
   AnswerFunction answer_;
   HolderReporter reporter_;
-  ClaimBook claims_;
+  ClaimRegistry claims_;
   std::map<std::string, std::unique_ptr<HeldServer>> held_;
   std::map<WorkId, std::string> heldOfWork_;
   std::map<ReplyTo, WorkId> workOfReply_;
--- a/Libraries/LibInstance/HeldServer.cpp
+++ b/Libraries/LibInstance/HeldServer.cpp
@@ -34,8 +34,8 @@
   : service_(aService.name_)
   , server_(aServer.name_)
   , address_(aServer.address_)
-  , checksOrders_(aService.checksOrders_)
-  , keeper_(aService.name_, aServer.name_, aService.checksOrders_, aTiming)
+  , checksGrants_(aService.checksGrants_)
+  , keeper_(aService.name_, aServer.name_, aService.checksGrants_, aTiming)
   , queue_(aService.slots_)
 {
 }
@@ -63,10 +63,10 @@
 HeldServer::FollowPlacement(const PlacedService& aPlaced, ServerIndex aIndex)
 {
   const auto& server = aPlaced.placement_.servers_[aIndex];
-  keeper_.SetWish(server.fence_,
-                  aPlaced.version_,
-                  RangesOf(aPlaced.placement_, aIndex),
-                  server.unsettled_.empty());
+  keeper_.SetDesiredRanges(server.fence_,
+                           aPlaced.version_,
+                           RangesOf(aPlaced.placement_, aIndex),
+                           server.formerHolders_.empty());
 }
 
 bool
@@ -80,7 +80,7 @@
 }
 
 std::vector<WorkId>
-HeldServer::NotYetSent() const
+HeldServer::UnsentWork() const
 {
   std::vector<WorkId> ids;
   for (const auto& [id, work] : works_) {
--- a/Libraries/LibInstance/HeldServer.h
+++ b/Libraries/LibInstance/HeldServer.h
@@ -69,7 +69,7 @@
   bool MayHaveWork() const;
 
   // Returns the work that waits for its claim or for a slot.
-  std::vector<WorkId> NotYetSent() const;
+  std::vector<WorkId> UnsentWork() const;
   // Returns the work that was abandoned before a moment.
   std::vector<WorkId> AbandonedBefore(Instant aMoment) const;
 
@@ -86,8 +86,8 @@
   std::string service_;
   std::string server_;
   std::string address_;
-  bool checksOrders_;
-  GrantKeeper keeper_;
+  bool checksGrants_;
+  GrantManager keeper_;
   ServerQueue queue_;
   LoadMeter meter_;
   RetryBudget retries_;
--- a/Libraries/LibInstance/HolderReporter.cpp
+++ b/Libraries/LibInstance/HolderReporter.cpp
@@ -21,7 +21,7 @@
   // has ended or the process is known to be gone.
   const auto* service = context_.view_.Configuration().FindService(aHeld.service_);
   const bool isDeclared = service != nullptr && service->FindServer(aHeld.server_) != nullptr;
-  return aHeld.checksOrders_ || aHeld.isRefused_ || !isDeclared ||
+  return aHeld.checksGrants_ || aHeld.isRefused_ || !isDeclared ||
          (aHeld.keeper_.IsConfirmed() && !aHeld.MayHaveWork());
 }
 
@@ -39,8 +39,9 @@
       continue;
     }
     for (const auto& server : placed->placement_.servers_) {
-      const bool isAwaited = std::find(server.unsettled_.begin(), server.unsettled_.end(), self) !=
-                             server.unsettled_.end();
+      const bool isAwaited =
+        std::find(server.formerHolders_.begin(), server.formerHolders_.end(), self) !=
+        server.formerHolders_.end();
       if (!isAwaited || aHolds(service.name_, server.name_)) {
         continue;
       }
--- a/Libraries/LibInstance/InstanceContext.h
+++ b/Libraries/LibInstance/InstanceContext.h
@@ -1,8 +1,8 @@
 #pragma once
 
 #include "LibBase/Event.h"
-#include "LibDispatch/ClaimBook.h"
-#include "LibDispatch/GrantKeeper.h"
+#include "LibDispatch/ClaimRegistry.h"
+#include "LibDispatch/GrantManager.h"
 #include "LibInstance/Outbox.h"
 #include "LibInstance/View.h"
 #include "LibMembership/Membership.h"
@@ -22,15 +22,15 @@
   Duration reportInterval_ = seconds(1);
   // How often a report is repeated until the placer has acted on it.
   Duration reportRepeat_ = milliseconds(200);
-  Duration storePoll_ = seconds(1);
+  Duration storePollInterval_ = seconds(1);
   // A view that neither the store nor a peer has confirmed for this long is not served from,
   // unless a majority of the instances was heard from within the same time.
-  Duration viewBound_ = seconds(3);
+  Duration maxViewAge_ = seconds(3);
   // How long a request may be retried while its key has no reachable owner.
-  Duration mostParked_ = seconds(1);
-  std::size_t mostInFlight_ = 4096;
+  Duration maxParkedTime_ = seconds(1);
+  std::size_t maxInFlight_ = 4096;
   // How long a confirmation waits until all instances have applied the configuration.
-  Duration confirmWait_ = seconds(5);
+  Duration confirmTimeout_ = seconds(5);
 };
 
 // References shared by the components of an instance; all outlive the components.
--- a/Libraries/LibInstance/InstanceCore.cpp
+++ b/Libraries/LibInstance/InstanceCore.cpp
@@ -39,7 +39,7 @@
   , placers_(
       MakeContext(),
       [this](Instant aNow, const Row& aRow) { InstallAndSpread(aNow, aRow); },
-      [this](const InstanceId& aTo, const ResumeOrder& aOrder) {
+      [this](const InstanceId& aTo, const ResumeCommand& aOrder) {
         if (aTo == membership_.Self()) {
           dispatch_.OnResume(aOrder);
         } else {
@@ -86,8 +86,8 @@
   if (!hasView_) {
     return false;
   }
-  return aNow - viewAsOf_ <= timing_.viewBound_ ||
-         membership_.HeardFromMajority(aNow, timing_.viewBound_);
+  return aNow - viewAsOf_ <= timing_.maxViewAge_ ||
+         membership_.HeardFromMajority(aNow, timing_.maxViewAge_);
 }
 
 void
@@ -130,7 +130,7 @@
   if (pollTag_ != 0 && aNow - pollSentAt_ > kPollLife) {
     pollTag_ = 0;
   }
-  const bool isDue = polledAt_ == Instant{ 0 } || aNow - polledAt_ >= timing_.storePoll_;
+  const bool isDue = polledAt_ == Instant{ 0 } || aNow - polledAt_ >= timing_.storePollInterval_;
   if (pollTag_ != 0 || !isDue) {
     return;
   }
@@ -245,7 +245,7 @@
 InstanceCore::TellInForce(const InstanceId& aPeer)
 {
   if (aPeer == view_.ConfirmedBy() && aPeer != membership_.Self()) {
-    outbox_.SendToPeer(aPeer, InForce{ view_.Revision() });
+    outbox_.SendToPeer(aPeer, ConfigurationApplied{ view_.Revision() });
   }
 }
 
@@ -306,9 +306,9 @@
 }
 
 void
-InstanceCore::Handle(Instant aNow, const InstanceId& aFrom, const InForce& aMessage)
+InstanceCore::Handle(Instant aNow, const InstanceId& aFrom, const ConfigurationApplied& aMessage)
 {
-  operators_.OnInForce(aNow, aFrom, aMessage.revision_);
+  operators_.OnConfigurationApplied(aNow, aFrom, aMessage.revision_);
 }
 
 void
@@ -340,7 +340,7 @@
 }
 
 void
-InstanceCore::Handle(Instant, const InstanceId& aFrom, const ResumeOrder& aMessage)
+InstanceCore::Handle(Instant, const InstanceId& aFrom, const ResumeCommand& aMessage)
 {
   const auto* placed = view_.FindPlacement(aMessage.service_);
   if (placed != nullptr && placed->placement_.placer_ == aFrom) {
@@ -464,7 +464,7 @@
                          { "view_age_ms", (aNow - viewAsOf_).count() / 1000 },
                          { "store_down", isStoreDown_ },
                          { "callers_in_flight", entry_.Pending() },
-                         { "placer_roles", placers_.RolesHeld() },
+                         { "placer_roles", placers_.PlacerRoleCount() },
                          { "instances", std::move(instances) },
                          { "services", std::move(services) },
                          { "intents", std::move(intents) },
--- a/Libraries/LibInstance/InstanceCore.h
+++ b/Libraries/LibInstance/InstanceCore.h
@@ -1,10 +1,10 @@
 #pragma once
 
-#include "LibInstance/DispatchDesk.h"
-#include "LibInstance/EntryDesk.h"
+#include "LibInstance/DispatchController.h"
 #include "LibInstance/InstanceContext.h"
-#include "LibInstance/OperatorDesk.h"
-#include "LibInstance/PlacerDesk.h"
+#include "LibInstance/PlacementController.h"
+#include "LibInstance/PlanController.h"
+#include "LibInstance/RequestRouter.h"
 
 #include <string>
 
@@ -55,15 +55,15 @@
   // Whether a leaving instance may exit without cutting off a request.
   bool MayStop() const;
 
-  // Whether the view is recent enough to serve from: confirmed within viewBound_, or backed
+  // Whether the view is recent enough to serve from: confirmed within maxViewAge_, or backed
   // by a majority of the instances.
   bool IsViewFresh(Instant aNow) const;
   // Returns the status document for operators as JSON.
   std::string DescribeStatus(Instant aNow) const;
   const View& CurrentView() const { return view_; }
   const Membership& Members() const { return membership_; }
-  const DispatchDesk& Dispatch() const { return dispatch_; }
-  const EntryDesk& Callers() const { return entry_; }
+  const DispatchController& Dispatch() const { return dispatch_; }
+  const RequestRouter& Callers() const { return entry_; }
 
 private:
   InstanceContext MakeContext();
@@ -85,22 +85,22 @@
   void Handle(Instant aNow, const InstanceId& aFrom, const Suspicion& aMessage);
   void Handle(Instant aNow, const InstanceId& aFrom, const ViewStamps& aMessage);
   void Handle(Instant aNow, const InstanceId& aFrom, const ViewRows& aMessage);
-  void Handle(Instant aNow, const InstanceId& aFrom, const InForce& aMessage);
+  void Handle(Instant aNow, const InstanceId& aFrom, const ConfigurationApplied& aMessage);
   void Handle(Instant aNow, const InstanceId& aFrom, const ForwardedRequest& aMessage);
   void Handle(Instant aNow, const InstanceId& aFrom, const ForwardedAnswer& aMessage);
   void Handle(Instant aNow, const InstanceId& aFrom, const ForwardedCancel& aMessage);
   void Handle(Instant aNow, const InstanceId& aFrom, const ServerReport& aMessage);
-  void Handle(Instant aNow, const InstanceId& aFrom, const ResumeOrder& aMessage);
+  void Handle(Instant aNow, const InstanceId& aFrom, const ResumeCommand& aMessage);
 
   InstanceTiming timing_;
   Outbox& outbox_;
   EventSink& events_;
   View view_;
   Membership membership_;
-  DispatchDesk dispatch_;
-  EntryDesk entry_;
-  PlacerDesk placers_;
-  OperatorDesk operators_;
+  DispatchController dispatch_;
+  RequestRouter entry_;
+  PlacementController placers_;
+  PlanController operators_;
 
   // When the view was last known to be up to date.
   Instant viewAsOf_{ 0 };
--- a/Libraries/LibInstance/Messages.h
+++ b/Libraries/LibInstance/Messages.h
@@ -2,7 +2,7 @@
 
 #include "LibBase/NameTable.h"
 #include "LibBase/Time.h"
-#include "LibDispatch/GrantKeeper.h"
+#include "LibDispatch/GrantManager.h"
 #include "LibDispatch/ServerQueue.h"
 #include "LibMembership/Membership.h"
 #include "LibPlacement/ServerReport.h"
@@ -139,7 +139,7 @@
   std::vector<Row> rows_;
 };
 // The sender has applied this revision of the configuration.
-struct InForce
+struct ConfigurationApplied
 {
   RowVersion revision_ = 0;
 };
@@ -162,15 +162,15 @@
                                  Suspicion,
                                  ViewStamps,
                                  ViewRows,
-                                 InForce,
+                                 ConfigurationApplied,
                                  ForwardedRequest,
                                  ForwardedAnswer,
                                  ForwardedCancel,
                                  ServerReport,
-                                 ResumeOrder>;
+                                 ResumeCommand>;
 
 // A command to a backend server to run a request.
-struct WorkOrder
+struct WorkCommand
 {
   WorkId id_ = 0;
   std::string server_;
@@ -183,7 +183,7 @@
 };
 
 // How an attempt at a backend server ended.
-enum class WorkEnd
+enum class WorkOutcome
 {
   Answered,
   // The server rejected the fence or the grant and did not run the work.
@@ -202,7 +202,7 @@
 
 struct WorkReply
 {
-  WorkEnd end_ = WorkEnd::Broken;
+  WorkOutcome outcome_ = WorkOutcome::Broken;
   unsigned status_ = 0;
   Duration retryAfter_{ 0 };
   Body body_;
--- a/Libraries/LibInstance/PlacerDesk.cpp
+++ b/Libraries/LibInstance/PlacementController.cpp
@@ -1,6 +1,6 @@
-#include "LibInstance/PlacerDesk.h"
+#include "LibInstance/PlacementController.h"
 
-#include "LibInstance/DispatchDesk.h"
+#include "LibInstance/DispatchController.h"
 
 #include <algorithm>
 
@@ -15,15 +15,17 @@
 
 } // namespace
 
-PlacerDesk::PlacerDesk(InstanceContext aContext, InstallFunction aInstall, ResumeFunction aResume)
+PlacementController::PlacementController(InstanceContext aContext,
+                                         InstallFunction aInstall,
+                                         ResumeFunction aResume)
   : context_(aContext)
   , install_(std::move(aInstall))
   , resume_(std::move(aResume))
 {
 }
 
-PlacerDesk::Role&
-PlacerDesk::RoleOf(const std::string& aService)
+PlacementController::Role&
+PlacementController::RoleOf(const std::string& aService)
 {
   const auto found = roles_.find(aService);
   if (found != roles_.end()) {
@@ -33,14 +35,14 @@
 }
 
 std::size_t
-PlacerDesk::RolesHeld() const
+PlacementController::PlacerRoleCount() const
 {
   return static_cast<std::size_t>(std::count_if(
     roles_.begin(), roles_.end(), [](const auto& aEntry) { return aEntry.second.isPlacer_; }));
 }
 
 bool
-PlacerDesk::IsCandidate(Instant aNow, const std::string& aService) const
+PlacementController::IsCandidate(Instant aNow, const std::string& aService) const
 {
   // Rendezvous hashing: the instance with the highest hash of instance and service is the
   // candidate. The services spread over the instances, and all instances agree without
@@ -55,7 +57,7 @@
 }
 
 void
-PlacerDesk::OnReport(Instant aNow, const ServerReport& aReport)
+PlacementController::OnReport(Instant aNow, const ServerReport& aReport)
 {
   auto& role = RoleOf(aReport.service_);
   if (role.isPlacer_) {
@@ -65,7 +67,7 @@
 }
 
 void
-PlacerDesk::Tick(Instant aNow)
+PlacementController::Tick(Instant aNow)
 {
   if (!hasReadStore_ || !context_.membership_.IsSettled(aNow)) {
     return;
@@ -75,7 +77,7 @@
     if (role.tag_ != 0 || aNow < role.notBefore_ || aNow < role.idleUntil_) {
       continue;
     }
-    if (role.isUnsure_) {
+    if (role.isIndeterminate_) {
       ReadBack(service.name_, role);
     } else {
       Decide(aNow, service, role);
@@ -84,7 +86,7 @@
 }
 
 void
-PlacerDesk::Decide(Instant aNow, const ServiceDeclaration& aService, Role& aRole)
+PlacementController::Decide(Instant aNow, const ServiceDeclaration& aService, Role& aRole)
 {
   static const Placement kNothing;
   const auto* placed = context_.view_.FindPlacement(aService.name_);
@@ -128,17 +130,17 @@
     return;
   }
   aRole.idleUntil_ = aNow + kIdleRoundPause;
-  for (const auto& order : aRole.placer_.TakeResumable(current)) {
+  for (const auto& order : aRole.placer_.TakeResumeCommands(current)) {
     const auto index = current.FindServer(order.server_);
     resume_(current.servers_[*index].holder_, order);
   }
 }
 
 void
-PlacerDesk::Commit(Instant aNow,
-                   const std::string& aService,
-                   Role& aRole,
-                   PlacementProposal aProposal)
+PlacementController::Commit(Instant aNow,
+                            const std::string& aService,
+                            Role& aRole,
+                            PlacementProposal aProposal)
 {
   aProposal.placement_.token_ = MakeWriteToken(context_.membership_.Self(), NextTag());
   for (const auto& decision : aProposal.decisions_) {
@@ -150,7 +152,7 @@
 }
 
 void
-PlacerDesk::Send(const std::string& aService, Role& aRole)
+PlacementController::Send(const std::string& aService, Role& aRole)
 {
   StoreCall call;
   const auto key = PlacementKey(aService);
@@ -162,7 +164,7 @@
 }
 
 void
-PlacerDesk::ReadBack(const std::string& aService, Role& aRole)
+PlacementController::ReadBack(const std::string& aService, Role& aRole)
 {
   StoreCall call;
   call.isRead_ = true;
@@ -173,7 +175,7 @@
 }
 
 void
-PlacerDesk::OnCommitted(Instant aNow, Role& aRole, const Row& aRow)
+PlacementController::OnCommitted(Instant aNow, Role& aRole, const Row& aRow)
 {
   const auto& placement = aRole.proposal_->placement_;
   context_.events_.Record(Event::PlacementCommitted,
@@ -181,24 +183,24 @@
                             " version=" + std::to_string(aRow.version_) +
                             " decisions=" + std::to_string(aRole.proposal_->decisions_.size()));
   aRole.proposal_.reset();
-  aRole.isUnsure_ = false;
+  aRole.isIndeterminate_ = false;
   install_(aNow, aRow);
 }
 
 void
-PlacerDesk::OnRefused(Instant aNow, Role& aRole)
+PlacementController::OnRefused(Instant aNow, Role& aRole)
 {
   aRole.placer_.OnNotCommitted(*aRole.proposal_);
   aRole.proposal_.reset();
-  aRole.isUnsure_ = false;
+  aRole.isIndeterminate_ = false;
   aRole.notBefore_ = aNow + kOutagePause;
 }
 
 void
-PlacerDesk::OnConflict(Instant aNow,
-                       const std::string& aService,
-                       Role& aRole,
-                       const StoreReply& aReply)
+PlacementController::OnConflict(Instant aNow,
+                                const std::string& aService,
+                                Role& aRole,
+                                const StoreReply& aReply)
 {
   const auto* row = FindRow(aReply.rows_, PlacementKey(aService));
   const auto standing = row == nullptr ? FieldResult<Placement>(FieldError{ "row", "is absent" })
@@ -211,17 +213,17 @@
   context_.events_.Record(Event::PlacementConflict, "service=" + aService);
   aRole.placer_.OnNotCommitted(*aRole.proposal_);
   aRole.proposal_.reset();
-  aRole.isUnsure_ = false;
+  aRole.isIndeterminate_ = false;
   if (standing) {
     install_(aNow, *row);
   }
 }
 
 void
-PlacerDesk::OnReadBack(Instant aNow,
-                       const std::string& aService,
-                       Role& aRole,
-                       const StoreReply& aReply)
+PlacementController::OnReadBack(Instant aNow,
+                                const std::string& aService,
+                                Role& aRole,
+                                const StoreReply& aReply)
 {
   if (aReply.status_ != StoreStatus::Done) {
     aRole.notBefore_ = aNow + kOutagePause;
@@ -239,7 +241,7 @@
 }
 
 bool
-PlacerDesk::OnStoreReply(Instant aNow, CallTag aTag, const StoreReply& aReply)
+PlacementController::OnStoreReply(Instant aNow, CallTag aTag, const StoreReply& aReply)
 {
   const auto found = std::find_if(roles_.begin(), roles_.end(), [&](const auto& aEntry) {
     return aTag != 0 && aEntry.second.tag_ == aTag;
@@ -265,13 +267,13 @@
     case StoreStatus::Conflict:
       OnConflict(aNow, service, role, aReply);
       break;
-    case StoreStatus::Unsure:
+    case StoreStatus::Indeterminate:
       context_.events_.Record(Event::StoreUnsure, "service=" + service);
-      role.isUnsure_ = true;
+      role.isIndeterminate_ = true;
       role.notBefore_ = aNow + kReadBackPause;
       break;
     case StoreStatus::Unavailable:
-      if (role.isUnsure_) {
+      if (role.isIndeterminate_) {
         // An earlier attempt may still take effect, so the outcome remains open.
         role.notBefore_ = aNow + kOutagePause;
       } else {
--- a/Libraries/LibInstance/PlacerDesk.h
+++ b/Libraries/LibInstance/PlacementController.h
@@ -15,14 +15,14 @@
 // A role is held as long as the service's placement row names this instance; it does not
 // expire. Every write is conditional on the version of the row that the decision was based
 // on, so a placer that was replaced while it was suspended cannot change anything.
-class PlacerDesk
+class PlacementController
 {
 public:
   // Called with a committed row, to be installed and broadcast.
   using InstallFunction = std::function<void(Instant, const Row&)>;
-  using ResumeFunction = std::function<void(const InstanceId&, const ResumeOrder&)>;
+  using ResumeFunction = std::function<void(const InstanceId&, const ResumeCommand&)>;
 
-  PlacerDesk(InstanceContext aContext, InstallFunction aInstall, ResumeFunction aResume);
+  PlacementController(InstanceContext aContext, InstallFunction aInstall, ResumeFunction aResume);
 
   void Tick(Instant aNow);
   void OnReport(Instant aNow, const ServerReport& aReport);
@@ -33,7 +33,7 @@
   void OnStoreRead() { hasReadStore_ = true; }
 
   // Returns the number of services for which this instance is the placer.
-  std::size_t RolesHeld() const;
+  std::size_t PlacerRoleCount() const;
 
 private:
   struct Role
@@ -50,7 +50,7 @@
     CallTag tag_ = 0;
     bool isReadBack_ = false;
     // The answer to the write was lost; it may or may not have taken effect.
-    bool isUnsure_ = false;
+    bool isIndeterminate_ = false;
     Instant notBefore_{ 0 };
     Instant idleUntil_{ 0 };
   };
--- a/Libraries/LibInstance/OperatorDesk.cpp
+++ b/Libraries/LibInstance/PlanController.cpp
@@ -1,6 +1,6 @@
-#include "LibInstance/OperatorDesk.h"
+#include "LibInstance/PlanController.h"
 
-#include "LibInstance/DispatchDesk.h"
+#include "LibInstance/DispatchController.h"
 
 #include <algorithm>
 #include <boost/json.hpp>
@@ -13,24 +13,24 @@
 
 } // namespace
 
-OperatorDesk::OperatorDesk(InstanceContext aContext, InstallFunction aInstall)
+PlanController::PlanController(InstanceContext aContext, InstallFunction aInstall)
   : context_(aContext)
   , install_(std::move(aInstall))
 {
 }
 
 void
-OperatorDesk::AnswerError(OperatorId aOperator,
-                          unsigned aStatus,
-                          std::string_view aField,
-                          std::string_view aProblem)
+PlanController::AnswerError(OperatorId aOperator,
+                            unsigned aStatus,
+                            std::string_view aField,
+                            std::string_view aProblem)
 {
   const boost::json::object body{ { "error", { { "field", aField }, { "problem", aProblem } } } };
   context_.outbox_.AnswerOperator(aOperator, { aStatus, boost::json::serialize(body) });
 }
 
 void
-OperatorDesk::OnPlan(Instant aNow, OperatorId aOperator, const std::string& aDeclaration)
+PlanController::OnPlan(Instant aNow, OperatorId aOperator, const std::string& aDeclaration)
 {
   static_cast<void>(aNow);
   const auto wanted = ParseDeclaration(aDeclaration);
@@ -47,7 +47,7 @@
 }
 
 void
-OperatorDesk::OnConfirm(Instant aNow, OperatorId aOperator, const std::string& aPlan)
+PlanController::OnConfirm(Instant aNow, OperatorId aOperator, const std::string& aPlan)
 {
   auto plan = ParsePlan(aPlan);
   if (!plan) {
@@ -64,7 +64,7 @@
 }
 
 void
-OperatorDesk::Send(Confirmation& aConfirmation)
+PlanController::Send(Confirmation& aConfirmation)
 {
   StoreCall call;
   const std::string key(kConfigurationKey);
@@ -77,7 +77,7 @@
 }
 
 void
-OperatorDesk::ReadBack(Confirmation& aConfirmation)
+PlanController::ReadBack(Confirmation& aConfirmation)
 {
   StoreCall call;
   call.isRead_ = true;
@@ -88,10 +88,10 @@
 }
 
 void
-OperatorDesk::OnCommitted(Instant aNow, Confirmation& aConfirmation, const Row& aRow)
+PlanController::OnCommitted(Instant aNow, Confirmation& aConfirmation, const Row& aRow)
 {
   aConfirmation.isCommitted_ = true;
-  aConfirmation.isUnsure_ = false;
+  aConfirmation.isIndeterminate_ = false;
   aConfirmation.inForce_.insert(context_.membership_.Self());
   context_.events_.Record(Event::PlanConfirmed,
                           "plan=" + aConfirmation.plan_.Id() +
@@ -100,7 +100,7 @@
 }
 
 void
-OperatorDesk::AnswerConflict(const Confirmation& aConfirmation)
+PlanController::AnswerConflict(const Confirmation& aConfirmation)
 {
   context_.events_.Record(Event::PlanConflict,
                           "plan=" + aConfirmation.plan_.Id() +
@@ -119,7 +119,7 @@
 }
 
 bool
-OperatorDesk::OnStanding(Instant aNow, Confirmation& aConfirmation, const StoreReply& aReply)
+PlanController::OnStanding(Instant aNow, Confirmation& aConfirmation, const StoreReply& aReply)
 {
   const auto* found = FindRow(aReply.rows_, kConfigurationKey);
   const auto version = found == nullptr ? 0 : found->version_;
@@ -143,7 +143,7 @@
 }
 
 bool
-OperatorDesk::OnReply(Instant aNow, Confirmation& aConfirmation, const StoreReply& aReply)
+PlanController::OnReply(Instant aNow, Confirmation& aConfirmation, const StoreReply& aReply)
 {
   aConfirmation.tag_ = 0;
   switch (aReply.status_) {
@@ -160,15 +160,15 @@
       return TryFinish(aNow, aConfirmation);
     case StoreStatus::Conflict:
       return OnStanding(aNow, aConfirmation, aReply);
-    case StoreStatus::Unsure:
+    case StoreStatus::Indeterminate:
       context_.events_.Record(Event::StoreUnsure, "plan=" + aConfirmation.plan_.Id());
-      aConfirmation.isUnsure_ = true;
+      aConfirmation.isIndeterminate_ = true;
       aConfirmation.nextTryAt_ = aNow + kReadBackPause;
       return false;
     case StoreStatus::Unavailable:
       break;
   }
-  if (aConfirmation.isUnsure_) {
+  if (aConfirmation.isIndeterminate_) {
     aConfirmation.nextTryAt_ = aNow + kReadBackPause;
     return false;
   }
@@ -180,7 +180,7 @@
 }
 
 bool
-OperatorDesk::OnStoreReply(Instant aNow, CallTag aTag, const StoreReply& aReply)
+PlanController::OnStoreReply(Instant aNow, CallTag aTag, const StoreReply& aReply)
 {
   const auto found =
     std::find_if(confirmations_.begin(), confirmations_.end(), [&](const auto& aEntry) {
@@ -196,7 +196,7 @@
 }
 
 void
-OperatorDesk::OnInForce(Instant aNow, const InstanceId& aPeer, RowVersion aRevision)
+PlanController::OnConfigurationApplied(Instant aNow, const InstanceId& aPeer, RowVersion aRevision)
 {
   static_cast<void>(aNow);
   for (auto& [id, confirmation] : confirmations_) {
@@ -207,10 +207,10 @@
 }
 
 bool
-OperatorDesk::TryFinish(Instant aNow, const Confirmation& aConfirmation)
+PlanController::TryFinish(Instant aNow, const Confirmation& aConfirmation)
 {
-  const bool isOver = aNow - aConfirmation.startedAt_ >= context_.timing_.confirmWait_;
-  if (aConfirmation.isUnsure_ && isOver) {
+  const bool isOver = aNow - aConfirmation.startedAt_ >= context_.timing_.confirmTimeout_;
+  if (aConfirmation.isIndeterminate_ && isOver) {
     AnswerError(aConfirmation.operator_,
                 504,
                 "store",
@@ -245,11 +245,12 @@
 }
 
 void
-OperatorDesk::Tick(Instant aNow)
+PlanController::Tick(Instant aNow)
 {
   std::erase_if(confirmations_, [&](const auto& aEntry) { return TryFinish(aNow, aEntry.second); });
   for (auto& [id, confirmation] : confirmations_) {
-    if (confirmation.isUnsure_ && confirmation.tag_ == 0 && aNow >= confirmation.nextTryAt_) {
+    if (confirmation.isIndeterminate_ && confirmation.tag_ == 0 &&
+        aNow >= confirmation.nextTryAt_) {
       ReadBack(confirmation);
     }
   }
--- a/Libraries/LibInstance/OperatorDesk.h
+++ b/Libraries/LibInstance/PlanController.h
@@ -13,14 +13,14 @@
 
 // Serves the plan and confirm calls of operators. Confirming is one compare-and-swap write of
 // the configuration row, conditional on the revision that the plan was made from. The answer
-// waits, up to InstanceTiming::confirmWait_, until all instances have applied the new
+// waits, up to InstanceTiming::confirmTimeout_, until all instances have applied the new
 // configuration.
-class OperatorDesk
+class PlanController
 {
 public:
   using InstallFunction = std::function<void(Instant, const Row&)>;
 
-  OperatorDesk(InstanceContext aContext, InstallFunction aInstall);
+  PlanController(InstanceContext aContext, InstallFunction aInstall);
 
   // Answers with the plan for a declaration (200), or with the field that is invalid (400).
   void OnPlan(Instant aNow, OperatorId aOperator, const std::string& aDeclaration);
@@ -32,7 +32,7 @@
   // Returns false if the tag belongs to another component.
   bool OnStoreReply(Instant aNow, CallTag aTag, const StoreReply& aReply);
   // A peer has applied a revision.
-  void OnInForce(Instant aNow, const InstanceId& aPeer, RowVersion aRevision);
+  void OnConfigurationApplied(Instant aNow, const InstanceId& aPeer, RowVersion aRevision);
   void Tick(Instant aNow);
 
 private:
@@ -43,7 +43,7 @@
     std::string token_;
     CallTag tag_ = 0;
     bool isReadBack_ = false;
-    bool isUnsure_ = false;
+    bool isIndeterminate_ = false;
     bool isCommitted_ = false;
     Instant startedAt_{ 0 };
     Instant nextTryAt_{ 0 };
--- a/Libraries/LibInstance/EntryDesk.cpp
+++ b/Libraries/LibInstance/RequestRouter.cpp
@@ -1,4 +1,4 @@
-#include "LibInstance/EntryDesk.h"
+#include "LibInstance/RequestRouter.h"
 
 #include <algorithm>
 #include <vector>
@@ -21,7 +21,9 @@
 
 } // namespace
 
-EntryDesk::EntryDesk(InstanceContext aContext, SubmitFunction aSubmit, CancelFunction aCancel)
+RequestRouter::RequestRouter(InstanceContext aContext,
+                             SubmitFunction aSubmit,
+                             CancelFunction aCancel)
   : context_(aContext)
   , submit_(std::move(aSubmit))
   , cancel_(std::move(aCancel))
@@ -29,7 +31,7 @@
 }
 
 Reason
-EntryDesk::Validate(const WorkRequest& aRequest, bool aIsFresh) const
+RequestRouter::Validate(const WorkRequest& aRequest, bool aIsFresh) const
 {
   if (!aIsFresh) {
     return Reason::ViewStale;
@@ -41,14 +43,14 @@
   if (configuration.FindIntent(aRequest.group_, aRequest.service_) == nullptr) {
     return Reason::NoSuchGroup;
   }
-  if (pending_.size() >= context_.timing_.mostInFlight_) {
+  if (pending_.size() >= context_.timing_.maxInFlight_) {
     return Reason::TooManyInFlight;
   }
   return Reason::None;
 }
 
 void
-EntryDesk::OnRequest(Instant aNow, CallerId aCaller, const WorkRequest& aRequest, bool aIsFresh)
+RequestRouter::OnRequest(Instant aNow, CallerId aCaller, const WorkRequest& aRequest, bool aIsFresh)
 {
   const auto reason = Validate(aRequest, aIsFresh);
   if (reason != Reason::None || aRequest.deadline_ <= aNow) {
@@ -76,7 +78,7 @@
 }
 
 InstanceId
-EntryDesk::FindHolder(const WorkRequest& aRequest) const
+RequestRouter::FindHolder(const WorkRequest& aRequest) const
 {
   const auto* placed = context_.view_.FindPlacement(aRequest.service_);
   if (placed == nullptr) {
@@ -88,7 +90,7 @@
 }
 
 void
-EntryDesk::Route(Instant aNow, Entry aEntry)
+RequestRouter::Route(Instant aNow, Entry aEntry)
 {
   auto& pending = aEntry->second;
   const auto holder = FindHolder(pending.request_);
@@ -128,7 +130,7 @@
 }
 
 bool
-EntryDesk::IsWorthRetrying(const WorkAnswer& aAnswer)
+RequestRouter::IsWorthRetrying(const WorkAnswer& aAnswer)
 {
   if (aAnswer.outcome_ != RequestOutcome::NotRun) {
     return false;
@@ -147,13 +149,13 @@
 }
 
 void
-EntryDesk::Park(Instant aNow, Entry aEntry, const WorkAnswer& aWhy)
+RequestRouter::Park(Instant aNow, Entry aEntry, const WorkAnswer& aWhy)
 {
   auto& pending = aEntry->second;
   pending.mayHaveRun_ = pending.mayHaveRun_ || aWhy.outcome_ == RequestOutcome::Unknown;
   const auto backoff = BackoffAfter(pending.attempts_);
   const bool isTooLate = aNow + backoff >= pending.request_.deadline_ ||
-                         aNow - pending.arrivedAt_ >= context_.timing_.mostParked_;
+                         aNow - pending.arrivedAt_ >= context_.timing_.maxParkedTime_;
   if (isTooLate) {
     Finish(aEntry, aWhy);
     return;
@@ -164,7 +166,7 @@
 }
 
 void
-EntryDesk::Finish(Entry aEntry, const WorkAnswer& aLast)
+RequestRouter::Finish(Entry aEntry, const WorkAnswer& aLast)
 {
   const auto caller = aEntry->second.caller_;
   const bool isUncertain = aEntry->second.mayHaveRun_ && aLast.outcome_ == RequestOutcome::NotRun;
@@ -182,7 +184,7 @@
 }
 
 void
-EntryDesk::OnWorkAnswer(Instant aNow, std::uint64_t aAttempt, const WorkAnswer& aAnswer)
+RequestRouter::OnWorkAnswer(Instant aNow, std::uint64_t aAttempt, const WorkAnswer& aAnswer)
 {
   const auto caller = callerOfAttempt_.find(aAttempt);
   if (caller == callerOfAttempt_.end()) {
@@ -198,7 +200,7 @@
 }
 
 void
-EntryDesk::OnPeerDown(Instant aNow, const InstanceId& aPeer)
+RequestRouter::OnPeerDown(Instant aNow, const InstanceId& aPeer)
 {
   std::vector<CallerId> affected;
   for (const auto& [caller, pending] : pending_) {
@@ -218,7 +220,7 @@
 }
 
 void
-EntryDesk::GiveUp(Instant aNow, Entry aEntry)
+RequestRouter::GiveUp(Instant aNow, Entry aEntry)
 {
   auto& pending = aEntry->second;
   if (pending.phase_ == Phase::Parked) {
@@ -237,7 +239,7 @@
 }
 
 void
-EntryDesk::OnCallerGone(Instant aNow, CallerId aCaller)
+RequestRouter::OnCallerGone(Instant aNow, CallerId aCaller)
 {
   const auto entry = pending_.find(aCaller);
   if (entry != pending_.end()) {
@@ -246,7 +248,7 @@
 }
 
 void
-EntryDesk::Tick(Instant aNow)
+RequestRouter::Tick(Instant aNow)
 {
   std::vector<CallerId> late;
   std::vector<CallerId> due;
--- a/Libraries/LibInstance/EntryDesk.h
+++ b/Libraries/LibInstance/RequestRouter.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "LibInstance/DispatchDesk.h"
+#include "LibInstance/DispatchController.h"
 #include "LibInstance/InstanceContext.h"
 
 #include <functional>
@@ -13,14 +13,14 @@
 // which owns the key, runs the request there (locally or forwarded to a peer), and retries
 // with exponential backoff as long as it is certain that the request did not run, or if it is
 // repeatable. Every caller gets exactly one answer.
-class EntryDesk
+class RequestRouter
 {
 public:
   // Submits a request to the dispatcher of this instance.
   using SubmitFunction = std::function<void(Instant, const WorkRequest&, const ReplyTo&)>;
   using CancelFunction = std::function<void(Instant, const ReplyTo&)>;
 
-  EntryDesk(InstanceContext aContext, SubmitFunction aSubmit, CancelFunction aCancel);
+  RequestRouter(InstanceContext aContext, SubmitFunction aSubmit, CancelFunction aCancel);
 
   // Accepts a request. aIsFresh tells whether this instance's view is recent enough to serve
   // from; if not, the request is refused.
--- a/Libraries/LibKeys/KeyOwnership.cpp
+++ b/Libraries/LibKeys/KeyOwnership.cpp
@@ -173,7 +173,7 @@
   KeyOwnership ownership;
   BOOST_OUTCOME_TRY(ownership.service_, reader.Text("service"));
   BOOST_OUTCOME_TRY(const auto epoch,
-                    reader.NumberOr("epoch", 0, 0, static_cast<double>(kMostEpoch)));
+                    reader.NumberOr("epoch", 0, 0, static_cast<double>(kMaxEpoch)));
   ownership.epoch_ = static_cast<StoreEpoch>(epoch);
   // All whole numbers up to here are exact in a double.
   constexpr double kMostFence = 9e15;
--- a/Libraries/LibNet/PeerCodec.cpp
+++ b/Libraries/LibNet/PeerCodec.cpp
@@ -66,7 +66,7 @@
 }
 
 void
-Write(wire::Message::Builder aOut, const InForce& aMessage)
+Write(wire::Message::Builder aOut, const ConfigurationApplied& aMessage)
 {
   aOut.setInForce(aMessage.revision_);
 }
@@ -138,7 +138,7 @@
 }
 
 void
-Write(wire::Message::Builder aOut, const ResumeOrder& aMessage)
+Write(wire::Message::Builder aOut, const ResumeCommand& aMessage)
 {
   auto out = aOut.initResume();
   out.setService(ToText(aMessage.service_));
@@ -273,7 +273,7 @@
     case wire::Message::VIEW_ROWS:
       return WireMessage(PeerMessage(Read(aIn.getViewRows())));
     case wire::Message::IN_FORCE:
-      return WireMessage(PeerMessage(InForce{ aIn.getInForce() }));
+      return WireMessage(PeerMessage(ConfigurationApplied{ aIn.getInForce() }));
     case wire::Message::REQUEST:
       return WireMessage(PeerMessage(Read(aIn.getRequest())));
     case wire::Message::ANSWER: {
@@ -286,10 +286,10 @@
       return WireMessage(PeerMessage(Read(aIn.getReport())));
     case wire::Message::RESUME: {
       const auto resume = aIn.getResume();
-      return WireMessage(PeerMessage(ResumeOrder{ FromText(resume.getService()),
-                                                  FromText(resume.getServer()),
-                                                  resume.getFence(),
-                                                  resume.getSequence() }));
+      return WireMessage(PeerMessage(ResumeCommand{ FromText(resume.getService()),
+                                                    FromText(resume.getServer()),
+                                                    resume.getFence(),
+                                                    resume.getSequence() }));
     }
     case wire::Message::CHALLENGE:
       return WireMessage(PeerChallenge{ FromData(aIn.getChallenge().getNonce()) });
--- a/Libraries/LibNet/PlatformClient.cpp
+++ b/Libraries/LibNet/PlatformClient.cpp
@@ -21,12 +21,13 @@
     // Only a refusal before any effect, or no byte sent, is certain.
     const bool isCertain = aExchange.end_ == ExchangeEnd::NotSent ||
                            (aExchange.end_ == ExchangeEnd::Complete && status == 503);
-    reply.status_ = aCall.isRead_ || isCertain ? StoreStatus::Unavailable : StoreStatus::Unsure;
+    reply.status_ =
+      aCall.isRead_ || isCertain ? StoreStatus::Unavailable : StoreStatus::Indeterminate;
     return reply;
   }
   auto rows = ParseRows(*aExchange.response_.body_);
   if (!rows) {
-    reply.status_ = aCall.isRead_ ? StoreStatus::Unavailable : StoreStatus::Unsure;
+    reply.status_ = aCall.isRead_ ? StoreStatus::Unavailable : StoreStatus::Indeterminate;
     return reply;
   }
   reply.rows_ = std::move(rows).value();
--- a/Libraries/LibNet/ServerProtocol.cpp
+++ b/Libraries/LibNet/ServerProtocol.cpp
@@ -34,7 +34,7 @@
 }
 
 HttpRequest
-MakeGrantRequest(const GrantOrder& aOrder)
+MakeGrantRequest(const GrantCommand& aOrder)
 {
   boost::json::array ranges;
   for (const auto& [first, last] : aOrder.ranges_) {
@@ -53,12 +53,12 @@
   return request;
 }
 
-FieldResult<GrantOrder>
+FieldResult<GrantCommand>
 ParseGrantRequest(std::string_view aBody)
 {
   BOOST_OUTCOME_TRY(const auto value, ParseJson(aBody, "grant"));
   BOOST_OUTCOME_TRY(const auto reader, JsonReader::Create(value, ""));
-  GrantOrder order;
+  GrantCommand order;
   BOOST_OUTCOME_TRY(order.fence_, ReadNumber(reader, "fence"));
   BOOST_OUTCOME_TRY(order.generation_, ReadNumber(reader, "generation"));
   BOOST_OUTCOME_TRY(order.bootId_, ReadNumber(reader, "boot"));
@@ -110,7 +110,7 @@
 }
 
 HttpRequest
-MakeWorkRequest(const WorkOrder& aOrder)
+MakeWorkRequest(const WorkCommand& aOrder)
 {
   HttpRequest request;
   request.method_ = "POST";
@@ -127,12 +127,12 @@
 }
 
 WorkReply
-ToWorkReply(const WorkOrder& aOrder, const HttpResponse& aResponse)
+ToWorkReply(const WorkCommand& aOrder, const HttpResponse& aResponse)
 {
   WorkReply reply;
   if (aResponse.Header(kWorkHeader) != std::to_string(aOrder.id_)) {
     // Somebody else's answer must not reach this caller.
-    reply.end_ = WorkEnd::Broken;
+    reply.outcome_ = WorkOutcome::Broken;
     return reply;
   }
   const auto notRun = aResponse.Header(kNotRunHeader);
@@ -141,15 +141,15 @@
   reply.body_ = aResponse.body_;
   reply.contentType_ = aResponse.contentType_;
   if (notRun.empty()) {
-    reply.end_ = WorkEnd::Answered;
+    reply.outcome_ = WorkOutcome::Answered;
   } else if (notRun == "shed") {
-    reply.end_ = WorkEnd::Shed;
+    reply.outcome_ = WorkOutcome::Shed;
   } else if (notRun == "expired") {
-    reply.end_ = WorkEnd::Expired;
+    reply.outcome_ = WorkOutcome::Expired;
   } else if (notRun == "cancelled") {
-    reply.end_ = WorkEnd::Cancelled;
+    reply.outcome_ = WorkOutcome::Cancelled;
   } else {
-    reply.end_ = WorkEnd::Refused;
+    reply.outcome_ = WorkOutcome::Refused;
   }
   return reply;
 }
--- a/Libraries/LibNet/ServerProtocol.h
+++ b/Libraries/LibNet/ServerProtocol.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "LibDispatch/GrantKeeper.h"
+#include "LibDispatch/GrantManager.h"
 #include "LibInstance/Messages.h"
 #include "LibNet/Http.h"
 
@@ -24,8 +24,8 @@
 inline constexpr std::string_view kRetryAfterHeader = "Latchslip-Retry-After-Ms";
 
 HttpRequest
-MakeGrantRequest(const GrantOrder& aOrder);
-FieldResult<GrantOrder>
+MakeGrantRequest(const GrantCommand& aOrder);
+FieldResult<GrantCommand>
 ParseGrantRequest(std::string_view aBody);
 std::string
 SerializeGrantReply(const GrantReply& aReply);
@@ -33,10 +33,10 @@
 ParseGrantReply(std::string_view aBody);
 
 HttpRequest
-MakeWorkRequest(const WorkOrder& aOrder);
+MakeWorkRequest(const WorkCommand& aOrder);
 // Also checks that the answer is for this very work.
 WorkReply
-ToWorkReply(const WorkOrder& aOrder, const HttpResponse& aResponse);
+ToWorkReply(const WorkCommand& aOrder, const HttpResponse& aResponse);
 
 std::uint64_t
 ParseNumber(std::string_view aText, std::uint64_t aDefault);
--- a/Libraries/LibPlacement/HolderAssigner.cpp
+++ b/Libraries/LibPlacement/HolderAssigner.cpp
@@ -31,8 +31,8 @@
 HolderAssigner::AreFormerGrantsOver(Instant aNow, const PlacedServer& aServer) const
 {
   const auto gone = goneSince_.find(aServer.name_);
-  return aServer.unsettled_.empty() && gone != goneSince_.end() &&
-         aNow - gone->second >= grantTail_;
+  return aServer.formerHolders_.empty() && gone != goneSince_.end() &&
+         aNow - gone->second >= formerGrantTimeout_;
 }
 
 void
@@ -78,7 +78,7 @@
 void
 HolderAssigner::GiveTo(PlacementDraft& aDraft, PlacedServer& aServer, const InstanceId& aHolder)
 {
-  auto& unsettled = aServer.unsettled_;
+  auto& unsettled = aServer.formerHolders_;
   const bool isNoted =
     std::find(unsettled.begin(), unsettled.end(), aServer.holder_) != unsettled.end();
   if (!aServer.holder_.empty() && !isNoted) {
@@ -99,15 +99,15 @@
 HolderAssigner::Settle(PlacementDraft& aDraft, const ReportFunction& aReportOf)
 {
   for (auto& server : aDraft.next_.servers_) {
-    if (server.unsettled_.empty()) {
+    if (server.formerHolders_.empty()) {
       goneSince_.emplace(server.name_, aDraft.now_);
       continue;
     }
     const auto& stopped = stopped_[server.name_];
-    std::erase_if(server.unsettled_,
+    std::erase_if(server.formerHolders_,
                   [&](const std::string& aHolder) { return stopped.contains(aHolder); });
     const bool areGone = std::all_of(
-      server.unsettled_.begin(), server.unsettled_.end(), [&](const std::string& aHolder) {
+      server.formerHolders_.begin(), server.formerHolders_.end(), [&](const std::string& aHolder) {
         return aDraft.membership_.IsGone(aDraft.now_, aHolder);
       });
     if (!areGone) {
@@ -118,10 +118,10 @@
     const auto* report = aReportOf(server);
     // Once a server that checks fences has answered under the higher fence, all grants under
     // lower ones are void. Otherwise they must have expired.
-    const bool isFencedOff = aDraft.service_.checksOrders_ && report != nullptr &&
+    const bool isFencedOff = aDraft.service_.checksGrants_ && report != nullptr &&
                              report->isReachable_ && !report->isUnconfirmed_;
-    if (isFencedOff || aDraft.now_ - since >= grantTail_) {
-      server.unsettled_.clear();
+    if (isFencedOff || aDraft.now_ - since >= formerGrantTimeout_) {
+      server.formerHolders_.clear();
     }
   }
 }
@@ -157,7 +157,7 @@
   // At most one server per round, and never to an instance in the server's own hall.
   for (auto& server : aDraft.next_.servers_) {
     const bool isApart = halls[least->first] != server.hall_;
-    if (server.holder_ == most->first && isApart && server.unsettled_.empty()) {
+    if (server.holder_ == most->first && isApart && server.formerHolders_.empty()) {
       GiveTo(aDraft, server, least->first);
       return;
     }
--- a/Libraries/LibPlacement/HolderAssigner.h
+++ b/Libraries/LibPlacement/HolderAssigner.h
@@ -21,7 +21,7 @@
   // aGrantTail: how long the last grant of a former holder may remain valid after that holder
   // is gone.
   explicit HolderAssigner(Duration aGrantTail)
-    : grantTail_(aGrantTail)
+    : formerGrantTimeout_(aGrantTail)
   {
   }
 
@@ -44,7 +44,7 @@
 private:
   void GiveTo(PlacementDraft& aDraft, PlacedServer& aServer, const InstanceId& aHolder);
 
-  Duration grantTail_;
+  Duration formerGrantTimeout_;
   // Former holders that have reported that they stopped, by server.
   std::map<std::string, std::set<std::string>> stopped_;
   // Since when no former holder of a server can have renewed its grant, by server.
--- a/Libraries/LibPlacement/Placement.cpp
+++ b/Libraries/LibPlacement/Placement.cpp
@@ -52,7 +52,7 @@
     if (!holder.is_string()) {
       return FieldError{ "servers[].unsettled", "must hold texts" };
     }
-    server.unsettled_.emplace_back(holder.get_string());
+    server.formerHolders_.emplace_back(holder.get_string());
   }
   return server;
 }
@@ -185,7 +185,7 @@
   boost::json::array servers;
   for (const auto& server : aPlacement.servers_) {
     boost::json::array unsettled;
-    for (const auto& holder : server.unsettled_) {
+    for (const auto& holder : server.formerHolders_) {
       unsettled.emplace_back(holder);
     }
     boost::json::object entry{ { "name", server.name_ },
--- a/Libraries/LibPlacement/Placement.h
+++ b/Libraries/LibPlacement/Placement.h
@@ -42,7 +42,7 @@
   Fence fence_ = 0;
   PlacedState state_ = PlacedState::Active;
   // Former holders that may still send commands under a lower fence.
-  std::vector<std::string> unsettled_;
+  std::vector<std::string> formerHolders_;
 
   bool operator==(const PlacedServer&) const = default;
 };
--- a/Libraries/LibPlacement/Placer.cpp
+++ b/Libraries/LibPlacement/Placer.cpp
@@ -17,7 +17,7 @@
 Placer::Placer(std::string aService, PlacerTiming aTiming)
   : service_(std::move(aService))
   , timing_(aTiming)
-  , holders_(aTiming.grantTail_)
+  , holders_(aTiming.formerGrantTimeout_)
 {
 }
 
@@ -425,10 +425,10 @@
   return std::exchange(notes_, {});
 }
 
-std::vector<ResumeOrder>
-Placer::TakeResumable(const Placement& aCurrent)
+std::vector<ResumeCommand>
+Placer::TakeResumeCommands(const Placement& aCurrent)
 {
-  std::vector<ResumeOrder> orders;
+  std::vector<ResumeCommand> orders;
   for (const auto& server : aCurrent.servers_) {
     const auto* report = ReportOf(server);
     if (report == nullptr || !report->isWithheld_ || !report->isReachable_) {
--- a/Libraries/LibPlacement/Placer.h
+++ b/Libraries/LibPlacement/Placer.h
@@ -21,7 +21,7 @@
 struct PlacerTiming
 {
   // How long the last grant of a former holder may remain valid after that holder is gone.
-  Duration grantTail_ = milliseconds(540);
+  Duration formerGrantTimeout_ = milliseconds(540);
   // How long a returned server must stay reachable before it may own keys again.
   Duration returnDelay_ = seconds(2);
   Duration rebalanceInterval_ = seconds(1);
@@ -41,9 +41,9 @@
 };
 
 // Decides the placement of one service: which server owns each slice of the hash space, and
-// which instance holds each server. The placer proposes; PlacerDesk commits a proposal to the
-// table service on the condition that the row still has the version that the proposal was
-// made from. Pure decisions without I/O: a proposal has no effect until its commit is known.
+// which instance holds each server. The placer proposes; PlacementController commits a proposal to
+// the table service on the condition that the row still has the version that the proposal was made
+// from. Pure decisions without I/O: a proposal has no effect until its commit is known.
 class Placer
 {
 public:
@@ -65,7 +65,7 @@
   // Returns resume commands for the withheld servers that are reachable again and keep their
   // slices. NOTE: Must only be called while no proposal has an open outcome, because such a
   // proposal may move their slices away.
-  std::vector<ResumeOrder> TakeResumable(const Placement& aCurrent);
+  std::vector<ResumeCommand> TakeResumeCommands(const Placement& aCurrent);
 
   // The proposal certainly did not take effect.
   void OnNotCommitted(const PlacementProposal& aProposal);
--- a/Libraries/LibPlacement/ServerReport.h
+++ b/Libraries/LibPlacement/ServerReport.h
@@ -52,7 +52,7 @@
 
 // The placer's answer to a holder whose grants are withheld: no decision was or will be made
 // on that report, so the server keeps its slices.
-struct ResumeOrder
+struct ResumeCommand
 {
   std::string service_;
   std::string server_;
--- a/Libraries/LibScenario/Invariants.cpp
+++ b/Libraries/LibScenario/Invariants.cpp
@@ -35,7 +35,7 @@
     return;
   }
   for (const auto& [server, grant] : grants) {
-    if (server != aServer && grant.until_ > aNow && ShareHash(grant.ranges_, aRanges)) {
+    if (server != aServer && grant.until_ > aNow && RangesOverlap(grant.ranges_, aRanges)) {
       std::string what = "one-owner: ";
       what.append(server).append(" and ").append(aServer).append(" own the same keys");
       Violate(aNow, what);
@@ -55,13 +55,13 @@
 Invariants::OnWorkStarted(Instant aNow,
                           const std::string& aService,
                           const std::string& aServer,
-                          bool aChecksOrders,
+                          bool aChecksGrants,
                           KeyHash aHash,
                           std::uint64_t aWork)
 {
   auto& running = running_[aService];
   for (const auto& [id, other] : running) {
-    if (!aChecksOrders && other.hash_ == aHash && other.server_ != aServer) {
+    if (!aChecksGrants && other.hash_ == aHash && other.server_ != aServer) {
       Violate(aNow, "one-owner: " + other.server_ + " and " + aServer + " run work for one key");
     }
   }
--- a/Libraries/LibScenario/Invariants.h
+++ b/Libraries/LibScenario/Invariants.h
@@ -30,7 +30,7 @@
   void OnWorkStarted(Instant aNow,
                      const std::string& aService,
                      const std::string& aServer,
-                     bool aChecksOrders,
+                     bool aChecksGrants,
                      KeyHash aHash,
                      std::uint64_t aWork);
   void OnWorkEnded(const std::string& aService, const std::string& aServer, std::uint64_t aWork);
--- a/Libraries/LibScenario/Script.cpp
+++ b/Libraries/LibScenario/Script.cpp
@@ -23,7 +23,7 @@
   BOOST_OUTCOME_TRY(aReader.Literal("slots"));
   BOOST_OUTCOME_TRY(const auto slots, aReader.Number("the count of slots"));
   BOOST_OUTCOME_TRY(aReader.Literal("checks"));
-  BOOST_OUTCOME_TRY(settings.checksOrders_, aReader.Choice("yes", "no"));
+  BOOST_OUTCOME_TRY(settings.checksGrants_, aReader.Choice("yes", "no"));
   BOOST_OUTCOME_TRY(aReader.Literal("time"));
   BOOST_OUTCOME_TRY(settings.time_, aReader.Span("the service time"));
   settings.servers_ = static_cast<std::size_t>(servers);
--- a/Libraries/LibScenario/World.cpp
+++ b/Libraries/LibScenario/World.cpp
@@ -36,7 +36,7 @@
 {
   ServiceDeclaration service;
   service.name_ = aSettings.name_;
-  service.checksOrders_ = aSettings.checksOrders_;
+  service.checksGrants_ = aSettings.checksGrants_;
   service.slots_ = aSettings.slots_;
   service.connections_ = 130;
   for (std::size_t number = 1; number <= aSettings.servers_; ++number) {
@@ -289,7 +289,7 @@
   server.boot_ = ++nextBoot_;
   server.isSilent_ = false;
   server.state_ = std::make_unique<ServerState>(
-    server.settings_.slots_, server.settings_.checksOrders_, server.boot_);
+    server.settings_.slots_, server.settings_.checksGrants_, server.boot_);
 }
 
 void
--- a/Libraries/LibScenario/World.h
+++ b/Libraries/LibScenario/World.h
@@ -28,7 +28,7 @@
     std::string name_;
     std::size_t servers_ = 1;
     unsigned slots_ = 4;
-    bool checksOrders_ = true;
+    bool checksGrants_ = true;
     Duration time_ = milliseconds(2);
   };
   struct LoadSettings
@@ -171,17 +171,19 @@
                   CallTag aTag,
                   const StoreCall& aCall);
   void RecordStored(const Transaction& aTransaction);
-  void SendGrant(InstanceSide& aFrom, CallTag aTag, const GrantOrder& aOrder);
+  void SendGrant(InstanceSide& aFrom, CallTag aTag, const GrantCommand& aOrder);
   void RefuseConnection(const std::string& aServer,
                         const std::string& aInstance,
                         std::uint64_t aIncarnation,
                         CallTag aTag);
-  void SendWork(InstanceSide& aFrom, const WorkOrder& aOrder);
-  void ServeWork(const std::string& aInstance, std::uint64_t aIncarnation, const WorkOrder& aOrder);
+  void SendWork(InstanceSide& aFrom, const WorkCommand& aOrder);
+  void ServeWork(const std::string& aInstance,
+                 std::uint64_t aIncarnation,
+                 const WorkCommand& aOrder);
   void EndWork(Server& aServer,
                const std::string& aInstance,
                std::uint64_t aIncarnation,
-               const WorkOrder& aOrder,
+               const WorkCommand& aOrder,
                std::uint64_t aBoot,
                std::uint64_t aWork);
   void ReplyWork(const std::string& aServer,
--- a/Libraries/LibScenario/WorldNetwork.cpp
+++ b/Libraries/LibScenario/WorldNetwork.cpp
@@ -136,7 +136,7 @@
     }
     if (!aCall.isRead_ && storeFaults_.answersToLose_ > 0) {
       --storeFaults_.answersToLose_;
-      reply = { StoreStatus::Unsure, {} };
+      reply = { StoreStatus::Indeterminate, {} };
     }
   }
   Carry("store", aInstance, [this, aInstance, aIncarnation, aTag, reply] {
@@ -162,7 +162,7 @@
     Arrive(name, [this, name, incarnation, aTag, isRead] {
       auto& instance = *instances_.at(name);
       if (instance.incarnation_ == incarnation) {
-        const auto status = isRead ? StoreStatus::Unavailable : StoreStatus::Unsure;
+        const auto status = isRead ? StoreStatus::Unavailable : StoreStatus::Indeterminate;
         instance.core_->OnStoreReply(instance.Clock(), aTag, { status, {} });
       }
     });
@@ -177,7 +177,7 @@
 }
 
 void
-World::SendGrant(InstanceSide& aFrom, CallTag aTag, const GrantOrder& aOrder)
+World::SendGrant(InstanceSide& aFrom, CallTag aTag, const GrantCommand& aOrder)
 {
   const auto instance = aFrom.name_;
   const auto incarnation = aFrom.incarnation_;
@@ -189,7 +189,7 @@
       return;
     }
     const auto reply = server->state_->OnGrant(server->ToClock(Now()), aOrder);
-    if (reply.accepted_ && server->settings_.checksOrders_) {
+    if (reply.accepted_ && server->settings_.checksGrants_) {
       const Instant until(aOrder.validUntil_);
       invariants_.OnGranted(Now(),
                             server->settings_.name_,
@@ -240,7 +240,7 @@
 }
 
 void
-World::SendWork(InstanceSide& aFrom, const WorkOrder& aOrder)
+World::SendWork(InstanceSide& aFrom, const WorkCommand& aOrder)
 {
   const auto instance = aFrom.name_;
   const auto incarnation = aFrom.incarnation_;
@@ -248,7 +248,7 @@
   const auto& server = *servers_.at(aOrder.server_);
   if (!server.IsUp() && !server.isSilent_) {
     WorkReply refused;
-    refused.end_ = WorkEnd::NotSent;
+    refused.outcome_ = WorkOutcome::NotSent;
     ReplyWork(aOrder.server_, instance, incarnation, aOrder.id_, refused);
     return;
   }
@@ -267,7 +267,9 @@
 }
 
 void
-World::ServeWork(const std::string& aInstance, std::uint64_t aIncarnation, const WorkOrder& aOrder)
+World::ServeWork(const std::string& aInstance,
+                 std::uint64_t aIncarnation,
+                 const WorkCommand& aOrder)
 {
   auto* server = FindServer(aOrder.server_);
   if (server == nullptr) {
@@ -275,7 +277,7 @@
   }
   if (server->sheds_) {
     WorkReply shed;
-    shed.end_ = WorkEnd::Shed;
+    shed.outcome_ = WorkOutcome::Shed;
     ReplyWork(aOrder.server_, aInstance, aIncarnation, aOrder.id_, shed);
     return;
   }
@@ -290,19 +292,19 @@
   WorkReply reply;
   switch (server->state_->OnWork(server->ToClock(Now()), work)) {
     case StartVerdict::Refused:
-      reply.end_ = WorkEnd::Refused;
+      reply.outcome_ = WorkOutcome::Refused;
       break;
     case StartVerdict::Shed:
-      reply.end_ = WorkEnd::Shed;
+      reply.outcome_ = WorkOutcome::Shed;
       break;
     case StartVerdict::Expired:
-      reply.end_ = WorkEnd::Expired;
+      reply.outcome_ = WorkOutcome::Expired;
       break;
     case StartVerdict::Started:
       invariants_.OnWorkStarted(Now(),
                                 server->settings_.name_,
                                 server->name_,
-                                server->settings_.checksOrders_,
+                                server->settings_.checksGrants_,
                                 aOrder.hash_,
                                 work.id_);
       server->workByOrder_[aOrder.id_] = work.id_;
@@ -330,7 +332,7 @@
 World::EndWork(Server& aServer,
                const std::string& aInstance,
                std::uint64_t aIncarnation,
-               const WorkOrder& aOrder,
+               const WorkCommand& aOrder,
                std::uint64_t aBoot,
                std::uint64_t aWork)
 {
@@ -343,12 +345,12 @@
     return;
   }
   WorkReply reply;
-  reply.end_ = WorkEnd::Refused;
+  reply.outcome_ = WorkOutcome::Refused;
   if (aServer.state_->Finish(aServer.ToClock(Now()), aWork)) {
     invariants_.OnExecuted(Now(), aOrder.request_.requestId_);
     busy_[aServer.name_] += aServer.settings_.time_;
     ++executedByGroup_[{ aServer.settings_.name_, aOrder.request_.group_ }];
-    reply.end_ = WorkEnd::Answered;
+    reply.outcome_ = WorkOutcome::Answered;
     reply.status_ = 200;
     reply.body_ = std::make_shared<const std::string>(
       ExpectedBody(aOrder.request_.requestId_, aOrder.request_.key_));
@@ -378,7 +380,7 @@
     invariants_.OnWorkEnded(server->settings_.name_, name, running->second);
     server->workByOrder_.erase(running);
     WorkReply reply;
-    reply.end_ = WorkEnd::Cancelled;
+    reply.outcome_ = WorkOutcome::Cancelled;
     ReplyWork(name, instance, incarnation, aId, reply);
   });
 }
--- a/Libraries/LibScenario/WorldParts.h
+++ b/Libraries/LibScenario/WorldParts.h
@@ -27,11 +27,11 @@
   {
     world_.CallStore(*this, aTag, aCall);
   }
-  void SendGrant(CallTag aTag, const std::string&, const GrantOrder& aOrder) override
+  void SendGrant(CallTag aTag, const std::string&, const GrantCommand& aOrder) override
   {
     world_.SendGrant(*this, aTag, aOrder);
   }
-  void SendWork(const WorkOrder& aOrder) override { world_.SendWork(*this, aOrder); }
+  void SendWork(const WorkCommand& aOrder) override { world_.SendWork(*this, aOrder); }
   void CancelWork(WorkId aId) override { world_.CancelWork(*this, aId); }
   void AnswerCaller(CallerId aCaller, const WorkAnswer& aAnswer) override
   {
--- a/Libraries/LibStandIn/RecordFile.cpp
+++ b/Libraries/LibStandIn/RecordFile.cpp
@@ -61,7 +61,7 @@
     BOOST_OUTCOME_TRY(aRecords.service_, reader.Text("service"));
     BOOST_OUTCOME_TRY(aRecords.server_, reader.Text("server"));
     BOOST_OUTCOME_TRY(const auto slots, ReadNumber(reader, "slots"));
-    BOOST_OUTCOME_TRY(aRecords.checksOrders_, reader.FlagOr("checks_orders", true));
+    BOOST_OUTCOME_TRY(aRecords.checksGrants_, reader.FlagOr("checks_orders", true));
     aRecords.slots_ = static_cast<unsigned>(slots);
   } else if (kind == "execution") {
     BOOST_OUTCOME_TRY(auto record, ReadExecution(reader));
@@ -89,7 +89,7 @@
                                                      { "service", aRecords.service_ },
                                                      { "server", aRecords.server_ },
                                                      { "slots", std::to_string(aRecords.slots_) },
-                                                     { "checks_orders", aRecords.checksOrders_ } });
+                                                     { "checks_orders", aRecords.checksGrants_ } });
 }
 
 std::string
--- a/Libraries/LibStandIn/RecordFile.h
+++ b/Libraries/LibStandIn/RecordFile.h
@@ -17,7 +17,7 @@
   std::string service_;
   std::string server_;
   unsigned slots_ = 0;
-  bool checksOrders_ = true;
+  bool checksGrants_ = true;
   std::vector<ExecutionRecord> executions_;
   std::vector<OwnershipRecord> ownerships_;
   std::size_t mostRunning_ = 0;
--- a/Libraries/LibStandIn/ServerState.cpp
+++ b/Libraries/LibStandIn/ServerState.cpp
@@ -11,15 +11,15 @@
 
 } // namespace
 
-ServerState::ServerState(unsigned aSlots, bool aChecksOrders, std::uint64_t aBootId)
+ServerState::ServerState(unsigned aSlots, bool aChecksGrants, std::uint64_t aBootId)
   : slots_(aSlots)
-  , checksOrders_(aChecksOrders)
+  , checksGrants_(aChecksGrants)
   , bootId_(aBootId)
 {
 }
 
 void
-ServerState::RecordOwnership(Instant aNow, const GrantOrder& aOrder)
+ServerState::RecordOwnership(Instant aNow, const GrantCommand& aOrder)
 {
   const Instant until(aOrder.validUntil_);
   if (!ownerships_.empty()) {
@@ -37,7 +37,7 @@
 }
 
 GrantReply
-ServerState::OnGrant(Instant aNow, const GrantOrder& aOrder)
+ServerState::OnGrant(Instant aNow, const GrantCommand& aOrder)
 {
   GrantReply reply;
   reply.bootId_ = bootId_;
@@ -45,11 +45,11 @@
   const bool isOutdated =
     aOrder.fence_ < fence_ || (aOrder.fence_ == fence_ && aOrder.generation_ < generation_);
   const bool isForeignBoot = aOrder.bootId_ != 0 && aOrder.bootId_ != bootId_;
-  reply.accepted_ = !checksOrders_ || (!isOutdated && !isForeignBoot);
+  reply.accepted_ = !checksGrants_ || (!isOutdated && !isForeignBoot);
   if (reply.accepted_) {
     fence_ = std::max(fence_, aOrder.fence_);
     generation_ = aOrder.generation_;
-    if (checksOrders_) {
+    if (checksGrants_) {
       RecordOwnership(aNow, aOrder);
     }
     validUntil_ = aOrder.validUntil_;
@@ -68,13 +68,13 @@
 bool
 ServerState::Owns(Instant aNow, KeyHash aHash) const
 {
-  return !checksOrders_ || (aNow.count() < validUntil_ && CoversHash(ranges_, aHash));
+  return !checksGrants_ || (aNow.count() < validUntil_ && CoversHash(ranges_, aHash));
 }
 
 StartVerdict
 ServerState::OnWork(Instant aNow, const ServerWork& aWork)
 {
-  if (checksOrders_ && (aWork.fence_ != fence_ || !Owns(aNow, aWork.hash_))) {
+  if (checksGrants_ && (aWork.fence_ != fence_ || !Owns(aNow, aWork.hash_))) {
     return StartVerdict::Refused;
   }
   if (aWork.validUntil_ != 0 && aNow.count() >= aWork.validUntil_) {
--- a/Libraries/LibStandIn/ServerState.h
+++ b/Libraries/LibStandIn/ServerState.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "LibBase/Time.h"
-#include "LibDispatch/GrantKeeper.h"
+#include "LibDispatch/GrantManager.h"
 
 #include <cstdint>
 #include <map>
@@ -57,9 +57,9 @@
 class ServerState
 {
 public:
-  ServerState(unsigned aSlots, bool aChecksOrders, std::uint64_t aBootId);
+  ServerState(unsigned aSlots, bool aChecksGrants, std::uint64_t aBootId);
 
-  GrantReply OnGrant(Instant aNow, const GrantOrder& aOrder);
+  GrantReply OnGrant(Instant aNow, const GrantCommand& aOrder);
   StartVerdict OnWork(Instant aNow, const ServerWork& aWork);
   // The work has come to its effect. False when the server owns the key no more
   // and therefore drops it without effect.
@@ -87,10 +87,10 @@
     bool isOrphan_ = false;
   };
 
-  void RecordOwnership(Instant aNow, const GrantOrder& aOrder);
+  void RecordOwnership(Instant aNow, const GrantCommand& aOrder);
 
   unsigned slots_;
-  bool checksOrders_;
+  bool checksGrants_;
   std::uint64_t bootId_;
   Fence fence_ = 0;
   std::uint64_t generation_ = 0;
--- a/Libraries/LibStore/Row.h
+++ b/Libraries/LibStore/Row.h
@@ -51,7 +51,7 @@
   // A condition failed; the reply contains the current rows.
   Conflict,
   // The answer was lost: the write may have taken effect or may still do so.
-  Unsure,
+  Indeterminate,
   // The request was certainly not executed.
   Unavailable,
 };
--- a/Libraries/LibStore/StoreEpoch.h
+++ b/Libraries/LibStore/StoreEpoch.h
@@ -15,8 +15,8 @@
 // Enough numbers for 170 years at 3,200 writes per second.
 inline constexpr unsigned kNumberBits = 44;
 // Restores beyond this number cannot be told apart.
-inline constexpr StoreEpoch kMostEpoch = (StoreEpoch{ 1 } << (64 - kNumberBits)) - 1;
-inline constexpr std::uint64_t kMostNumber = (std::uint64_t{ 1 } << kNumberBits) - 1;
+inline constexpr StoreEpoch kMaxEpoch = (StoreEpoch{ 1 } << (64 - kNumberBits)) - 1;
+inline constexpr std::uint64_t kMaxVersionNumber = (std::uint64_t{ 1 } << kNumberBits) - 1;
 
 constexpr RowVersion
 VersionIn(StoreEpoch aEpoch, std::uint64_t aNumber)
@@ -34,7 +34,7 @@
 constexpr std::uint64_t
 NumberOf(RowVersion aVersion)
 {
-  return aVersion & kMostNumber;
+  return aVersion & kMaxVersionNumber;
 }
 
 // Formats a version for the log: "EPOCH:NUMBER", or the number alone in epoch 0.
--- a/Services/StandInServer/main.cpp
+++ b/Services/StandInServer/main.cpp
@@ -55,7 +55,7 @@
     header.service_ = absl::GetFlag(FLAGS_service);
     header.server_ = absl::GetFlag(FLAGS_server);
     header.slots_ = static_cast<unsigned>(absl::GetFlag(FLAGS_slots));
-    header.checksOrders_ = absl::GetFlag(FLAGS_checks_orders);
+    header.checksGrants_ = absl::GetFlag(FLAGS_checks_orders);
     records_ << SerializeHeader(header) << std::endl;
   }
 
--- a/Tests/LibConfig/TestDeclaration.cpp
+++ b/Tests/LibConfig/TestDeclaration.cpp
@@ -36,7 +36,7 @@
   const auto declaration = ParseDeclaration(kValid);
   ASSERT_TRUE(declaration) << declaration.error().Describe();
   EXPECT_EQ(declaration.value().intents_[0].portion_, 2.5);
-  EXPECT_FALSE(declaration.value().services_[0].checksOrders_);
+  EXPECT_FALSE(declaration.value().services_[0].checksGrants_);
   const auto again = ParseDeclaration(SerializeDeclaration(declaration.value()));
   ASSERT_TRUE(again);
   EXPECT_EQ(again.value(), declaration.value());
--- a/Tests/LibDispatch/TestClaimBook.cpp
+++ b/Tests/LibDispatch/TestClaimRegistry.cpp
@@ -1,4 +1,4 @@
-#include "LibDispatch/ClaimBook.h"
+#include "LibDispatch/ClaimRegistry.h"
 #include "LibStandIn/TableState.h"
 
 #include <gtest/gtest.h>
@@ -44,7 +44,7 @@
 
   Instant now_ = seconds(1);
   TableState table_;
-  ClaimBook book_;
+  ClaimRegistry book_;
 };
 
 TEST_F(ClaimBookOnTable, IdIsNew_Claimed)
@@ -67,7 +67,7 @@
 
 TEST_F(ClaimBookOnTable, OneOfABatchIsTaken_TheOthersAreClaimed)
 {
-  ClaimBook other("i2#b", ClaimTiming{});
+  ClaimRegistry other("i2#b", ClaimTiming{});
   other.Submit(now_, 9, "claim/b", "sending-" + std::to_string(9));
   other.OnReply(now_, Carry(*other.NextCall(now_)));
   book_.Submit(now_, 1, "claim/a", "sending-" + std::to_string(1));
@@ -84,7 +84,7 @@
 
 TEST_F(ClaimBookOnTable, SameSendingComesFromAFormerHolder_ClaimIsTakenOver)
 {
-  ClaimBook former("i2#b", ClaimTiming{});
+  ClaimRegistry former("i2#b", ClaimTiming{});
   former.Submit(now_, 9, "claim/a", "sending-1");
   former.OnReply(now_, Carry(*former.NextCall(now_)));
   book_.Submit(now_, 1, "claim/a", "sending-1");
@@ -123,7 +123,7 @@
   book_.Submit(now_, 1, "claim/a", "sending-" + std::to_string(1));
   const auto call = book_.NextCall(now_);
   Carry(*call);
-  EXPECT_TRUE(book_.OnReply(now_, { StoreStatus::Unsure, {} }).empty());
+  EXPECT_TRUE(book_.OnReply(now_, { StoreStatus::Indeterminate, {} }).empty());
   const auto decisions = Settle();
   ASSERT_EQ(decisions.size(), 1U);
   EXPECT_EQ(decisions[0].verdict_, ClaimVerdict::Claimed);
@@ -133,7 +133,7 @@
 {
   book_.Submit(now_, 1, "claim/a", "sending-" + std::to_string(1));
   const auto late = book_.NextCall(now_);
-  book_.OnReply(now_, { StoreStatus::Unsure, {} });
+  book_.OnReply(now_, { StoreStatus::Indeterminate, {} });
   now_ += milliseconds(100);
   book_.OnReply(now_, Carry(*book_.NextCall(now_)));
   Carry(*late);
@@ -146,7 +146,7 @@
 {
   book_.Submit(now_, 1, "claim/a", "sending-" + std::to_string(1));
   Carry(*book_.NextCall(now_));
-  book_.OnReply(now_, { StoreStatus::Unsure, {} });
+  book_.OnReply(now_, { StoreStatus::Indeterminate, {} });
   book_.Release(1);
   EXPECT_TRUE(Settle().empty());
   EXPECT_EQ(table_.Rows().at("claim/a").value_, "released");
--- a/Tests/LibDispatch/TestGrantKeeper.cpp
+++ b/Tests/LibDispatch/TestGrantManager.cpp
@@ -1,4 +1,4 @@
-#include "LibDispatch/GrantKeeper.h"
+#include "LibDispatch/GrantManager.h"
 
 #include <gtest/gtest.h>
 
@@ -16,10 +16,10 @@
   KeeperAndServer()
     : keeper_("rates", "s1", true, GrantTiming{})
   {
-    keeper_.SetWish(3, 10, kAll, true);
+    keeper_.SetDesiredRanges(3, 10, kAll, true);
   }
 
-  GrantReply ReplyTo(const GrantOrder& aOrder) const
+  GrantReply ReplyTo(const GrantCommand& aOrder) const
   {
     GrantReply reply;
     reply.accepted_ = true;
@@ -50,8 +50,8 @@
   static constexpr Duration kOffset = seconds(5000);
   Instant now_ = seconds(1);
   std::uint64_t boot_ = kBoot;
-  GrantKeeper keeper_;
-  GrantOrder last_;
+  GrantManager keeper_;
+  GrantCommand last_;
 };
 
 TEST_F(KeeperAndServer, ServerAnswers_GrantIsKept)
@@ -117,7 +117,7 @@
 TEST_F(KeeperAndServer, RangeIsTakenBack_NoWorkAtOnceAndReleasedWhenAcknowledged)
 {
   Run(seconds(1), true);
-  keeper_.SetWish(3, 11, { { 0, 100 } }, true);
+  keeper_.SetDesiredRanges(3, 11, { { 0, 100 } }, true);
   EXPECT_FALSE(keeper_.MayDispatch(now_, 5000));
   EXPECT_TRUE(keeper_.MayDispatch(now_, 50));
   EXPECT_LT(keeper_.ReleasedVersion(), 11U);
@@ -136,12 +136,12 @@
   EXPECT_FALSE(keeper_.IsConfirmed());
 }
 
-TEST(GrantKeeper, ServerChecksNothingAndFormerHolderMayLive_StaysAway)
+TEST(GrantManager, ServerChecksNothingAndFormerHolderMayLive_StaysAway)
 {
-  GrantKeeper keeper("rates", "s1", false, GrantTiming{});
-  keeper.SetWish(3, 10, kAll, false);
+  GrantManager keeper("rates", "s1", false, GrantTiming{});
+  keeper.SetDesiredRanges(3, 10, kAll, false);
   EXPECT_TRUE(keeper.Tick(seconds(5)).empty());
-  keeper.SetWish(3, 11, kAll, true);
+  keeper.SetDesiredRanges(3, 11, kAll, true);
   EXPECT_EQ(keeper.Tick(seconds(6)).size(), 1U);
 }
 
--- a/Tests/LibDispatch/TestServerQueue.cpp
+++ b/Tests/LibDispatch/TestServerQueue.cpp
@@ -107,7 +107,7 @@
 
 TEST_F(QueueOfTwoGroups, FormerHolderStillRuns_ItsSlotsAreLeftAlone)
 {
-  queue_.SetForeign(3);
+  queue_.SetForeignSlots(3);
   Fill("heavy", 6);
   EXPECT_TRUE(queue_.StartNext());
   EXPECT_FALSE(queue_.StartNext());
--- a/Tests/LibFleet/TestFleetMember.cpp
+++ b/Tests/LibFleet/TestFleetMember.cpp
@@ -156,7 +156,7 @@
   ShowTables();
   Show(FleetTable::Fleet, 7, {});
   Pass(milliseconds(600));
-  member_.OnTransactEnded(now_, { StoreStatus::Unsure, {} });
+  member_.OnTransactEnded(now_, { StoreStatus::Indeterminate, {} });
   Pass(milliseconds(300));
   ASSERT_EQ(fleet_.transactions_.size(), 2U);
   const auto& write = fleet_.transactions_[1].writes_.front();
--- a/Tests/LibInstance/TestInstanceCore.cpp
+++ b/Tests/LibInstance/TestInstanceCore.cpp
@@ -122,8 +122,8 @@
 public:
   MOCK_METHOD(bool, SendToPeer, (const InstanceId&, const PeerMessage&), (override));
   MOCK_METHOD(void, CallStore, (CallTag, const StoreCall&), (override));
-  MOCK_METHOD(void, SendGrant, (CallTag, const std::string&, const GrantOrder&), (override));
-  MOCK_METHOD(void, SendWork, (const WorkOrder&), (override));
+  MOCK_METHOD(void, SendGrant, (CallTag, const std::string&, const GrantCommand&), (override));
+  MOCK_METHOD(void, SendWork, (const WorkCommand&), (override));
   MOCK_METHOD(void, CancelWork, (WorkId), (override));
   MOCK_METHOD(void, AnswerCaller, (CallerId, const WorkAnswer&), (override));
   MOCK_METHOD(void, AnswerOperator, (OperatorId, const OperatorAnswer&), (override));
--- a/Tests/LibNet/TestCallerProtocol.cpp
+++ b/Tests/LibNet/TestCallerProtocol.cpp
@@ -102,18 +102,18 @@
 
 TEST(WorkReply, AnswerIsForOtherWork_CountsAsBroken)
 {
-  WorkOrder order;
+  WorkCommand order;
   order.id_ = 5;
   HttpResponse response;
   response.headers_ = { { std::string(kWorkHeader), "4" } };
-  EXPECT_EQ(ToWorkReply(order, response).end_, WorkEnd::Broken);
+  EXPECT_EQ(ToWorkReply(order, response).outcome_, WorkOutcome::Broken);
   response.headers_[0].second = "5";
-  EXPECT_EQ(ToWorkReply(order, response).end_, WorkEnd::Answered);
+  EXPECT_EQ(ToWorkReply(order, response).outcome_, WorkOutcome::Answered);
 }
 
 TEST(GrantProtocol, WrittenAndReadAgain_IsEqual)
 {
-  GrantOrder order;
+  GrantCommand order;
   order.service_ = "rates";
   order.fence_ = ~std::uint64_t{ 0 };
   order.generation_ = 3;
--- a/Tests/LibPlacement/TestPlacement.cpp
+++ b/Tests/LibPlacement/TestPlacement.cpp
@@ -55,7 +55,7 @@
 TEST_F(PlacementOfTwo, WrittenAndReadAgain_IsEqual)
 {
   placement_.slices_[3].next_ = 0;
-  placement_.servers_[0].unsettled_ = { "i2#b" };
+  placement_.servers_[0].formerHolders_ = { "i2#b" };
   placement_.servers_[1].state_ = PlacedState::Lost;
   placement_.lastFence_ = 77;
   const auto again = ParsePlacement(SerializePlacement(placement_));
--- a/Tests/Platform/TestPlatformDocuments.cpp
+++ b/Tests/Platform/TestPlatformDocuments.cpp
@@ -313,11 +313,11 @@
 {
   EXPECT_EQ(Decode(503, "").status_, StoreStatus::Unavailable);
   EXPECT_EQ(Decode(429, "").status_, StoreStatus::Unavailable);
-  EXPECT_EQ(Decode(500, "").status_, StoreStatus::Unsure);
-  EXPECT_EQ(Decode(200, "garbage").status_, StoreStatus::Unsure);
+  EXPECT_EQ(Decode(500, "").status_, StoreStatus::Indeterminate);
+  EXPECT_EQ(Decode(200, "garbage").status_, StoreStatus::Indeterminate);
   HttpExchange broken;
   broken.end_ = ExchangeEnd::Broken;
-  EXPECT_EQ(DecodeTransaction(transaction_, broken, 0).status_, StoreStatus::Unsure);
+  EXPECT_EQ(DecodeTransaction(transaction_, broken, 0).status_, StoreStatus::Indeterminate);
   broken.end_ = ExchangeEnd::NotSent;
   EXPECT_EQ(DecodeTransaction(transaction_, broken, 0).status_, StoreStatus::Unavailable);
 }
--- a/Tests/Platform/TestPlatformStore.cpp
+++ b/Tests/Platform/TestPlatformStore.cpp
@@ -32,7 +32,7 @@
       context_.run_for(std::chrono::milliseconds(5));
       context_.restart();
     }
-    return reply.value_or(StoreReply{ StoreStatus::Unsure, {} });
+    return reply.value_or(StoreReply{ StoreStatus::Indeterminate, {} });
   }
 
   boost::asio::io_context context_{ 1 };
