--- a/Libraries/LibInstance/DispatchController.cpp
+++ b/Libraries/LibInstance/DispatchController.cpp
@@ -10,7 +10,7 @@
 // Retry-After hint while the owner of a key is changing.
 constexpr Duration kOwnerChangeRetry = milliseconds(50);
 constexpr Duration kOutageRetry = milliseconds(500);
-constexpr Duration kGrantAnswerLife = seconds(2);
+constexpr Duration kGrantReplyTimeout = seconds(2);
 
 } // namespace
 
@@ -65,7 +65,7 @@
                                    const HeldWork& aWork,
                                    Duration& aRetryAfter)
 {
-  if (!aHeld.keeper_.MayDispatch(aNow, aWork.hash_)) {
+  if (!aHeld.grantManager_.MayDispatch(aNow, aWork.hash_)) {
     aRetryAfter = kOwnerChangeRetry;
     return Reason::OwnerChanging;
   }
@@ -105,7 +105,7 @@
     answer_(aNow, aReplyTo, MakeNotRun(reason, retryAfter));
     return;
   }
-  held->retries_.OnRequest();
+  held->retryBudget_.OnRequest();
   const bool needsClaim = aRequest.NeedsClaim();
   const auto id = work.id_;
   if (needsClaim) {
@@ -117,11 +117,11 @@
     }
     work.hasClaim_ = true;
   }
-  heldOfWork_[id] = HeldKey(held->service_, held->server_);
-  workOfReply_[aReplyTo] = id;
-  held->works_.emplace(id, std::move(work));
+  serverKeyByWork_[id] = HeldKey(held->service_, held->server_);
+  workByReplyTo_[aReplyTo] = id;
+  held->workItems_.emplace(id, std::move(work));
   if (needsClaim) {
-    PumpClaims(aNow);
+    SendNextClaimCall(aNow);
   } else {
     Enqueue(aNow, *held, id);
   }
@@ -130,7 +130,7 @@
 void
 DispatchController::Enqueue(Instant aNow, HeldServer& aHeld, WorkId aId)
 {
-  auto& work = aHeld.works_.at(aId);
+  auto& work = aHeld.workItems_.at(aId);
   Duration retryAfter{ 0 };
   const auto reason = CheckAdmission(aNow, aHeld, work, retryAfter);
   if (reason != Reason::None) {
@@ -140,18 +140,18 @@
   }
   work.phase_ = HeldWork::Phase::Waiting;
   aHeld.queue_.Admit(aNow, aId, work.request_.group_, work.request_.deadline_);
-  Pump(aNow, aHeld);
+  DispatchQueued(aNow, aHeld);
 }
 
 void
-DispatchController::Answer(Instant aNow, HeldWork& aWork, const WorkAnswer& aLast)
+DispatchController::Answer(Instant aNow, HeldWork& aWork, const WorkAnswer& aLastAnswer)
 {
   if (aWork.isAnswered_) {
     return;
   }
   aWork.isAnswered_ = true;
-  const bool isUncertain = aWork.mayHaveRun_ && aLast.outcome_ == RequestOutcome::NotRun;
-  const auto answer = isUncertain ? MakeUnknown(aLast.reason_) : aLast;
+  const bool isUncertain = aWork.mayHaveRun_ && aLastAnswer.outcome_ == RequestOutcome::NotRun;
+  const auto answer = isUncertain ? MakeUnknown(aLastAnswer.reason_) : aLastAnswer;
   if (aWork.hasClaim_) {
     switch (answer.outcome_) {
       case RequestOutcome::NotRun:
@@ -165,15 +165,15 @@
         break;
     }
   }
-  workOfReply_.erase(aWork.replyTo_);
+  workByReplyTo_.erase(aWork.replyTo_);
   answer_(aNow, aWork.replyTo_, answer);
 }
 
 void
 DispatchController::Drop(HeldServer& aHeld, WorkId aId)
 {
-  heldOfWork_.erase(aId);
-  aHeld.works_.erase(aId);
+  serverKeyByWork_.erase(aId);
+  aHeld.workItems_.erase(aId);
 }
 
 void
@@ -181,35 +181,35 @@
 {
   aWork.phase_ = HeldWork::Phase::Running;
   aWork.startedAt_ = aNow;
-  WorkCommand order;
-  order.id_ = aWork.id_;
-  order.server_ = aHeld.server_;
-  order.address_ = aHeld.address_;
-  order.fence_ = aHeld.keeper_.CurrentFence();
-  order.hash_ = aWork.hash_;
-  order.request_ = aWork.request_;
-  order.validUntil_ = aHeld.keeper_.ValidUntilOnServer();
+  WorkCommand command;
+  command.id_ = aWork.id_;
+  command.server_ = aHeld.server_;
+  command.address_ = aHeld.address_;
+  command.fence_ = aHeld.grantManager_.CurrentFence();
+  command.hash_ = aWork.hash_;
+  command.request_ = aWork.request_;
+  command.validUntil_ = aHeld.grantManager_.ValidUntilOnServer();
   context_.events_.Record(Event::RequestDispatched,
                           "work=" + std::to_string(aWork.id_) + " server=" + aHeld.server_ +
                             " group=" + aWork.request_.group_ +
-                            " fence=" + std::to_string(order.fence_) +
+                            " fence=" + std::to_string(command.fence_) +
                             " waiting=" + std::to_string(aHeld.queue_.Waiting()));
-  context_.outbox_.SendWork(order);
+  context_.outbox_.SendWork(command);
 }
 
 void
-DispatchController::Pump(Instant aNow, HeldServer& aHeld)
+DispatchController::DispatchQueued(Instant aNow, HeldServer& aHeld)
 {
   for (const auto id : aHeld.queue_.TakeExpired(aNow)) {
-    auto& work = aHeld.works_.at(id);
+    auto& work = aHeld.workItems_.at(id);
     Answer(aNow,
            work,
            MakeNotRun(Reason::DeadlinePassed, aHeld.queue_.EstimateWait(work.request_.group_)));
     Drop(aHeld, id);
   }
   while (const auto id = aHeld.queue_.StartNext()) {
-    auto& work = aHeld.works_.at(*id);
-    if (!aHeld.keeper_.MayDispatch(aNow, work.hash_)) {
+    auto& work = aHeld.workItems_.at(*id);
+    if (!aHeld.grantManager_.MayDispatch(aNow, work.hash_)) {
       aHeld.queue_.Finish(*id, Duration{ 0 });
       Answer(aNow, work, MakeNotRun(Reason::OwnerChanging, kOwnerChangeRetry));
       Drop(aHeld, *id);
@@ -223,7 +223,7 @@
 DispatchController::Abandon(Instant aNow, HeldWork& aWork)
 {
   // NOTE: The work may still be running at the server, so its slot stays occupied.
-  // SettleAbandoned() frees it once the server has answered a grant command that was sent after
+  // FreeAbandonedSlots() frees it once the server has answered a grant command that was sent after
   // this moment, because that answer counts the work that still runs there.
   aWork.phase_ = HeldWork::Phase::Abandoned;
   aWork.abandonedAt_ = aNow;
@@ -232,13 +232,13 @@
 void
 DispatchController::Cancel(Instant aNow, const ReplyTo& aReplyTo)
 {
-  const auto found = workOfReply_.find(aReplyTo);
-  if (found == workOfReply_.end()) {
+  const auto found = workByReplyTo_.find(aReplyTo);
+  if (found == workByReplyTo_.end()) {
     return;
   }
   const auto id = found->second;
-  auto& held = *held_.at(heldOfWork_.at(id));
-  auto& work = held.works_.at(id);
+  auto& held = *held_.at(serverKeyByWork_.at(id));
+  auto& work = held.workItems_.at(id);
   if (work.phase_ == HeldWork::Phase::Running) {
     context_.outbox_.CancelWork(id);
     Answer(aNow, work, MakeUnknown(Reason::Cancelled));
@@ -250,10 +250,11 @@
 }
 
 bool
-DispatchController::TryAgain(Instant aNow, HeldServer& aHeld, HeldWork& aWork)
+DispatchController::TryRetry(Instant aNow, HeldServer& aHeld, HeldWork& aWork)
 {
   const bool mayRepeat = aWork.request_.isRepeatable_ && !aWork.isAnswered_ &&
-                         aHeld.keeper_.MayDispatch(aNow, aWork.hash_) && aHeld.retries_.TrySpend();
+                         aHeld.grantManager_.MayDispatch(aNow, aWork.hash_) &&
+                         aHeld.retryBudget_.TrySpend();
   if (!mayRepeat) {
     return false;
   }
@@ -261,38 +262,38 @@
   again.id_ = NextTag();
   again.phase_ = HeldWork::Phase::Waiting;
   again.mayHaveRun_ = true;
-  heldOfWork_[again.id_] = HeldKey(aHeld.service_, aHeld.server_);
-  workOfReply_[again.replyTo_] = again.id_;
+  serverKeyByWork_[again.id_] = HeldKey(aHeld.service_, aHeld.server_);
+  workByReplyTo_[again.replyTo_] = again.id_;
   context_.events_.Record(Event::RequestRetried,
                           "work=" + std::to_string(again.id_) +
                             " former=" + std::to_string(aWork.id_) + " reason=connection-broken");
   const auto id = again.id_;
   aWork.isAnswered_ = true;
-  aHeld.works_.emplace(id, std::move(again));
+  aHeld.workItems_.emplace(id, std::move(again));
   Enqueue(aNow, aHeld, id);
   return true;
 }
 
 void
-DispatchController::Measure(HeldServer& aHeld, const HeldWork& aWork, Duration aBusy)
+DispatchController::RecordLoad(HeldServer& aHeld, const HeldWork& aWork, Duration aBusy)
 {
   const auto* placed = context_.view_.FindPlacement(aHeld.service_);
   if (placed != nullptr) {
     const auto& placement = placed->placement_;
     const auto& slice = placement.slices_[placement.SliceIndexOf(aWork.hash_)];
-    aHeld.meter_.Add(aWork.hash_, slice.start_, aBusy);
+    aHeld.loadMeter_.Add(aWork.hash_, slice.start_, aBusy);
   }
 }
 
 void
 DispatchController::OnWorkReply(Instant aNow, WorkId aId, const WorkReply& aReply)
 {
-  const auto owner = heldOfWork_.find(aId);
-  if (owner == heldOfWork_.end()) {
+  const auto owner = serverKeyByWork_.find(aId);
+  if (owner == serverKeyByWork_.end()) {
     return;
   }
   auto& held = *held_.at(owner->second);
-  auto& work = held.works_.at(aId);
+  auto& work = held.workItems_.at(aId);
   if (work.phase_ == HeldWork::Phase::Abandoned) {
     return;
   }
@@ -303,7 +304,7 @@
       answer.status_ = aReply.status_;
       answer.body_ = aReply.body_;
       answer.contentType_ = aReply.contentType_;
-      Measure(held, work, aNow - work.startedAt_);
+      RecordLoad(held, work, aNow - work.startedAt_);
       break;
     case WorkOutcome::Refused:
       answer = MakeNotRun(Reason::ServerRefused, kOwnerChangeRetry);
@@ -322,7 +323,7 @@
       break;
     case WorkOutcome::Broken:
       Abandon(aNow, work);
-      if (!TryAgain(aNow, held, work)) {
+      if (!TryRetry(aNow, held, work)) {
         Answer(aNow, work, MakeUnknown(Reason::ConnectionBroken));
       }
       return;
@@ -331,53 +332,53 @@
   held.queue_.Finish(aId, ran ? aNow - work.startedAt_ : Duration{ 0 });
   Answer(aNow, work, answer);
   Drop(held, aId);
-  Pump(aNow, held);
+  DispatchQueued(aNow, held);
 }
 
-std::optional<DispatchController::Order>
-DispatchController::TakeOrder(CallTag aTag)
+std::optional<DispatchController::SentGrant>
+DispatchController::TakeSentGrant(CallTag aTag)
 {
-  const auto found = orders_.find(aTag);
-  if (found == orders_.end()) {
+  const auto found = sentGrants_.find(aTag);
+  if (found == sentGrants_.end()) {
     return std::nullopt;
   }
-  auto order = std::move(found->second);
-  orders_.erase(found);
-  return order;
+  auto sent = std::move(found->second);
+  sentGrants_.erase(found);
+  return sent;
 }
 
 void
 DispatchController::OnGrantReply(Instant aNow, CallTag aTag, const GrantReply& aReply)
 {
-  const auto order = TakeOrder(aTag);
-  const auto entry = order ? held_.find(order->key_) : held_.end();
+  const auto sent = TakeSentGrant(aTag);
+  const auto entry = sent ? held_.find(sent->key_) : held_.end();
   if (entry == held_.end()) {
     return;
   }
   auto& held = *entry->second;
-  const auto before = held.keeper_.State();
-  held.keeper_.OnReply(aNow, order->sentAt_, order->order_, aReply);
+  const auto before = held.grantManager_.State();
+  held.grantManager_.OnReply(aNow, sent->sentAt_, sent->command_, aReply);
   if (!aReply.accepted_) {
     context_.events_.Record(Event::GrantRefused,
                             "server=" + held.server_ +
-                              " fence=" + std::to_string(order->order_.fence_) +
+                              " fence=" + std::to_string(sent->command_.fence_) +
                               " seen=" + std::to_string(aReply.fence_));
   }
-  if (before != held.keeper_.State()) {
+  if (before != held.grantManager_.State()) {
     context_.events_.Record(
       Event::GrantAcknowledged,
-      "server=" + held.server_ + " fence=" + std::to_string(held.keeper_.CurrentFence()) +
-        " state=" + std::string(kGrantStateNames.NameOf(held.keeper_.State())));
+      "server=" + held.server_ + " fence=" + std::to_string(held.grantManager_.CurrentFence()) +
+        " state=" + std::string(kGrantStateNames.NameOf(held.grantManager_.State())));
   }
-  held.isRefused_ = false;
-  held.queue_.SetForeignSlots(held.keeper_.ForeignRunning());
-  SettleAbandoned(held, order->sentAt_);
+  held.isConnectionRefused_ = false;
+  held.queue_.SetForeignSlots(held.grantManager_.ForeignRunning());
+  FreeAbandonedSlots(held, sent->sentAt_);
   reporter_.Report(aNow, held);
-  Pump(aNow, held);
+  DispatchQueued(aNow, held);
 }
 
 void
-DispatchController::SettleAbandoned(HeldServer& aHeld, Instant aOrderSentAt)
+DispatchController::FreeAbandonedSlots(HeldServer& aHeld, Instant aOrderSentAt)
 {
   for (const auto id : aHeld.AbandonedBefore(aOrderSentAt)) {
     aHeld.queue_.Finish(id, Duration{ 0 });
@@ -388,17 +389,17 @@
 void
 DispatchController::OnConnectionRefused(Instant aNow, CallTag aTag)
 {
-  const auto order = TakeOrder(aTag);
-  const auto entry = order ? held_.find(order->key_) : held_.end();
+  const auto sent = TakeSentGrant(aTag);
+  const auto entry = sent ? held_.find(sent->key_) : held_.end();
   if (entry != held_.end()) {
-    entry->second->isRefused_ = true;
-    SettleAbandoned(*entry->second, order->sentAt_);
+    entry->second->isConnectionRefused_ = true;
+    FreeAbandonedSlots(*entry->second, sent->sentAt_);
     reporter_.Report(aNow, *entry->second);
   }
 }
 
 void
-DispatchController::PumpClaims(Instant aNow)
+DispatchController::SendNextClaimCall(Instant aNow)
 {
   if (claimTag_ != 0) {
     return;
@@ -425,13 +426,13 @@
   }
   claimTag_ = 0;
   for (const auto& decision : claims_.OnReply(aNow, aReply)) {
-    const auto owner = heldOfWork_.find(decision.id_);
-    if (owner == heldOfWork_.end()) {
+    const auto owner = serverKeyByWork_.find(decision.id_);
+    if (owner == serverKeyByWork_.end()) {
       claims_.Release(decision.id_);
       continue;
     }
     auto& held = *held_.at(owner->second);
-    auto& work = held.works_.at(decision.id_);
+    auto& work = held.workItems_.at(decision.id_);
     switch (decision.verdict_) {
       case ClaimVerdict::Claimed:
         Enqueue(aNow, held, decision.id_);
@@ -454,24 +455,24 @@
         break;
     }
   }
-  PumpClaims(aNow);
+  SendNextClaimCall(aNow);
   return true;
 }
 
 void
-DispatchController::OnResume(const ResumeCommand& aOrder)
+DispatchController::OnResume(const ResumeCommand& aCommand)
 {
-  const auto found = held_.find(HeldKey(aOrder.service_, aOrder.server_));
+  const auto found = held_.find(HeldKey(aCommand.service_, aCommand.server_));
   if (found == held_.end()) {
     return;
   }
   auto& held = *found->second;
   // Only the answer to the newest report counts: an older one may come from a placer that has
   // been replaced since.
-  const bool isCurrent = held.keeper_.CurrentFence() == aOrder.fence_ &&
-                         held.reportSequence_ == aOrder.sequence_ && !held.isStopping_;
+  const bool isCurrent = held.grantManager_.CurrentFence() == aCommand.fence_ &&
+                         held.reportSequence_ == aCommand.sequence_ && !held.isStopping_;
   if (isCurrent) {
-    held.keeper_.Resume();
+    held.grantManager_.Resume();
     context_.events_.Record(Event::GrantResumed, "server=" + held.server_);
   }
 }
@@ -488,17 +489,17 @@
 }
 
 void
-DispatchController::TurnAwayWaiting(Instant aNow, HeldServer& aHeld, Reason aReason)
+DispatchController::RejectWaiting(Instant aNow, HeldServer& aHeld, Reason aReason)
 {
   for (const auto id : aHeld.UnsentWork()) {
     aHeld.queue_.Remove(id);
-    Answer(aNow, aHeld.works_.at(id), MakeNotRun(aReason, kOwnerChangeRetry));
+    Answer(aNow, aHeld.workItems_.at(id), MakeNotRun(aReason, kOwnerChangeRetry));
     Drop(aHeld, id);
   }
 }
 
 void
-DispatchController::FollowView(Instant aNow)
+DispatchController::ApplyView(Instant aNow)
 {
   const auto& configuration = context_.view_.Configuration();
   for (const auto& service : configuration.services_) {
@@ -523,36 +524,37 @@
       }
       held->isStopping_ = false;
       held->Configure(configuration);
-      held->FollowPlacement(*placed, index);
+      held->ApplyPlacement(*placed, index);
     }
   }
   for (auto& [key, held] : held_) {
     if (!IsHolderInView(*held) && !held->isStopping_) {
       held->isStopping_ = true;
-      TurnAwayWaiting(aNow, *held, Reason::NotHolder);
+      RejectWaiting(aNow, *held, Reason::NotHolder);
     }
   }
-  LetGo(aNow);
+  RemoveStopped(aNow);
 }
 
 void
-DispatchController::LetGo(Instant aNow)
+DispatchController::RemoveStopped(Instant aNow)
 {
   for (auto entry = held_.begin(); entry != held_.end();) {
     auto& held = *entry->second;
-    const bool isOver = held.isStopping_ &&
-                        std::all_of(held.works_.begin(), held.works_.end(), [](const auto& aWork) {
-                          return aWork.second.phase_ == HeldWork::Phase::Abandoned;
-                        });
+    const bool isOver =
+      held.isStopping_ &&
+      std::all_of(held.workItems_.begin(), held.workItems_.end(), [](const auto& aWork) {
+        return aWork.second.phase_ == HeldWork::Phase::Abandoned;
+      });
     if (!isOver) {
       ++entry;
       continue;
     }
-    for (const auto& [id, work] : held.works_) {
-      heldOfWork_.erase(id);
+    for (const auto& [id, work] : held.workItems_) {
+      serverKeyByWork_.erase(id);
     }
     entry = held_.erase(entry);
-    reporter_.ForgetStopped();
+    reporter_.ResetStoppedInterval();
   }
   reporter_.ReportStopped(aNow, [this](std::string_view aService, std::string_view aServer) {
     return held_.contains(HeldKey(aService, aServer));
@@ -563,34 +565,35 @@
 DispatchController::Tick(Instant aNow)
 {
   for (auto& [key, held] : held_) {
-    const auto before = held->keeper_.State();
+    const auto before = held->grantManager_.State();
     // A holder that is being replaced keeps renewing the grant until its work has ended, so
     // that the work can finish under the grant it was started with.
-    for (const auto& order : held->keeper_.Tick(aNow)) {
+    for (const auto& command : held->grantManager_.Tick(aNow)) {
       if (held->address_.empty()) {
         continue;
       }
       const auto tag = NextTag();
-      orders_[tag] = { key, aNow, order };
-      context_.outbox_.SendGrant(tag, held->address_, order);
+      sentGrants_[tag] = { key, aNow, command };
+      context_.outbox_.SendGrant(tag, held->address_, command);
     }
-    if (before != GrantState::Withheld && held->keeper_.State() == GrantState::Withheld) {
+    if (before != GrantState::Withheld && held->grantManager_.State() == GrantState::Withheld) {
       context_.events_.Record(Event::GrantExpired,
                               "server=" + held->server_ +
-                                " fence=" + std::to_string(held->keeper_.CurrentFence()));
+                                " fence=" + std::to_string(held->grantManager_.CurrentFence()));
     }
-    if (!held->keeper_.IsUsable(aNow)) {
+    if (!held->grantManager_.IsUsable(aNow)) {
       // Work that never answers may occupy all slots. Requests that wait are rejected now
       // instead of timing out behind a server that cannot serve them.
-      TurnAwayWaiting(aNow, *held, Reason::OwnerChanging);
+      RejectWaiting(aNow, *held, Reason::OwnerChanging);
     }
-    Pump(aNow, *held);
+    DispatchQueued(aNow, *held);
     reporter_.Report(aNow, *held);
   }
-  std::erase_if(
-    orders_, [&](const auto& aOrder) { return aNow - aOrder.second.sentAt_ > kGrantAnswerLife; });
-  LetGo(aNow);
-  PumpClaims(aNow);
+  std::erase_if(sentGrants_, [&](const auto& aSent) {
+    return aNow - aSent.second.sentAt_ > kGrantReplyTimeout;
+  });
+  RemoveStopped(aNow);
+  SendNextClaimCall(aNow);
 }
 
 } // namespace latchslip
--- a/Libraries/LibInstance/DispatchController.h
+++ b/Libraries/LibInstance/DispatchController.h
@@ -39,7 +39,7 @@
   void Tick(Instant aNow);
   // Starts to hold the servers that the view assigns to this instance, and begins to release
   // those that it assigns to others. Called after each change of the view.
-  void FollowView(Instant aNow);
+  void ApplyView(Instant aNow);
 
   void OnWorkReply(Instant aNow, WorkId aId, const WorkReply& aReply);
   void OnGrantReply(Instant aNow, CallTag aTag, const GrantReply& aReply);
@@ -48,7 +48,7 @@
   bool OnStoreReply(Instant aNow, CallTag aTag, const StoreReply& aReply);
   // The placer has decided that a server whose grants are withheld keeps its slices; grants
   // may be given again.
-  void OnResume(const ResumeCommand& aOrder);
+  void OnResume(const ResumeCommand& aCommand);
 
   // Whether this instance holds no server any more and all its work has ended.
   bool IsIdle() const { return held_.empty(); }
@@ -57,16 +57,16 @@
 
 private:
   // A grant command that has been sent and not been answered yet.
-  struct Order
+  struct SentGrant
   {
     std::string key_;
     Instant sentAt_;
-    GrantCommand order_;
+    GrantCommand command_;
   };
 
   // Removes and returns the grant command that was sent under a tag. Each is answered at most
   // once.
-  std::optional<Order> TakeOrder(CallTag aTag);
+  std::optional<SentGrant> TakeSentGrant(CallTag aTag);
   static std::string HeldKey(std::string_view aService, std::string_view aServer);
   // Returns the held server that owns the key, or nullptr and the reason why it cannot be
   // used.
@@ -79,24 +79,24 @@
                         Duration& aRetryAfter);
   void Enqueue(Instant aNow, HeldServer& aHeld, WorkId aId);
   // Rejects expired requests and starts queued ones while slots are free.
-  void Pump(Instant aNow, HeldServer& aHeld);
+  void DispatchQueued(Instant aNow, HeldServer& aHeld);
   void Dispatch(Instant aNow, HeldServer& aHeld, HeldWork& aWork);
-  void Answer(Instant aNow, HeldWork& aWork, const WorkAnswer& aLast);
-  void Measure(HeldServer& aHeld, const HeldWork& aWork, Duration aBusy);
+  void Answer(Instant aNow, HeldWork& aWork, const WorkAnswer& aLastAnswer);
+  void RecordLoad(HeldServer& aHeld, const HeldWork& aWork, Duration aBusy);
   void Drop(HeldServer& aHeld, WorkId aId);
   // Retries repeatable work after its connection broke, within the retry budget. Returns
   // false if it must not be retried.
-  bool TryAgain(Instant aNow, HeldServer& aHeld, HeldWork& aWork);
+  bool TryRetry(Instant aNow, HeldServer& aHeld, HeldWork& aWork);
   void Abandon(Instant aNow, HeldWork& aWork);
-  void TurnAwayWaiting(Instant aNow, HeldServer& aHeld, Reason aReason);
+  void RejectWaiting(Instant aNow, HeldServer& aHeld, Reason aReason);
   // Frees the slots of abandoned work after the server has answered a command that was sent at
   // aOrderSentAt.
-  void SettleAbandoned(HeldServer& aHeld, Instant aOrderSentAt);
+  void FreeAbandonedSlots(HeldServer& aHeld, Instant aOrderSentAt);
   // Sends the next call of the claim registry, unless one is in flight.
-  void PumpClaims(Instant aNow);
+  void SendNextClaimCall(Instant aNow);
   // Removes the servers that are stopping and have no work left, and reports that to the
   // placers.
-  void LetGo(Instant aNow);
+  void RemoveStopped(Instant aNow);
   bool IsHolderInView(const HeldServer& aHeld) const;
 
   InstanceContext context_;
@@ -104,9 +104,9 @@
   HolderReporter reporter_;
   ClaimRegistry claims_;
   std::map<std::string, std::unique_ptr<HeldServer>> held_;
-  std::map<WorkId, std::string> heldOfWork_;
-  std::map<ReplyTo, WorkId> workOfReply_;
-  std::map<CallTag, Order> orders_;
+  std::map<WorkId, std::string> serverKeyByWork_;
+  std::map<ReplyTo, WorkId> workByReplyTo_;
+  std::map<CallTag, SentGrant> sentGrants_;
   CallTag claimTag_ = 0;
 };
 
--- a/Libraries/LibInstance/HeldServer.cpp
+++ b/Libraries/LibInstance/HeldServer.cpp
@@ -35,7 +35,7 @@
   , server_(aServer.name_)
   , address_(aServer.address_)
   , checksGrants_(aService.checksGrants_)
-  , keeper_(aService.name_, aServer.name_, aService.checksGrants_, aTiming)
+  , grantManager_(aService.name_, aServer.name_, aService.checksGrants_, aTiming)
   , queue_(aService.slots_)
 {
 }
@@ -60,20 +60,20 @@
 }
 
 void
-HeldServer::FollowPlacement(const PlacedService& aPlaced, ServerIndex aIndex)
+HeldServer::ApplyPlacement(const PlacedService& aPlaced, ServerIndex aIndex)
 {
   const auto& server = aPlaced.placement_.servers_[aIndex];
-  keeper_.SetDesiredRanges(server.fence_,
-                           aPlaced.version_,
-                           RangesOf(aPlaced.placement_, aIndex),
-                           server.formerHolders_.empty());
+  grantManager_.SetDesiredRanges(server.fence_,
+                                 aPlaced.version_,
+                                 RangesOf(aPlaced.placement_, aIndex),
+                                 server.formerHolders_.empty());
 }
 
 bool
-HeldServer::MayHaveWork() const
+HeldServer::MayHaveRunningWork() const
 {
-  return keeper_.ForeignRunning() > 0 ||
-         std::any_of(works_.begin(), works_.end(), [](const auto& aEntry) {
+  return grantManager_.ForeignRunning() > 0 ||
+         std::any_of(workItems_.begin(), workItems_.end(), [](const auto& aEntry) {
            const auto phase = aEntry.second.phase_;
            return phase == HeldWork::Phase::Running || phase == HeldWork::Phase::Abandoned;
          });
@@ -83,7 +83,7 @@
 HeldServer::UnsentWork() const
 {
   std::vector<WorkId> ids;
-  for (const auto& [id, work] : works_) {
+  for (const auto& [id, work] : workItems_) {
     if (work.phase_ == HeldWork::Phase::Waiting || work.phase_ == HeldWork::Phase::Claiming) {
       ids.push_back(id);
     }
@@ -95,7 +95,7 @@
 HeldServer::AbandonedBefore(Instant aMoment) const
 {
   std::vector<WorkId> ids;
-  for (const auto& [id, work] : works_) {
+  for (const auto& [id, work] : workItems_) {
     if (work.phase_ == HeldWork::Phase::Abandoned && work.abandonedAt_ < aMoment) {
       ids.push_back(id);
     }
@@ -104,9 +104,9 @@
 }
 
 bool
-HeldServer::HasWorkOutside(const Placement& aPlacement, ServerIndex aIndex) const
+HeldServer::HasWorkOutsideRanges(const Placement& aPlacement, ServerIndex aIndex) const
 {
-  return std::any_of(works_.begin(), works_.end(), [&](const auto& aEntry) {
+  return std::any_of(workItems_.begin(), workItems_.end(), [&](const auto& aEntry) {
     const auto& work = aEntry.second;
     const auto& slice = aPlacement.slices_[aPlacement.SliceIndexOf(work.hash_)];
     const bool isInside = slice.owner_ == aIndex && !slice.IsMoving();
@@ -126,12 +126,12 @@
   report.service_ = service_;
   report.server_ = server_;
   report.holder_ = aSelf;
-  report.fence_ = keeper_.CurrentFence();
+  report.fence_ = grantManager_.CurrentFence();
   report.sequence_ = ++reportSequence_;
-  report.isReachable_ = keeper_.IsReachable(aNow);
-  report.isUnconfirmed_ = !keeper_.IsConfirmed();
-  if (!HasWorkOutside(aPlacement, aIndex)) {
-    report.releasedVersion_ = keeper_.ReleasedVersion();
+  report.isReachable_ = grantManager_.IsReachable(aNow);
+  report.isUnconfirmed_ = !grantManager_.IsConfirmed();
+  if (!HasWorkOutsideRanges(aPlacement, aIndex)) {
+    report.releasedVersion_ = grantManager_.ReleasedVersion();
   }
   return report;
 }
--- a/Libraries/LibInstance/HeldServer.h
+++ b/Libraries/LibInstance/HeldServer.h
@@ -62,11 +62,11 @@
   // Applies the configuration: the slots, the sharing intents and the server's address.
   void Configure(const Declaration& aConfiguration);
   // Applies the newest placement: the fence and the key ranges of this server.
-  void FollowPlacement(const PlacedService& aPlaced, ServerIndex aIndex);
+  void ApplyPlacement(const PlacedService& aPlaced, ServerIndex aIndex);
 
   // Whether work that was sent to the server may still be running there, under this holder or
   // a former one.
-  bool MayHaveWork() const;
+  bool MayHaveRunningWork() const;
 
   // Returns the work that waits for its claim or for a slot.
   std::vector<WorkId> UnsentWork() const;
@@ -75,7 +75,7 @@
 
   // Whether work for a key outside the placed ranges of this server may still be running.
   // While it may, those ranges do not count as released.
-  bool HasWorkOutside(const Placement& aPlacement, ServerIndex aIndex) const;
+  bool HasWorkOutsideRanges(const Placement& aPlacement, ServerIndex aIndex) const;
 
   // Builds the next report for the placer, without load.
   ServerReport ComposeReport(Instant aNow,
@@ -87,16 +87,16 @@
   std::string server_;
   std::string address_;
   bool checksGrants_;
-  GrantManager keeper_;
+  GrantManager grantManager_;
   ServerQueue queue_;
-  LoadMeter meter_;
-  RetryBudget retries_;
-  std::map<WorkId, HeldWork> works_;
+  LoadMeter loadMeter_;
+  RetryBudget retryBudget_;
+  std::map<WorkId, HeldWork> workItems_;
   // Set once the placement names another holder. The entry is removed when its work has
   // ended.
   bool isStopping_ = false;
   // The last connection attempt was refused, so no process is listening.
-  bool isRefused_ = false;
+  bool isConnectionRefused_ = false;
 
   Instant reportedAt_{ 0 };
   Instant loadReportedAt_{ 0 };
--- a/Libraries/LibInstance/HolderReporter.cpp
+++ b/Libraries/LibInstance/HolderReporter.cpp
@@ -11,9 +11,9 @@
 }
 
 bool
-HolderReporter::IsCertainlyWithheld(const HeldServer& aHeld) const
+HolderReporter::IsQuiescent(const HeldServer& aHeld) const
 {
-  if (aHeld.keeper_.State() != GrantState::Withheld) {
+  if (aHeld.grantManager_.State() != GrantState::Withheld) {
     return false;
   }
   // A server that checks fences aborts its work when its grant expires. Any other server
@@ -21,14 +21,14 @@
   // has ended or the process is known to be gone.
   const auto* service = context_.view_.Configuration().FindService(aHeld.service_);
   const bool isDeclared = service != nullptr && service->FindServer(aHeld.server_) != nullptr;
-  return aHeld.checksGrants_ || aHeld.isRefused_ || !isDeclared ||
-         (aHeld.keeper_.IsConfirmed() && !aHeld.MayHaveWork());
+  return aHeld.checksGrants_ || aHeld.isConnectionRefused_ || !isDeclared ||
+         (aHeld.grantManager_.IsConfirmed() && !aHeld.MayHaveRunningWork());
 }
 
 void
 HolderReporter::ReportStopped(Instant aNow, const HoldsFunction& aHolds)
 {
-  if (aNow - stoppedReportedAt_ < context_.timing_.reportRepeat_ &&
+  if (aNow - stoppedReportedAt_ < context_.timing_.reportRepeatInterval_ &&
       stoppedReportedAt_ != Instant{ 0 }) {
     return;
   }
@@ -69,22 +69,23 @@
   }
   const auto& last = aHeld.lastReport_;
   const bool isLoadDue = aNow - aHeld.loadReportedAt_ >= context_.timing_.reportInterval_;
-  const bool isWithheld = IsCertainlyWithheld(aHeld);
-  const bool isRepeatDue = isWithheld && aNow - aHeld.reportedAt_ >= context_.timing_.reportRepeat_;
-  const bool isReleaseNews = aHeld.keeper_.ReleasedVersion() == placed->version_ &&
-                             last.releasedVersion_ != placed->version_ &&
-                             !aHeld.HasWorkOutside(placed->placement_, *index);
-  const bool isNews = isReleaseNews || last.isWithheld_ != isWithheld ||
-                      last.isReachable_ != aHeld.keeper_.IsReachable(aNow) ||
-                      last.isUnconfirmed_ == aHeld.keeper_.IsConfirmed() ||
-                      last.fence_ != aHeld.keeper_.CurrentFence();
-  if (!isLoadDue && !isRepeatDue && !isNews) {
+  const bool isWithheld = IsQuiescent(aHeld);
+  const bool isRepeatDue =
+    isWithheld && aNow - aHeld.reportedAt_ >= context_.timing_.reportRepeatInterval_;
+  const bool isNewlyReleased = aHeld.grantManager_.ReleasedVersion() == placed->version_ &&
+                               last.releasedVersion_ != placed->version_ &&
+                               !aHeld.HasWorkOutsideRanges(placed->placement_, *index);
+  const bool hasChanged = isNewlyReleased || last.isWithheld_ != isWithheld ||
+                          last.isReachable_ != aHeld.grantManager_.IsReachable(aNow) ||
+                          last.isUnconfirmed_ == aHeld.grantManager_.IsConfirmed() ||
+                          last.fence_ != aHeld.grantManager_.CurrentFence();
+  if (!isLoadDue && !isRepeatDue && !hasChanged) {
     return;
   }
   auto report = aHeld.ComposeReport(aNow, context_.membership_.Self(), placed->placement_, *index);
   report.isWithheld_ = isWithheld;
   if (isLoadDue) {
-    aHeld.meter_.Fill(aNow - aHeld.loadReportedAt_, report);
+    aHeld.loadMeter_.Fill(aNow - aHeld.loadReportedAt_, report);
     aHeld.loadReportedAt_ = aNow;
   }
   aHeld.reportedAt_ = aNow;
--- a/Libraries/LibInstance/HolderReporter.h
+++ b/Libraries/LibInstance/HolderReporter.h
@@ -26,12 +26,12 @@
   // holder, once this instance does not hold the server any more.
   void ReportStopped(Instant aNow, const HoldsFunction& aHolds);
   // Makes the next ReportStopped() send at once, since another server has been released.
-  void ForgetStopped() { stoppedReportedAt_ = Instant{ 0 }; }
+  void ResetStoppedInterval() { stoppedReportedAt_ = Instant{ 0 }; }
 
 private:
   // Whether the grant has expired and nothing that was dispatched under it can still be
   // running, so that the server's keys may safely move.
-  bool IsCertainlyWithheld(const HeldServer& aHeld) const;
+  bool IsQuiescent(const HeldServer& aHeld) const;
 
   InstanceContext context_;
   ReportFunction report_;
--- a/Libraries/LibInstance/InstanceContext.h
+++ b/Libraries/LibInstance/InstanceContext.h
@@ -21,7 +21,7 @@
   Duration heartbeatInterval_ = milliseconds(200);
   Duration reportInterval_ = seconds(1);
   // How often a report is repeated until the placer has acted on it.
-  Duration reportRepeat_ = milliseconds(200);
+  Duration reportRepeatInterval_ = milliseconds(200);
   Duration storePollInterval_ = seconds(1);
   // A view that neither the store nor a peer has confirmed for this long is not served from,
   // unless a majority of the instances was heard from within the same time.
--- a/Libraries/LibInstance/InstanceCore.cpp
+++ b/Libraries/LibInstance/InstanceCore.cpp
@@ -8,10 +8,10 @@
 
 // Once the view is older than this, heartbeats are also sent to peers that do not monitor
 // this instance, so that every instance can check whether it can reach a majority.
-constexpr Duration kAgeingView = milliseconds(1500);
+constexpr Duration kWideHeartbeatViewAge = milliseconds(1500);
 constexpr Duration kWideHeartbeatInterval = milliseconds(500);
 // Timeout of a store read.
-constexpr Duration kPollLife = seconds(2);
+constexpr Duration kPollTimeout = seconds(2);
 
 } // namespace
 
@@ -38,16 +38,16 @@
       [this](Instant aNow, const ReplyTo& aReplyTo) { dispatch_.Cancel(aNow, aReplyTo); })
   , placers_(
       MakeContext(),
-      [this](Instant aNow, const Row& aRow) { InstallAndSpread(aNow, aRow); },
-      [this](const InstanceId& aTo, const ResumeCommand& aOrder) {
+      [this](Instant aNow, const Row& aRow) { InstallAndBroadcast(aNow, aRow); },
+      [this](const InstanceId& aTo, const ResumeCommand& aCommand) {
         if (aTo == membership_.Self()) {
-          dispatch_.OnResume(aOrder);
+          dispatch_.OnResume(aCommand);
         } else {
-          outbox_.SendToPeer(aTo, aOrder);
+          outbox_.SendToPeer(aTo, aCommand);
         }
       })
   , operators_(MakeContext(),
-               [this](Instant aNow, const Row& aRow) { InstallAndSpread(aNow, aRow); })
+               [this](Instant aNow, const Row& aRow) { InstallAndBroadcast(aNow, aRow); })
 {
 }
 
@@ -111,7 +111,7 @@
   heartbeat.isLeaving_ = membership_.IsLeaving();
   heartbeat.viewDigest_ = view_.Digest();
   heartbeat.viewAge_ = aNow - viewAsOf_;
-  const bool isWide = aNow - viewAsOf_ > kAgeingView || !hasView_;
+  const bool isWide = aNow - viewAsOf_ > kWideHeartbeatViewAge || !hasView_;
   if (isWide && aNow - wideHeartbeatAt_ >= kWideHeartbeatInterval) {
     wideHeartbeatAt_ = aNow;
     Broadcast(heartbeat);
@@ -127,7 +127,7 @@
 void
 InstanceCore::PollStore(Instant aNow)
 {
-  if (pollTag_ != 0 && aNow - pollSentAt_ > kPollLife) {
+  if (pollTag_ != 0 && aNow - pollSentAt_ > kPollTimeout) {
     pollTag_ = 0;
   }
   const bool isDue = polledAt_ == Instant{ 0 } || aNow - polledAt_ >= timing_.storePollInterval_;
@@ -166,7 +166,7 @@
   hasView_ = true;
   placers_.OnStoreRead();
   if (isChanged) {
-    dispatch_.FollowView(aNow);
+    dispatch_.ApplyView(aNow);
   }
   if (view_.Revision() != revision) {
     // The new configuration may name services whose rows were not requested; poll again at
@@ -183,7 +183,7 @@
   if (result == InstallResult::Installed) {
     events_.Record(Event::ViewInstalled, detail);
     if (aRow.key_ == kConfigurationKey) {
-      TellInForce(view_.ConfirmedBy());
+      AcknowledgeConfiguration(view_.ConfirmedBy());
     }
   } else if (result == InstallResult::Invalid) {
     events_.Record(Event::ViewRejected, detail + " reason=unreadable");
@@ -192,11 +192,11 @@
 }
 
 void
-InstanceCore::InstallAndSpread(Instant aNow, const Row& aRow)
+InstanceCore::InstallAndBroadcast(Instant aNow, const Row& aRow)
 {
   if (Install(aRow)) {
     Broadcast(ViewRows{ { aRow } });
-    dispatch_.FollowView(aNow);
+    dispatch_.ApplyView(aNow);
   }
 }
 
@@ -238,11 +238,11 @@
   membership_.OnHeard(aNow, aPeer, aHall, membership_.IsLeavingInstance(aPeer));
   // The peer replies with every row that changed while the two were disconnected.
   outbox_.SendToPeer(aPeer, ViewStamps{ view_.Stamps() });
-  TellInForce(aPeer);
+  AcknowledgeConfiguration(aPeer);
 }
 
 void
-InstanceCore::TellInForce(const InstanceId& aPeer)
+InstanceCore::AcknowledgeConfiguration(const InstanceId& aPeer)
 {
   if (aPeer == view_.ConfirmedBy() && aPeer != membership_.Self()) {
     outbox_.SendToPeer(aPeer, ConfigurationApplied{ view_.Revision() });
@@ -301,7 +301,7 @@
   }
   if (isChanged) {
     hasView_ = hasView_ || view_.Revision() != 0;
-    dispatch_.FollowView(aNow);
+    dispatch_.ApplyView(aNow);
   }
 }
 
@@ -362,10 +362,10 @@
     OnPollReply(aNow, aReply);
     return;
   }
-  const bool isTaken = dispatch_.OnStoreReply(aNow, aTag, aReply) ||
-                       placers_.OnStoreReply(aNow, aTag, aReply) ||
-                       operators_.OnStoreReply(aNow, aTag, aReply);
-  static_cast<void>(isTaken);
+  const bool isHandled = dispatch_.OnStoreReply(aNow, aTag, aReply) ||
+                         placers_.OnStoreReply(aNow, aTag, aReply) ||
+                         operators_.OnStoreReply(aNow, aTag, aReply);
+  static_cast<void>(isHandled);
 }
 
 void
@@ -446,7 +446,7 @@
   for (const auto& [key, server] : dispatch_.Held()) {
     held.push_back(
       boost::json::object{ { "server", key },
-                           { "grant", kGrantStateNames.NameOf(server->keeper_.State()) },
+                           { "grant", kGrantStateNames.NameOf(server->grantManager_.State()) },
                            { "waiting", server->queue_.Waiting() },
                            { "running", server->queue_.Running() } });
   }
--- a/Libraries/LibInstance/InstanceCore.h
+++ b/Libraries/LibInstance/InstanceCore.h
@@ -71,11 +71,11 @@
   void PollStore(Instant aNow);
   void OnPollReply(Instant aNow, const StoreReply& aReply);
   // Installs a row that was just committed and broadcasts it to the peers.
-  void InstallAndSpread(Instant aNow, const Row& aRow);
+  void InstallAndBroadcast(Instant aNow, const Row& aRow);
   bool Install(const Row& aRow);
   // Reports to the peer, if the configuration in force was confirmed through it, that this
   // instance has applied the configuration.
-  void TellInForce(const InstanceId& aPeer);
+  void AcknowledgeConfiguration(const InstanceId& aPeer);
   // Sends a message to every peer that has a known id.
   void Broadcast(const PeerMessage& aMessage);
   void SendReport(Instant aNow, const ServerReport& aReport);
--- a/Libraries/LibInstance/Outbox.h
+++ b/Libraries/LibInstance/Outbox.h
@@ -32,9 +32,11 @@
   // Answered by OnStoreReply with the same tag.
   virtual void CallStore(CallTag aTag, const StoreCall& aCall) = 0;
   // Answered by OnGrantReply or OnConnectionRefused with the same tag, or not at all.
-  virtual void SendGrant(CallTag aTag, const std::string& aAddress, const GrantCommand& aOrder) = 0;
+  virtual void SendGrant(CallTag aTag,
+                         const std::string& aAddress,
+                         const GrantCommand& aCommand) = 0;
   // Always answered by OnWorkReply.
-  virtual void SendWork(const WorkCommand& aOrder) = 0;
+  virtual void SendWork(const WorkCommand& aCommand) = 0;
   virtual void CancelWork(WorkId aId) = 0;
   virtual void AnswerCaller(CallerId aCaller, const WorkAnswer& aAnswer) = 0;
   virtual void AnswerOperator(OperatorId aOperator, const OperatorAnswer& aAnswer) = 0;
--- a/Libraries/LibInstance/PlacementController.cpp
+++ b/Libraries/LibInstance/PlacementController.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-constexpr Duration kOutagePause = milliseconds(200);
+constexpr Duration kOutageBackoff = milliseconds(200);
 // Pause between two rounds that had nothing to decide. A report ends it at once.
-constexpr Duration kIdleRoundPause = milliseconds(30);
-constexpr Duration kReadBackPause = milliseconds(50);
+constexpr Duration kIdleRoundInterval = milliseconds(30);
+constexpr Duration kReadBackDelay = milliseconds(50);
 
 } // namespace
 
@@ -88,9 +88,9 @@
 void
 PlacementController::Decide(Instant aNow, const ServiceDeclaration& aService, Role& aRole)
 {
-  static const Placement kNothing;
+  static const Placement kEmptyPlacement;
   const auto* placed = context_.view_.FindPlacement(aService.name_);
-  const auto& current = placed == nullptr ? kNothing : placed->placement_;
+  const auto& current = placed == nullptr ? kEmptyPlacement : placed->placement_;
   const auto version = placed == nullptr ? 0 : placed->version_;
   const auto& self = context_.membership_.Self();
   const bool isPlacer = current.placer_ == self;
@@ -129,10 +129,10 @@
     Commit(aNow, aService.name_, aRole, std::move(*proposal));
     return;
   }
-  aRole.idleUntil_ = aNow + kIdleRoundPause;
-  for (const auto& order : aRole.placer_.TakeResumeCommands(current)) {
-    const auto index = current.FindServer(order.server_);
-    resume_(current.servers_[*index].holder_, order);
+  aRole.idleUntil_ = aNow + kIdleRoundInterval;
+  for (const auto& command : aRole.placer_.TakeResumeCommands(current)) {
+    const auto index = current.FindServer(command.server_);
+    resume_(current.servers_[*index].holder_, command);
   }
 }
 
@@ -188,12 +188,12 @@
 }
 
 void
-PlacementController::OnRefused(Instant aNow, Role& aRole)
+PlacementController::OnUnavailable(Instant aNow, Role& aRole)
 {
   aRole.placer_.OnNotCommitted(*aRole.proposal_);
   aRole.proposal_.reset();
   aRole.isIndeterminate_ = false;
-  aRole.notBefore_ = aNow + kOutagePause;
+  aRole.notBefore_ = aNow + kOutageBackoff;
 }
 
 void
@@ -226,7 +226,7 @@
                                 const StoreReply& aReply)
 {
   if (aReply.status_ != StoreStatus::Done) {
-    aRole.notBefore_ = aNow + kOutagePause;
+    aRole.notBefore_ = aNow + kOutageBackoff;
     return;
   }
   const auto* row = FindRow(aReply.rows_, PlacementKey(aService));
@@ -270,14 +270,14 @@
     case StoreStatus::Indeterminate:
       context_.events_.Record(Event::StoreUnsure, "service=" + service);
       role.isIndeterminate_ = true;
-      role.notBefore_ = aNow + kReadBackPause;
+      role.notBefore_ = aNow + kReadBackDelay;
       break;
     case StoreStatus::Unavailable:
       if (role.isIndeterminate_) {
         // An earlier attempt may still take effect, so the outcome remains open.
-        role.notBefore_ = aNow + kOutagePause;
+        role.notBefore_ = aNow + kOutageBackoff;
       } else {
-        OnRefused(aNow, role);
+        OnUnavailable(aNow, role);
       }
       break;
   }
--- a/Libraries/LibInstance/PlanController.cpp
+++ b/Libraries/LibInstance/PlanController.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr Duration kReadBackPause = milliseconds(100);
+constexpr Duration kReadBackDelay = milliseconds(100);
 
 } // namespace
 
@@ -33,13 +33,13 @@
 PlanController::OnPlan(Instant aNow, OperatorId aOperator, const std::string& aDeclaration)
 {
   static_cast<void>(aNow);
-  const auto wanted = ParseDeclaration(aDeclaration);
-  if (!wanted) {
-    AnswerError(aOperator, 400, wanted.error().field_, wanted.error().problem_);
+  const auto requested = ParseDeclaration(aDeclaration);
+  if (!requested) {
+    AnswerError(aOperator, 400, requested.error().field_, requested.error().problem_);
     return;
   }
   const auto plan =
-    MakePlan(context_.view_.Revision(), context_.view_.Configuration(), wanted.value());
+    MakePlan(context_.view_.Revision(), context_.view_.Configuration(), requested.value());
   context_.events_.Record(Event::PlanMade,
                           "plan=" + plan.Id() + " base=" + std::to_string(plan.baseRevision_) +
                             " changes=" + std::to_string(plan.changes_.size()));
@@ -92,7 +92,7 @@
 {
   aConfirmation.isCommitted_ = true;
   aConfirmation.isIndeterminate_ = false;
-  aConfirmation.inForce_.insert(context_.membership_.Self());
+  aConfirmation.appliedBy_.insert(context_.membership_.Self());
   context_.events_.Record(Event::PlanConfirmed,
                           "plan=" + aConfirmation.plan_.Id() +
                             " revision=" + std::to_string(aRow.version_));
@@ -119,7 +119,7 @@
 }
 
 bool
-PlanController::OnStanding(Instant aNow, Confirmation& aConfirmation, const StoreReply& aReply)
+PlanController::OnCurrentRow(Instant aNow, Confirmation& aConfirmation, const StoreReply& aReply)
 {
   const auto* found = FindRow(aReply.rows_, kConfigurationKey);
   const auto version = found == nullptr ? 0 : found->version_;
@@ -149,7 +149,7 @@
   switch (aReply.status_) {
     case StoreStatus::Done:
       if (aConfirmation.isReadBack_) {
-        return OnStanding(aNow, aConfirmation, aReply);
+        return OnCurrentRow(aNow, aConfirmation, aReply);
       }
       OnCommitted(
         aNow,
@@ -159,17 +159,17 @@
           SerializeConfigurationRow(aConfirmation.token_, aConfirmation.plan_.declaration_) });
       return TryFinish(aNow, aConfirmation);
     case StoreStatus::Conflict:
-      return OnStanding(aNow, aConfirmation, aReply);
+      return OnCurrentRow(aNow, aConfirmation, aReply);
     case StoreStatus::Indeterminate:
       context_.events_.Record(Event::StoreUnsure, "plan=" + aConfirmation.plan_.Id());
       aConfirmation.isIndeterminate_ = true;
-      aConfirmation.nextTryAt_ = aNow + kReadBackPause;
+      aConfirmation.nextTryAt_ = aNow + kReadBackDelay;
       return false;
     case StoreStatus::Unavailable:
       break;
   }
   if (aConfirmation.isIndeterminate_) {
-    aConfirmation.nextTryAt_ = aNow + kReadBackPause;
+    aConfirmation.nextTryAt_ = aNow + kReadBackDelay;
     return false;
   }
   AnswerError(aConfirmation.operator_,
@@ -201,7 +201,7 @@
   static_cast<void>(aNow);
   for (auto& [id, confirmation] : confirmations_) {
     if (confirmation.isCommitted_ && aRevision >= RevisionOf(confirmation)) {
-      confirmation.inForce_.insert(aPeer);
+      confirmation.appliedBy_.insert(aPeer);
     }
   }
 }
@@ -223,7 +223,7 @@
   boost::json::array inForce;
   boost::json::array pending;
   for (const auto& instance : context_.membership_.Live(aNow)) {
-    const bool has = aConfirmation.inForce_.contains(instance.id_);
+    const bool has = aConfirmation.appliedBy_.contains(instance.id_);
     (has ? inForce : pending).emplace_back(instance.id_);
   }
   for (const auto& listed : context_.membership_.Peers()) {
--- a/Libraries/LibInstance/PlanController.h
+++ b/Libraries/LibInstance/PlanController.h
@@ -47,7 +47,7 @@
     bool isCommitted_ = false;
     Instant startedAt_{ 0 };
     Instant nextTryAt_{ 0 };
-    std::set<InstanceId> inForce_;
+    std::set<InstanceId> appliedBy_;
   };
 
   void Send(Confirmation& aConfirmation);
@@ -57,7 +57,7 @@
   bool OnReply(Instant aNow, Confirmation& aConfirmation, const StoreReply& aReply);
   // Compares the configuration row that is stored now with the one of the confirmation.
   // Returns true if the confirmation is finished.
-  bool OnStanding(Instant aNow, Confirmation& aConfirmation, const StoreReply& aReply);
+  bool OnCurrentRow(Instant aNow, Confirmation& aConfirmation, const StoreReply& aReply);
   // Answers if all instances have applied the revision, or at the timeout. Returns whether it
   // did.
   bool TryFinish(Instant aNow, const Confirmation& aConfirmation);
--- a/Libraries/LibInstance/RequestRouter.cpp
+++ b/Libraries/LibInstance/RequestRouter.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-constexpr Duration kFirstBackoff = milliseconds(5);
-constexpr Duration kMostBackoff = milliseconds(40);
+constexpr Duration kInitialBackoff = milliseconds(5);
+constexpr Duration kMaxBackoff = milliseconds(40);
 constexpr Duration kStaleRetry = seconds(1);
 constexpr Duration kNoOwnerRetry = milliseconds(500);
 constexpr Duration kBusyRetry = milliseconds(100);
@@ -16,7 +16,7 @@
 Duration
 BackoffAfter(unsigned aAttempts)
 {
-  return std::min(kMostBackoff, kFirstBackoff * (1U << std::min(aAttempts, 4U)));
+  return std::min(kMaxBackoff, kInitialBackoff * (1U << std::min(aAttempts, 4U)));
 }
 
 } // namespace
@@ -100,11 +100,11 @@
     Park(aNow, aEntry, MakeNotRun(Reason::NoOwner, kNoOwnerRetry));
     return;
   }
-  callerOfAttempt_.erase(pending.attempt_);
+  callerByAttempt_.erase(pending.attempt_);
   pending.attempt_ = NextTag();
   ++pending.attempts_;
   pending.holder_ = holder;
-  callerOfAttempt_[pending.attempt_] = pending.caller_;
+  callerByAttempt_[pending.attempt_] = pending.caller_;
   const auto attempt = pending.attempt_;
   context_.events_.Record(isSelf ? Event::RequestRouted : Event::RequestForwarded,
                           "caller=" + std::to_string(pending.caller_) + " service=" +
@@ -124,13 +124,13 @@
   forwarded.request_ = pending.request_;
   forwarded.request_.deadline_ = pending.request_.deadline_ - aNow;
   if (!context_.outbox_.SendToPeer(holder, forwarded)) {
-    callerOfAttempt_.erase(attempt);
+    callerByAttempt_.erase(attempt);
     Park(aNow, aEntry, MakeNotRun(Reason::HolderUnreachable, kNoOwnerRetry));
   }
 }
 
 bool
-RequestRouter::IsWorthRetrying(const WorkAnswer& aAnswer)
+RequestRouter::IsRetryable(const WorkAnswer& aAnswer)
 {
   if (aAnswer.outcome_ != RequestOutcome::NotRun) {
     return false;
@@ -149,15 +149,15 @@
 }
 
 void
-RequestRouter::Park(Instant aNow, Entry aEntry, const WorkAnswer& aWhy)
+RequestRouter::Park(Instant aNow, Entry aEntry, const WorkAnswer& aLastAnswer)
 {
   auto& pending = aEntry->second;
-  pending.mayHaveRun_ = pending.mayHaveRun_ || aWhy.outcome_ == RequestOutcome::Unknown;
+  pending.mayHaveRun_ = pending.mayHaveRun_ || aLastAnswer.outcome_ == RequestOutcome::Unknown;
   const auto backoff = BackoffAfter(pending.attempts_);
   const bool isTooLate = aNow + backoff >= pending.request_.deadline_ ||
                          aNow - pending.arrivedAt_ >= context_.timing_.maxParkedTime_;
   if (isTooLate) {
-    Finish(aEntry, aWhy);
+    Finish(aEntry, aLastAnswer);
     return;
   }
   ++pending.attempts_;
@@ -166,11 +166,12 @@
 }
 
 void
-RequestRouter::Finish(Entry aEntry, const WorkAnswer& aLast)
+RequestRouter::Finish(Entry aEntry, const WorkAnswer& aLastAnswer)
 {
   const auto caller = aEntry->second.caller_;
-  const bool isUncertain = aEntry->second.mayHaveRun_ && aLast.outcome_ == RequestOutcome::NotRun;
-  const auto answer = isUncertain ? MakeUnknown(aLast.reason_) : aLast;
+  const bool isUncertain =
+    aEntry->second.mayHaveRun_ && aLastAnswer.outcome_ == RequestOutcome::NotRun;
+  const auto answer = isUncertain ? MakeUnknown(aLastAnswer.reason_) : aLastAnswer;
   const auto event = answer.outcome_ == RequestOutcome::Answered ? Event::RequestAnswered
                      : answer.outcome_ == RequestOutcome::NotRun ? Event::RequestRefused
                                                                  : Event::RequestUnknown;
@@ -178,7 +179,7 @@
                           "caller=" + std::to_string(caller) +
                             " reason=" + std::string(kReasonNames.NameOf(answer.reason_)) +
                             " status=" + std::to_string(answer.status_));
-  callerOfAttempt_.erase(aEntry->second.attempt_);
+  callerByAttempt_.erase(aEntry->second.attempt_);
   pending_.erase(aEntry);
   context_.outbox_.AnswerCaller(caller, answer);
 }
@@ -186,13 +187,13 @@
 void
 RequestRouter::OnWorkAnswer(Instant aNow, std::uint64_t aAttempt, const WorkAnswer& aAnswer)
 {
-  const auto caller = callerOfAttempt_.find(aAttempt);
-  if (caller == callerOfAttempt_.end()) {
+  const auto caller = callerByAttempt_.find(aAttempt);
+  if (caller == callerByAttempt_.end()) {
     return;
   }
   const auto entry = pending_.find(caller->second);
-  callerOfAttempt_.erase(caller);
-  if (IsWorthRetrying(aAnswer)) {
+  callerByAttempt_.erase(caller);
+  if (IsRetryable(aAnswer)) {
     Park(aNow, entry, aAnswer);
     return;
   }
@@ -211,7 +212,7 @@
   for (const auto caller : affected) {
     const auto entry = pending_.find(caller);
     if (entry->second.request_.isRepeatable_) {
-      callerOfAttempt_.erase(entry->second.attempt_);
+      callerByAttempt_.erase(entry->second.attempt_);
       Park(aNow, entry, MakeUnknown(Reason::HolderUnreachable));
     } else {
       Finish(entry, MakeUnknown(Reason::HolderUnreachable));
@@ -220,7 +221,7 @@
 }
 
 void
-RequestRouter::GiveUp(Instant aNow, Entry aEntry)
+RequestRouter::CancelRequest(Instant aNow, Entry aEntry)
 {
   auto& pending = aEntry->second;
   if (pending.phase_ == Phase::Parked) {
@@ -243,7 +244,7 @@
 {
   const auto entry = pending_.find(aCaller);
   if (entry != pending_.end()) {
-    GiveUp(aNow, entry);
+    CancelRequest(aNow, entry);
   }
 }
 
@@ -265,11 +266,11 @@
     }
   }
   for (const auto caller : late) {
-    GiveUp(aNow, pending_.find(caller));
+    CancelRequest(aNow, pending_.find(caller));
   }
   for (const auto caller : stranded) {
     const auto entry = pending_.find(caller);
-    callerOfAttempt_.erase(entry->second.attempt_);
+    callerByAttempt_.erase(entry->second.attempt_);
     Park(aNow, entry, MakeUnknown(Reason::HolderUnreachable));
   }
   for (const auto caller : due) {
--- a/Libraries/LibInstance/RequestRouter.h
+++ b/Libraries/LibInstance/RequestRouter.h
@@ -67,17 +67,17 @@
   // the moment.
   InstanceId FindHolder(const WorkRequest& aRequest) const;
   void Route(Instant aNow, Entry aEntry);
-  // Schedules a retry after a backoff, or answers with aWhy if it would come too late.
-  void Park(Instant aNow, Entry aEntry, const WorkAnswer& aWhy);
-  void Finish(Entry aEntry, const WorkAnswer& aLast);
-  void GiveUp(Instant aNow, Entry aEntry);
-  static bool IsWorthRetrying(const WorkAnswer& aAnswer);
+  // Schedules a retry after a backoff, or answers with aLastAnswer if it would come too late.
+  void Park(Instant aNow, Entry aEntry, const WorkAnswer& aLastAnswer);
+  void Finish(Entry aEntry, const WorkAnswer& aLastAnswer);
+  void CancelRequest(Instant aNow, Entry aEntry);
+  static bool IsRetryable(const WorkAnswer& aAnswer);
 
   InstanceContext context_;
   SubmitFunction submit_;
   CancelFunction cancel_;
   std::map<CallerId, PendingRequest> pending_;
-  std::map<std::uint64_t, CallerId> callerOfAttempt_;
+  std::map<std::uint64_t, CallerId> callerByAttempt_;
 };
 
 } // namespace latchslip
--- a/Libraries/LibScenario/World.cpp
+++ b/Libraries/LibScenario/World.cpp
@@ -90,7 +90,7 @@
     std::size_t granted = 0;
     for (const auto& [name, instance] : instances_) {
       for (const auto& [key, held] : instance->core_->Dispatch().Held()) {
-        granted += held->keeper_.State() == GrantState::Granted ? 1 : 0;
+        granted += held->grantManager_.State() == GrantState::Granted ? 1 : 0;
       }
     }
     const auto up = std::count_if(
--- a/Tests/LibInstance/TestInstanceCore.cpp
+++ b/Tests/LibInstance/TestInstanceCore.cpp
@@ -111,7 +111,7 @@
   for (const auto& name : world_.InstanceNames()) {
     EXPECT_TRUE(world_.Core(name)->Callers().IsIdle());
     for (const auto& [key, held] : world_.Core(name)->Dispatch().Held()) {
-      EXPECT_TRUE(held->works_.empty()) << key;
+      EXPECT_TRUE(held->workItems_.empty()) << key;
     }
   }
 }
