--- a/Libraries/LibDispatch/ClaimRegistry.cpp
+++ b/Libraries/LibDispatch/ClaimRegistry.cpp
@@ -25,7 +25,7 @@
 ClaimRegistry::ClaimRegistry(std::string aWriter, ClaimTiming aTiming)
   : writer_(std::move(aWriter))
   , timing_(aTiming)
-  , allowance_(aTiming.burst_)
+  , tokens_(aTiming.burst_)
 {
 }
 
@@ -41,8 +41,8 @@
   Claim claim;
   claim.id_ = aId;
   claim.rowKey_ = std::move(aRowKey);
-  claim.sending_ = std::string(kStarted) + aSendingToken + " ";
-  claim.value_ = claim.sending_ + writer_ + " " + std::to_string(++sequence_);
+  claim.deliveryPrefix_ = std::string(kStarted) + aSendingToken + " ";
+  claim.value_ = claim.deliveryPrefix_ + writer_ + " " + std::to_string(++sequence_);
   pending_.push_back(std::move(claim));
   return true;
 }
@@ -50,10 +50,10 @@
 void
 ClaimRegistry::Release(ClaimId aId)
 {
-  const auto won = won_.find(aId);
-  if (won != won_.end()) {
+  const auto won = heldClaims_.find(aId);
+  if (won != heldClaims_.end()) {
     updates_.push_back({ won->second.rowKey_, std::string(kReleased), won->second.version_ });
-    won_.erase(won);
+    heldClaims_.erase(won);
     return;
   }
   const auto waiting = std::find_if(
@@ -68,26 +68,26 @@
 void
 ClaimRegistry::Close(ClaimId aId, std::string_view aOutcome)
 {
-  const auto won = won_.find(aId);
-  if (won == won_.end()) {
+  const auto won = heldClaims_.find(aId);
+  if (won == heldClaims_.end()) {
     return;
   }
   updates_.push_back({ won->second.rowKey_, std::string(aOutcome), won->second.version_ });
-  won_.erase(won);
+  heldClaims_.erase(won);
 }
 
 void
 ClaimRegistry::Refill(Instant aNow)
 {
   const auto elapsed = std::chrono::duration<double>(aNow - refilledAt_).count();
-  allowance_ = std::min(timing_.burst_, allowance_ + elapsed * timing_.rate_);
+  tokens_ = std::min(timing_.burst_, tokens_ + elapsed * timing_.rate_);
   refilledAt_ = aNow;
 }
 
 std::optional<ClaimCall>
 ClaimRegistry::NextCall(Instant aNow)
 {
-  if (isCallOut_ || IsOutage(aNow)) {
+  if (isCallInFlight_ || IsOutage(aNow)) {
     return std::nullopt;
   }
   if (mustReadBack_) {
@@ -99,18 +99,18 @@
     for (const auto& update : updatesInFlight_) {
       call.keys_.push_back(update.rowKey_);
     }
-    isCallOut_ = true;
-    isReadOut_ = true;
+    isCallInFlight_ = true;
+    isReadInFlight_ = true;
     return call;
   }
   if (pending_.empty() && updates_.empty()) {
     return std::nullopt;
   }
   Refill(aNow);
-  if (allowance_ < 1) {
+  if (tokens_ < 1) {
     return std::nullopt;
   }
-  allowance_ -= 1;
+  tokens_ -= 1;
   ClaimCall call;
   std::vector<std::string> used;
   const auto add = [&](const std::string& aKey, RowVersion aExpected, const std::string& aValue) {
@@ -135,17 +135,17 @@
     inFlight_.push_back(std::move(pending_.front()));
     pending_.pop_front();
   }
-  isCallOut_ = true;
+  isCallInFlight_ = true;
   return call;
 }
 
 std::optional<ClaimDecision>
-ClaimRegistry::Settle(Claim& aClaim, const Row* aRow)
+ClaimRegistry::DecideClaim(Claim& aClaim, const Row* aRow)
 {
   const bool isAbsent = aRow == nullptr || aRow->version_ == 0;
   if (!isAbsent && aRow->value_ == aClaim.value_) {
     const bool isAbandoned = abandoned_.erase(aClaim.id_) != 0;
-    won_[aClaim.id_] = { aClaim.rowKey_, aClaim.value_, aRow->version_ };
+    heldClaims_[aClaim.id_] = { aClaim.rowKey_, aClaim.value_, aRow->version_ };
     if (isAbandoned) {
       Release(aClaim.id_);
       return std::nullopt;
@@ -154,8 +154,8 @@
   }
   // NOTE: Taking over rewrites the row, so that a release by the former holder that is still
   // in flight fails its condition.
-  const bool isSameSending = !isAbsent && aRow->value_.starts_with(aClaim.sending_);
-  if (isAbsent || isSameSending || aRow->value_ == kReleased) {
+  const bool isSameDelivery = !isAbsent && aRow->value_.starts_with(aClaim.deliveryPrefix_);
+  if (isAbsent || isSameDelivery || aRow->value_ == kReleased) {
     if (abandoned_.erase(aClaim.id_) != 0) {
       return std::nullopt;
     }
@@ -179,7 +179,7 @@
     Row written{ claim.rowKey_,
                  row == nullptr ? claim.expected_ + 1 : row->version_,
                  claim.value_ };
-    if (auto decision = Settle(claim, &written)) {
+    if (auto decision = DecideClaim(claim, &written)) {
       decisions.push_back(*decision);
     }
   }
@@ -203,7 +203,7 @@
       }
       continue;
     }
-    if (auto decision = Settle(claim, row)) {
+    if (auto decision = DecideClaim(claim, row)) {
       decisions.push_back(*decision);
     }
   }
@@ -224,7 +224,7 @@
   auto claims = std::move(inFlight_);
   inFlight_.clear();
   for (auto& claim : claims) {
-    if (auto decision = Settle(claim, FindRow(aReply.rows_, claim.rowKey_))) {
+    if (auto decision = DecideClaim(claim, FindRow(aReply.rows_, claim.rowKey_))) {
       decisions.push_back(*decision);
     }
   }
@@ -242,7 +242,7 @@
 std::vector<ClaimDecision>
 ClaimRegistry::FailAll(Instant aNow)
 {
-  outageUntil_ = aNow + timing_.outagePause_;
+  outageUntil_ = aNow + timing_.outageBackoff_;
   std::vector<ClaimDecision> decisions;
   const auto fail = [&](const Claim& aClaim) {
     if (abandoned_.erase(aClaim.id_) == 0) {
@@ -267,8 +267,8 @@
 std::vector<ClaimDecision>
 ClaimRegistry::OnReply(Instant aNow, const StoreReply& aReply)
 {
-  isCallOut_ = false;
-  const bool wasRead = std::exchange(isReadOut_, false);
+  isCallInFlight_ = false;
+  const bool wasRead = std::exchange(isReadInFlight_, false);
   switch (aReply.status_) {
     case StoreStatus::Done:
       return wasRead ? OnReadBack(aReply) : OnTransactionDone(aReply);
@@ -279,13 +279,13 @@
       // twice, and reporting a duplicate could forbid its retry for good, so the rows are
       // read back first.
       mustReadBack_ = true;
-      outageUntil_ = wasRead ? aNow + timing_.outagePause_ : outageUntil_;
+      outageUntil_ = wasRead ? aNow + timing_.outageBackoff_ : outageUntil_;
       return {};
     case StoreStatus::Unavailable:
       break;
   }
   if (mustReadBack_) {
-    outageUntil_ = aNow + timing_.outagePause_;
+    outageUntil_ = aNow + timing_.outageBackoff_;
     return {};
   }
   return FailAll(aNow);
--- a/Libraries/LibDispatch/ClaimRegistry.h
+++ b/Libraries/LibDispatch/ClaimRegistry.h
@@ -29,7 +29,7 @@
   ClaimId id_ = 0;
   ClaimVerdict verdict_ = ClaimVerdict::Claimed;
   // Content of the row of the earlier attempt; set for duplicates.
-  std::string earlier_;
+  std::string earlierOutcome_;
 };
 
 // A call to the table service; at most one is in flight.
@@ -50,7 +50,7 @@
   // Maximum number of claims, and of updates, in one transaction.
   std::size_t batch_ = 64;
   // How long no call is made after the store was found unavailable.
-  Duration outagePause_ = milliseconds(200);
+  Duration outageBackoff_ = milliseconds(200);
 };
 
 // Deduplicates, durably and across instances, the requests that must run at most once. Before
@@ -95,7 +95,7 @@
     ClaimId id_ = 0;
     std::string rowKey_;
     // Prefix of the row content that any holder writes for this delivery.
-    std::string sending_;
+    std::string deliveryPrefix_;
     std::string value_;
     RowVersion expected_ = 0;
   };
@@ -107,7 +107,7 @@
     RowVersion expected_ = 0;
   };
   // A claim that this process holds.
-  struct Won
+  struct HeldClaim
   {
     std::string rowKey_;
     std::string value_;
@@ -116,7 +116,7 @@
 
   // Decides a claim by the row that is stored, or queues it again. Returns nothing if
   // undecided.
-  std::optional<ClaimDecision> Settle(Claim& aClaim, const Row* aRow);
+  std::optional<ClaimDecision> DecideClaim(Claim& aClaim, const Row* aRow);
   std::vector<ClaimDecision> OnTransactionDone(const StoreReply& aReply);
   std::vector<ClaimDecision> OnConflict(const StoreReply& aReply);
   std::vector<ClaimDecision> OnReadBack(const StoreReply& aReply);
@@ -127,18 +127,18 @@
   std::string writer_;
   ClaimTiming timing_;
   std::uint64_t sequence_ = 0;
-  double allowance_;
+  double tokens_;
   Instant refilledAt_{ 0 };
   Instant outageUntil_{ 0 };
 
-  bool isCallOut_ = false;
+  bool isCallInFlight_ = false;
   bool mustReadBack_ = false;
-  bool isReadOut_ = false;
+  bool isReadInFlight_ = false;
   std::deque<Claim> pending_;
   std::vector<Claim> inFlight_;
   std::deque<Update> updates_;
   std::vector<Update> updatesInFlight_;
-  std::map<ClaimId, Won> won_;
+  std::map<ClaimId, HeldClaim> heldClaims_;
   // Claims that were released while their write was in flight.
   std::map<ClaimId, bool> abandoned_;
 };
--- a/Libraries/LibDispatch/GrantManager.cpp
+++ b/Libraries/LibDispatch/GrantManager.cpp
@@ -39,7 +39,7 @@
 GrantManager::SetDesiredRanges(Fence aFence,
                                RowVersion aPlacementVersion,
                                std::vector<HashRange> aRanges,
-                               bool aFormerHoldersSettled)
+                               bool aFormerHoldersStopped)
 {
   if (aFence != fence_) {
     fence_ = aFence;
@@ -52,25 +52,25 @@
     hasSentGrants_ = false;
     contactingSince_ = Instant{ 0 };
     bootId_ = 0;
-    echoClock_ = 0;
+    serverClock_ = 0;
   }
   // A server that checks fences rejects former holders by the higher fence itself. For any
   // other server, the former holders must be known to have stopped.
-  if (state_ == GrantState::Waiting && (checksGrants_ || aFormerHoldersSettled)) {
+  if (state_ == GrantState::Waiting && (checksGrants_ || aFormerHoldersStopped)) {
     state_ = GrantState::Contacting;
   }
-  wishVersion_ = aPlacementVersion;
-  if (aRanges != wish_ || generation_ == 0) {
-    wish_ = std::move(aRanges);
+  desiredVersion_ = aPlacementVersion;
+  if (aRanges != desiredRanges_ || generation_ == 0) {
+    desiredRanges_ = std::move(aRanges);
     ++generation_;
     isChanged_ = true;
   } else if (grantedGeneration_ == generation_ && state_ == GrantState::Granted) {
-    releasedVersion_ = wishVersion_;
+    releasedVersion_ = desiredVersion_;
   }
 }
 
 bool
-GrantManager::IsOrderDue(Instant aNow) const
+GrantManager::IsCommandDue(Instant aNow) const
 {
   if (state_ == GrantState::Waiting) {
     return false;
@@ -79,23 +79,23 @@
 }
 
 GrantCommand
-GrantManager::ComposeOrder(Instant aNow)
+GrantManager::BuildCommand(Instant aNow)
 {
-  GrantCommand order;
-  order.service_ = service_;
-  order.server_ = server_;
-  order.fence_ = fence_;
-  order.generation_ = generation_;
-  order.bootId_ = bootId_;
+  GrantCommand command;
+  command.service_ = service_;
+  command.server_ = server_;
+  command.fence_ = fence_;
+  command.generation_ = generation_;
+  command.bootId_ = bootId_;
   // With a clock reading older than a term, the grant would have expired already.
-  const bool hasEcho = bootId_ != 0 && aNow - echoSentAt_ < timing_.term_;
-  if (hasEcho && state_ != GrantState::Withheld) {
-    order.validUntil_ = echoClock_ + timing_.term_.count();
-    order.ranges_ = wish_;
+  const bool hasClockReading = bootId_ != 0 && aNow - clockRequestedAt_ < timing_.term_;
+  if (hasClockReading && state_ != GrantState::Withheld) {
+    command.validUntil_ = serverClock_ + timing_.term_.count();
+    command.ranges_ = desiredRanges_;
     hasSentGrants_ = true;
-    expiryBound_ = std::max(expiryBound_, echoReceivedAt_ + timing_.term_ + timing_.margin_);
+    expiryBound_ = std::max(expiryBound_, clockReceivedAt_ + timing_.term_ + timing_.margin_);
   }
-  return order;
+  return command;
 }
 
 void
@@ -124,21 +124,21 @@
       Withhold();
     }
   }
-  if (!IsOrderDue(aNow)) {
+  if (!IsCommandDue(aNow)) {
     return {};
   }
   isChanged_ = false;
   lastSentAt_ = aNow;
-  return { ComposeOrder(aNow) };
+  return { BuildCommand(aNow) };
 }
 
 void
 GrantManager::OnReply(Instant aNow,
                       Instant aSentAt,
-                      const GrantCommand& aOrder,
+                      const GrantCommand& aCommand,
                       const GrantReply& aReply)
 {
-  if (aOrder.fence_ != fence_) {
+  if (aCommand.fence_ != fence_) {
     return;
   }
   lastAnswerAt_ = aNow;
@@ -146,16 +146,16 @@
     // The server has restarted: its grants are lost, and so is every earlier reading of its
     // clock.
     bootId_ = aReply.bootId_;
-    echoClock_ = 0;
+    serverClock_ = 0;
     granted_.clear();
     grantedValidUntil_ = 0;
     isChanged_ = true;
   }
-  if (aReply.clock_ > echoClock_) {
-    const bool isFirst = echoClock_ == 0;
-    echoClock_ = aReply.clock_;
-    echoSentAt_ = aSentAt;
-    echoReceivedAt_ = aNow;
+  if (aReply.clock_ > serverClock_) {
+    const bool isFirst = serverClock_ == 0;
+    serverClock_ = aReply.clock_;
+    clockRequestedAt_ = aSentAt;
+    clockReceivedAt_ = aNow;
     isChanged_ = isChanged_ || isFirst;
   }
   if (!aReply.accepted_) {
@@ -164,21 +164,21 @@
   }
   isConfirmed_ = true;
   foreignRunning_ = aReply.foreignRunning_;
-  if (aOrder.generation_ != generation_) {
+  if (aCommand.generation_ != generation_) {
     return;
   }
   if (aReply.releasedRunning_ == 0) {
-    releasedVersion_ = wishVersion_;
+    releasedVersion_ = desiredVersion_;
     grantedGeneration_ = generation_;
   }
-  const bool isGrant = aOrder.validUntil_ != 0 && aOrder.bootId_ == bootId_;
+  const bool isGrant = aCommand.validUntil_ != 0 && aCommand.bootId_ == bootId_;
   if (isGrant && state_ != GrantState::Withheld) {
     state_ = GrantState::Granted;
-    granted_ = wish_;
-    grantedValidUntil_ = std::max(grantedValidUntil_, aOrder.validUntil_);
+    granted_ = desiredRanges_;
+    grantedValidUntil_ = std::max(grantedValidUntil_, aCommand.validUntil_);
     // The server read its clock after the command was sent, so on the clock of this process the
     // grant ends no earlier than this.
-    usableUntil_ = std::max(usableUntil_, aSentAt + Duration(aOrder.validUntil_ - aReply.clock_));
+    usableUntil_ = std::max(usableUntil_, aSentAt + Duration(aCommand.validUntil_ - aReply.clock_));
   }
 }
 
@@ -204,7 +204,7 @@
 {
   // The range must be granted by the server and still be desired: a range that is being
   // released gets no new work.
-  return IsUsable(aNow) && CoversHash(granted_, aHash) && CoversHash(wish_, aHash);
+  return IsUsable(aNow) && CoversHash(granted_, aHash) && CoversHash(desiredRanges_, aHash);
 }
 
 bool
--- a/Libraries/LibDispatch/GrantManager.h
+++ b/Libraries/LibDispatch/GrantManager.h
@@ -93,14 +93,17 @@
   void SetDesiredRanges(Fence aFence,
                         RowVersion aPlacementVersion,
                         std::vector<HashRange> aRanges,
-                        bool aFormerHoldersSettled);
+                        bool aFormerHoldersStopped);
 
   // Returns the command to send now, if one is due.
   std::vector<GrantCommand> Tick(Instant aNow);
 
-  // Handles the server's answer to aOrder. aSentAt is when the command was passed to the
+  // Handles the server's answer to aCommand. aSentAt is when the command was passed to the
   // network.
-  void OnReply(Instant aNow, Instant aSentAt, const GrantCommand& aOrder, const GrantReply& aReply);
+  void OnReply(Instant aNow,
+               Instant aSentAt,
+               const GrantCommand& aCommand,
+               const GrantReply& aReply);
 
   // The placer has decided that the server keeps its slices: leaves the Withheld state.
   void Resume();
@@ -130,8 +133,8 @@
   bool WasRefused() const { return refused_; }
 
 private:
-  GrantCommand ComposeOrder(Instant aNow);
-  bool IsOrderDue(Instant aNow) const;
+  GrantCommand BuildCommand(Instant aNow);
+  bool IsCommandDue(Instant aNow) const;
   void Withhold();
 
   std::string service_;
@@ -142,18 +145,18 @@
   GrantState state_ = GrantState::Waiting;
   Fence fence_ = 0;
   std::uint64_t generation_ = 0;
-  RowVersion wishVersion_ = 0;
+  RowVersion desiredVersion_ = 0;
   RowVersion releasedVersion_ = 0;
-  std::vector<HashRange> wish_;
+  std::vector<HashRange> desiredRanges_;
   std::vector<HashRange> granted_;
   std::uint64_t grantedGeneration_ = 0;
 
   // The last reading of the server's clock, and when the command that asked for it was sent and
   // answered.
   std::uint64_t bootId_ = 0;
-  std::int64_t echoClock_ = 0;
-  Instant echoSentAt_{ 0 };
-  Instant echoReceivedAt_{ 0 };
+  std::int64_t serverClock_ = 0;
+  Instant clockRequestedAt_{ 0 };
+  Instant clockReceivedAt_{ 0 };
 
   bool isChanged_ = false;
   // Whether a grant that may still be valid was sent under this fence.
--- a/Libraries/LibDispatch/RetryBudget.h
+++ b/Libraries/LibDispatch/RetryBudget.h
@@ -10,10 +10,10 @@
 {
 public:
   // Credit that each request earns, in retries, and the cap of the credit.
-  static constexpr double kEarnedPerRequest = 0.1;
-  static constexpr double kMost = 10;
+  static constexpr double kCreditPerRequest = 0.1;
+  static constexpr double kMaxCredit = 10;
 
-  void OnRequest() { credit_ = std::min(kMost, credit_ + kEarnedPerRequest); }
+  void OnRequest() { credit_ = std::min(kMaxCredit, credit_ + kCreditPerRequest); }
 
   // Spends one retry; returns false if the budget is exhausted.
   bool TrySpend()
@@ -26,7 +26,7 @@
   }
 
 private:
-  double credit_ = kMost;
+  double credit_ = kMaxCredit;
 };
 
 } // namespace latchslip
--- a/Libraries/LibDispatch/ServerQueue.cpp
+++ b/Libraries/LibDispatch/ServerQueue.cpp
@@ -7,21 +7,21 @@
 namespace {
 
 // Initial estimate of the service time, before anything was measured.
-constexpr Duration kFirstServiceTime = milliseconds(2);
+constexpr Duration kInitialServiceTime = milliseconds(2);
 // Weight of a new sample in the moving average of the service time.
-constexpr double kMeanGain = 0.05;
+constexpr double kServiceTimeWeight = 0.05;
 // Priority offset of an interactive group over a deferrable one, in requests of a group of
 // portion 1. It is longer than a burst and shorter than a second of work, so that portions
 // hold over the time span by which intents are judged.
 constexpr double kInteractiveHeadStart = 32;
-constexpr Duration kLeastRetryAfter = milliseconds(10);
-constexpr Duration kMostRetryAfter = seconds(5);
+constexpr Duration kMinRetryAfter = milliseconds(10);
+constexpr Duration kMaxRetryAfter = seconds(5);
 
 } // namespace
 
 ServerQueue::ServerQueue(unsigned aSlots)
   : slots_(aSlots)
-  , meanServiceTime_(kFirstServiceTime)
+  , meanServiceTime_(kInitialServiceTime)
 {
 }
 
@@ -63,7 +63,7 @@
     }
   }
   const auto slots = std::max(slots_, 1U);
-  const bool hasFreeSlot = running_.size() + foreign_ < slots_;
+  const bool hasFreeSlot = running_.size() + foreignSlots_ < slots_;
   const auto ahead = static_cast<double>(found->second.waiting_.size()) + (hasFreeSlot ? 0 : 1);
   const double share = found->second.portion_ / portions;
   const double usable = found->second.maxSlots_ == 0
@@ -81,7 +81,7 @@
     return { AdmissionVerdict::UnknownGroup, Duration{ 0 } };
   }
   const auto wait = EstimateWait(aGroup);
-  const auto retryAfter = std::clamp(wait, kLeastRetryAfter, kMostRetryAfter);
+  const auto retryAfter = std::clamp(wait, kMinRetryAfter, kMaxRetryAfter);
   if (found->second.waiting_.size() >= found->second.maxWaiting_) {
     return { AdmissionVerdict::QueueFull, retryAfter };
   }
@@ -134,7 +134,7 @@
 std::optional<WorkId>
 ServerQueue::StartNext()
 {
-  if (waiting_ == 0 || running_.size() + foreign_ >= slots_) {
+  if (waiting_ == 0 || running_.size() + foreignSlots_ >= slots_) {
     return std::nullopt;
   }
   auto* group = ChooseGroup();
@@ -148,13 +148,13 @@
   ++group->running_;
   // Virtual time advances with the most lagging of the waiting groups, so that a group which
   // becomes idle cannot accumulate a claim on the server.
-  double behind = group->tag_;
+  double lowestTag = group->tag_;
   for (const auto& [name, other] : groups_) {
     if (!other.waiting_.empty()) {
-      behind = std::min(behind, other.tag_);
+      lowestTag = std::min(lowestTag, other.tag_);
     }
   }
-  virtualTime_ = std::max(virtualTime_, behind);
+  virtualTime_ = std::max(virtualTime_, lowestTag);
   const auto name = std::find_if(
     groups_.begin(), groups_.end(), [&](const auto& aEntry) { return &aEntry.second == group; });
   running_.emplace(id, name->first);
@@ -173,7 +173,8 @@
   if (aServiceTime > Duration{ 0 }) {
     const auto mean = static_cast<double>(meanServiceTime_.count());
     const auto sample = static_cast<double>(aServiceTime.count());
-    meanServiceTime_ = Duration(static_cast<std::int64_t>(mean + kMeanGain * (sample - mean)));
+    meanServiceTime_ =
+      Duration(static_cast<std::int64_t>(mean + kServiceTimeWeight * (sample - mean)));
   }
 }
 
--- a/Libraries/LibDispatch/ServerQueue.h
+++ b/Libraries/LibDispatch/ServerQueue.h
@@ -68,7 +68,7 @@
   std::vector<WorkId> TakeExpired(Instant aNow);
 
   // Sets the number of slots that work of a former holder still occupies.
-  void SetForeignSlots(unsigned aSlots) { foreign_ = aSlots; }
+  void SetForeignSlots(unsigned aSlots) { foreignSlots_ = aSlots; }
 
   std::size_t Waiting() const { return waiting_; }
   std::size_t Running() const { return running_.size(); }
@@ -101,7 +101,7 @@
   GroupQueue* ChooseGroup();
 
   unsigned slots_;
-  unsigned foreign_ = 0;
+  unsigned foreignSlots_ = 0;
   double virtualTime_ = 0;
   std::size_t waiting_ = 0;
   Duration meanServiceTime_;
--- a/Libraries/LibInstance/DispatchController.cpp
+++ b/Libraries/LibInstance/DispatchController.cpp
@@ -440,10 +440,10 @@
       case ClaimVerdict::Duplicate: {
         context_.events_.Record(Event::ClaimDuplicate,
                                 "request=" + work.request_.requestId_ +
-                                  " earlier=" + decision.earlier_);
+                                  " earlier=" + decision.earlierOutcome_);
         work.hasClaim_ = false;
         auto answer = MakeUnknown(Reason::Duplicate);
-        answer.detail_ = decision.earlier_;
+        answer.detail_ = decision.earlierOutcome_;
         Answer(aNow, work, answer);
         Drop(held, decision.id_);
         break;
--- a/Tests/LibDispatch/TestClaimRegistry.cpp
+++ b/Tests/LibDispatch/TestClaimRegistry.cpp
@@ -7,15 +7,15 @@
 
 namespace {
 
-class ClaimBookOnTable : public testing::Test
+class ClaimRegistryWithTable : public testing::Test
 {
 protected:
-  ClaimBookOnTable()
-    : book_("i1#a", ClaimTiming{})
+  ClaimRegistryWithTable()
+    : registry_("i1#a", ClaimTiming{})
   {
   }
 
-  StoreReply Carry(const ClaimCall& aCall)
+  StoreReply Execute(const ClaimCall& aCall)
   {
     if (!aCall.isRead_) {
       return table_.Apply(aCall.transaction_);
@@ -28,13 +28,13 @@
   }
 
   // Executes calls until there are no more, and returns all decisions.
-  std::vector<ClaimDecision> Settle()
+  std::vector<ClaimDecision> RunCalls()
   {
     std::vector<ClaimDecision> decisions;
     for (int round = 0; round < 20; ++round) {
       now_ += milliseconds(100);
-      if (const auto call = book_.NextCall(now_)) {
-        for (auto& decision : book_.OnReply(now_, Carry(*call))) {
+      if (const auto call = registry_.NextCall(now_)) {
+        for (auto& decision : registry_.OnReply(now_, Execute(*call))) {
           decisions.push_back(decision);
         }
       }
@@ -44,37 +44,37 @@
 
   Instant now_ = seconds(1);
   TableState table_;
-  ClaimRegistry book_;
+  ClaimRegistry registry_;
 };
 
-TEST_F(ClaimBookOnTable, IdIsNew_Claimed)
+TEST_F(ClaimRegistryWithTable, IdIsNew_Claimed)
 {
-  ASSERT_TRUE(book_.Submit(now_, 1, "claim/a", "sending-" + std::to_string(1)));
-  const auto decisions = Settle();
+  ASSERT_TRUE(registry_.Submit(now_, 1, "claim/a", "sending-" + std::to_string(1)));
+  const auto decisions = RunCalls();
   ASSERT_EQ(decisions.size(), 1U);
   EXPECT_EQ(decisions[0].verdict_, ClaimVerdict::Claimed);
 }
 
-TEST_F(ClaimBookOnTable, SameIdTwiceInOneBatch_OneIsDuplicate)
+TEST_F(ClaimRegistryWithTable, SameIdTwiceInOneBatch_OneIsDuplicate)
 {
-  book_.Submit(now_, 1, "claim/a", "sending-" + std::to_string(1));
-  book_.Submit(now_, 2, "claim/a", "sending-" + std::to_string(2));
-  const auto decisions = Settle();
+  registry_.Submit(now_, 1, "claim/a", "sending-" + std::to_string(1));
+  registry_.Submit(now_, 2, "claim/a", "sending-" + std::to_string(2));
+  const auto decisions = RunCalls();
   ASSERT_EQ(decisions.size(), 2U);
   EXPECT_EQ(decisions[0].verdict_, ClaimVerdict::Claimed);
   EXPECT_EQ(decisions[1].verdict_, ClaimVerdict::Duplicate);
 }
 
-TEST_F(ClaimBookOnTable, OneOfABatchIsTaken_TheOthersAreClaimed)
+TEST_F(ClaimRegistryWithTable, OneIdOfBatchIsClaimedElsewhere_OthersAreClaimed)
 {
   ClaimRegistry other("i2#b", ClaimTiming{});
   other.Submit(now_, 9, "claim/b", "sending-" + std::to_string(9));
-  other.OnReply(now_, Carry(*other.NextCall(now_)));
-  book_.Submit(now_, 1, "claim/a", "sending-" + std::to_string(1));
-  book_.Submit(now_, 2, "claim/b", "sending-" + std::to_string(2));
-  book_.Submit(now_, 3, "claim/c", "sending-" + std::to_string(3));
+  other.OnReply(now_, Execute(*other.NextCall(now_)));
+  registry_.Submit(now_, 1, "claim/a", "sending-" + std::to_string(1));
+  registry_.Submit(now_, 2, "claim/b", "sending-" + std::to_string(2));
+  registry_.Submit(now_, 3, "claim/c", "sending-" + std::to_string(3));
   std::map<ClaimId, ClaimVerdict> verdicts;
-  for (const auto& decision : Settle()) {
+  for (const auto& decision : RunCalls()) {
     verdicts[decision.id_] = decision.verdict_;
   }
   EXPECT_EQ(verdicts.at(1), ClaimVerdict::Claimed);
@@ -82,96 +82,96 @@
   EXPECT_EQ(verdicts.at(3), ClaimVerdict::Claimed);
 }
 
-TEST_F(ClaimBookOnTable, SameSendingComesFromAFormerHolder_ClaimIsTakenOver)
+TEST_F(ClaimRegistryWithTable, FormerHolderClaimedSameDelivery_ClaimIsTakenOver)
 {
   ClaimRegistry former("i2#b", ClaimTiming{});
   former.Submit(now_, 9, "claim/a", "sending-1");
-  former.OnReply(now_, Carry(*former.NextCall(now_)));
-  book_.Submit(now_, 1, "claim/a", "sending-1");
-  EXPECT_EQ(Settle().at(0).verdict_, ClaimVerdict::Claimed);
+  former.OnReply(now_, Execute(*former.NextCall(now_)));
+  registry_.Submit(now_, 1, "claim/a", "sending-1");
+  EXPECT_EQ(RunCalls().at(0).verdict_, ClaimVerdict::Claimed);
   // The former holder's release comes too late to free the id again.
   former.Release(9);
-  Carry(*former.NextCall(now_));
-  book_.Submit(now_, 2, "claim/a", "sending-2");
-  EXPECT_EQ(Settle().at(0).verdict_, ClaimVerdict::Duplicate);
+  Execute(*former.NextCall(now_));
+  registry_.Submit(now_, 2, "claim/a", "sending-2");
+  EXPECT_EQ(RunCalls().at(0).verdict_, ClaimVerdict::Duplicate);
 }
 
-TEST_F(ClaimBookOnTable, Released_MayBeClaimedAgain)
+TEST_F(ClaimRegistryWithTable, Released_MayBeClaimedAgain)
 {
-  book_.Submit(now_, 1, "claim/a", "sending-" + std::to_string(1));
-  Settle();
-  book_.Release(1);
-  Settle();
-  book_.Submit(now_, 2, "claim/a", "sending-" + std::to_string(2));
-  EXPECT_EQ(Settle().at(0).verdict_, ClaimVerdict::Claimed);
+  registry_.Submit(now_, 1, "claim/a", "sending-" + std::to_string(1));
+  RunCalls();
+  registry_.Release(1);
+  RunCalls();
+  registry_.Submit(now_, 2, "claim/a", "sending-" + std::to_string(2));
+  EXPECT_EQ(RunCalls().at(0).verdict_, ClaimVerdict::Claimed);
 }
 
-TEST_F(ClaimBookOnTable, Closed_DuplicateIsToldWhatCameOfIt)
+TEST_F(ClaimRegistryWithTable, Closed_DuplicateReportsRecordedOutcome)
 {
-  book_.Submit(now_, 1, "claim/a", "sending-" + std::to_string(1));
-  Settle();
-  book_.Close(1, "answered 200");
-  Settle();
-  book_.Submit(now_, 2, "claim/a", "sending-" + std::to_string(2));
-  const auto decision = Settle().at(0);
+  registry_.Submit(now_, 1, "claim/a", "sending-" + std::to_string(1));
+  RunCalls();
+  registry_.Close(1, "answered 200");
+  RunCalls();
+  registry_.Submit(now_, 2, "claim/a", "sending-" + std::to_string(2));
+  const auto decision = RunCalls().at(0);
   EXPECT_EQ(decision.verdict_, ClaimVerdict::Duplicate);
-  EXPECT_EQ(decision.earlier_, "answered 200");
+  EXPECT_EQ(decision.earlierOutcome_, "answered 200");
 }
 
-TEST_F(ClaimBookOnTable, AnswerIsLostAfterTheWrite_ReadBackFindsTheOwnClaim)
+TEST_F(ClaimRegistryWithTable, AnswerIsLostAfterWrite_ReadBackFindsOwnClaim)
 {
-  book_.Submit(now_, 1, "claim/a", "sending-" + std::to_string(1));
-  const auto call = book_.NextCall(now_);
-  Carry(*call);
-  EXPECT_TRUE(book_.OnReply(now_, { StoreStatus::Indeterminate, {} }).empty());
-  const auto decisions = Settle();
+  registry_.Submit(now_, 1, "claim/a", "sending-" + std::to_string(1));
+  const auto call = registry_.NextCall(now_);
+  Execute(*call);
+  EXPECT_TRUE(registry_.OnReply(now_, { StoreStatus::Indeterminate, {} }).empty());
+  const auto decisions = RunCalls();
   ASSERT_EQ(decisions.size(), 1U);
   EXPECT_EQ(decisions[0].verdict_, ClaimVerdict::Claimed);
 }
 
-TEST_F(ClaimBookOnTable, WriteTakesEffectAfterTheReadBack_StillTheOwnClaim)
+TEST_F(ClaimRegistryWithTable, WriteTakesEffectAfterReadBack_ClaimIsStillOwn)
 {
-  book_.Submit(now_, 1, "claim/a", "sending-" + std::to_string(1));
-  const auto late = book_.NextCall(now_);
-  book_.OnReply(now_, { StoreStatus::Indeterminate, {} });
+  registry_.Submit(now_, 1, "claim/a", "sending-" + std::to_string(1));
+  const auto late = registry_.NextCall(now_);
+  registry_.OnReply(now_, { StoreStatus::Indeterminate, {} });
   now_ += milliseconds(100);
-  book_.OnReply(now_, Carry(*book_.NextCall(now_)));
-  Carry(*late);
-  const auto decisions = Settle();
+  registry_.OnReply(now_, Execute(*registry_.NextCall(now_)));
+  Execute(*late);
+  const auto decisions = RunCalls();
   ASSERT_EQ(decisions.size(), 1U);
   EXPECT_EQ(decisions[0].verdict_, ClaimVerdict::Claimed);
 }
 
-TEST_F(ClaimBookOnTable, GivenUpWhileUnsure_ClaimIsReleasedInTheEnd)
+TEST_F(ClaimRegistryWithTable, ReleasedWhileIndeterminate_ClaimIsReleasedOnceKnown)
 {
-  book_.Submit(now_, 1, "claim/a", "sending-" + std::to_string(1));
-  Carry(*book_.NextCall(now_));
-  book_.OnReply(now_, { StoreStatus::Indeterminate, {} });
-  book_.Release(1);
-  EXPECT_TRUE(Settle().empty());
+  registry_.Submit(now_, 1, "claim/a", "sending-" + std::to_string(1));
+  Execute(*registry_.NextCall(now_));
+  registry_.OnReply(now_, { StoreStatus::Indeterminate, {} });
+  registry_.Release(1);
+  EXPECT_TRUE(RunCalls().empty());
   EXPECT_EQ(table_.Rows().at("claim/a").value_, "released");
 }
 
-TEST_F(ClaimBookOnTable, StoreIsDown_RefusedAtOnceAndForAWhile)
+TEST_F(ClaimRegistryWithTable, StoreIsUnavailable_ClaimsFailUntilBackoffEnds)
 {
-  book_.Submit(now_, 1, "claim/a", "sending-" + std::to_string(1));
-  book_.NextCall(now_);
-  const auto decisions = book_.OnReply(now_, { StoreStatus::Unavailable, {} });
+  registry_.Submit(now_, 1, "claim/a", "sending-" + std::to_string(1));
+  registry_.NextCall(now_);
+  const auto decisions = registry_.OnReply(now_, { StoreStatus::Unavailable, {} });
   ASSERT_EQ(decisions.size(), 1U);
   EXPECT_EQ(decisions[0].verdict_, ClaimVerdict::StoreUnavailable);
-  EXPECT_FALSE(book_.Submit(now_, 2, "claim/b", "sending-" + std::to_string(2)));
-  EXPECT_TRUE(book_.Submit(now_ + seconds(1), 2, "claim/b", "sending-" + std::to_string(2)));
+  EXPECT_FALSE(registry_.Submit(now_, 2, "claim/b", "sending-" + std::to_string(2)));
+  EXPECT_TRUE(registry_.Submit(now_ + seconds(1), 2, "claim/b", "sending-" + std::to_string(2)));
 }
 
-TEST_F(ClaimBookOnTable, ManyIds_KeepToTheRateOfTransactions)
+TEST_F(ClaimRegistryWithTable, ManyIds_TransactionRateIsLimited)
 {
   std::size_t calls = 0;
   for (ClaimId id = 1; id <= 2000; ++id) {
-    book_.Submit(now_, id, "claim/" + std::to_string(id), "sending-" + std::to_string(id));
+    registry_.Submit(now_, id, "claim/" + std::to_string(id), "sending-" + std::to_string(id));
     now_ += milliseconds(1);
-    if (const auto call = book_.NextCall(now_)) {
+    if (const auto call = registry_.NextCall(now_)) {
       ++calls;
-      book_.OnReply(now_, Carry(*call));
+      registry_.OnReply(now_, Execute(*call));
     }
   }
   EXPECT_LE(calls, 2 * 30 + 5U);
--- a/Tests/LibDispatch/TestGrantManager.cpp
+++ b/Tests/LibDispatch/TestGrantManager.cpp
@@ -10,23 +10,23 @@
 constexpr std::uint64_t kBoot = 5;
 
 // A server whose clock has a fixed offset from that of the process that sends the commands.
-class KeeperAndServer : public testing::Test
+class GrantManagerWithServer : public testing::Test
 {
 protected:
-  KeeperAndServer()
-    : keeper_("rates", "s1", true, GrantTiming{})
+  GrantManagerWithServer()
+    : manager_("rates", "s1", true, GrantTiming{})
   {
-    keeper_.SetDesiredRanges(3, 10, kAll, true);
+    manager_.SetDesiredRanges(3, 10, kAll, true);
   }
 
-  GrantReply ReplyTo(const GrantCommand& aOrder) const
+  GrantReply ReplyTo(const GrantCommand& aCommand) const
   {
     GrantReply reply;
     reply.accepted_ = true;
     reply.bootId_ = boot_;
     reply.clock_ = (now_ + kOffset).count();
-    reply.fence_ = aOrder.fence_;
-    reply.generation_ = aOrder.generation_;
+    reply.fence_ = aCommand.fence_;
+    reply.generation_ = aCommand.generation_;
     return reply;
   }
 
@@ -35,12 +35,12 @@
   {
     const auto end = now_ + aSpan;
     while (now_ < end) {
-      for (const auto& order : keeper_.Tick(now_)) {
-        last_ = order;
+      for (const auto& command : manager_.Tick(now_)) {
+        last_ = command;
         const auto sentAt = now_;
         now_ += milliseconds(1);
         if (aAnswers) {
-          keeper_.OnReply(now_, sentAt, order, ReplyTo(order));
+          manager_.OnReply(now_, sentAt, command, ReplyTo(command));
         }
       }
       now_ += milliseconds(5);
@@ -50,27 +50,27 @@
   static constexpr Duration kOffset = seconds(5000);
   Instant now_ = seconds(1);
   std::uint64_t boot_ = kBoot;
-  GrantManager keeper_;
+  GrantManager manager_;
   GrantCommand last_;
 };
 
-TEST_F(KeeperAndServer, ServerAnswers_GrantIsKept)
+TEST_F(GrantManagerWithServer, ServerAnswers_GrantIsRenewed)
 {
   Run(seconds(3), true);
-  EXPECT_EQ(keeper_.State(), GrantState::Granted);
-  EXPECT_TRUE(keeper_.MayDispatch(now_, 42));
-  EXPECT_EQ(keeper_.ReleasedVersion(), 10U);
+  EXPECT_EQ(manager_.State(), GrantState::Granted);
+  EXPECT_TRUE(manager_.MayDispatch(now_, 42));
+  EXPECT_EQ(manager_.ReleasedVersion(), 10U);
 }
 
-TEST_F(KeeperAndServer, FirstContact_AsksForTheClockBeforeItGrants)
+TEST_F(GrantManagerWithServer, FirstContact_ReadsServerClockBeforeGranting)
 {
-  const auto orders = keeper_.Tick(now_);
-  ASSERT_EQ(orders.size(), 1U);
-  EXPECT_EQ(orders[0].validUntil_, 0);
-  EXPECT_FALSE(keeper_.MayDispatch(now_, 42));
+  const auto commands = manager_.Tick(now_);
+  ASSERT_EQ(commands.size(), 1U);
+  EXPECT_EQ(commands[0].validUntil_, 0);
+  EXPECT_FALSE(manager_.MayDispatch(now_, 42));
 }
 
-TEST_F(KeeperAndServer, GrantComposed_EndsByTheClockTheServerEchoed)
+TEST_F(GrantManagerWithServer, GrantIsSent_ExpiryIsOnServerClock)
 {
   Run(seconds(1), true);
   const auto serverNow = (now_ + kOffset).count();
@@ -78,71 +78,71 @@
   EXPECT_LE(last_.validUntil_, serverNow + GrantTiming{}.term_.count());
 }
 
-TEST_F(KeeperAndServer, ServerFallsSilent_StopsBeforeTheServerDoesAndWithholdsAfter)
+TEST_F(GrantManagerWithServer, ServerStopsAnswering_GrantIsWithheldOnlyAfterItExpired)
 {
   Run(seconds(1), true);
   Run(milliseconds(420), false);
   const auto lastValid = Instant(last_.validUntil_) - kOffset;
-  EXPECT_EQ(keeper_.State(), GrantState::Granted);
-  EXPECT_GE(keeper_.ExpiryBound(), lastValid);
+  EXPECT_EQ(manager_.State(), GrantState::Granted);
+  EXPECT_GE(manager_.ExpiryBound(), lastValid);
   Run(milliseconds(400), false);
-  EXPECT_EQ(keeper_.State(), GrantState::Withheld);
+  EXPECT_EQ(manager_.State(), GrantState::Withheld);
   EXPECT_GT(now_, lastValid);
   EXPECT_EQ(last_.validUntil_, 0);
 }
 
-TEST_F(KeeperAndServer, ServerReturnsWhileWithheld_NothingIsGrantedUntilResumed)
+TEST_F(GrantManagerWithServer, ServerReturnsWhileWithheld_NothingIsGrantedUntilResumed)
 {
   Run(seconds(1), true);
   Run(seconds(1), false);
   Run(seconds(1), true);
-  EXPECT_EQ(keeper_.State(), GrantState::Withheld);
-  EXPECT_FALSE(keeper_.MayDispatch(now_, 42));
-  keeper_.Resume();
+  EXPECT_EQ(manager_.State(), GrantState::Withheld);
+  EXPECT_FALSE(manager_.MayDispatch(now_, 42));
+  manager_.Resume();
   Run(milliseconds(300), true);
-  EXPECT_EQ(keeper_.State(), GrantState::Granted);
-  EXPECT_TRUE(keeper_.MayDispatch(now_, 42));
+  EXPECT_EQ(manager_.State(), GrantState::Granted);
+  EXPECT_TRUE(manager_.MayDispatch(now_, 42));
 }
 
-TEST_F(KeeperAndServer, ServerRestarts_OldGrantCountsForNothing)
+TEST_F(GrantManagerWithServer, ServerRestarts_GrantIsRenewedForNewIncarnation)
 {
   Run(seconds(1), true);
   boot_ = kBoot + 1;
   Run(milliseconds(160), true);
   Run(milliseconds(200), true);
-  EXPECT_TRUE(keeper_.MayDispatch(now_, 42));
+  EXPECT_TRUE(manager_.MayDispatch(now_, 42));
   EXPECT_EQ(last_.bootId_, kBoot + 1);
 }
 
-TEST_F(KeeperAndServer, RangeIsTakenBack_NoWorkAtOnceAndReleasedWhenAcknowledged)
+TEST_F(GrantManagerWithServer, RangeIsRemoved_NotDispatchedAtOnceAndReleasedOnAcknowledgement)
 {
   Run(seconds(1), true);
-  keeper_.SetDesiredRanges(3, 11, { { 0, 100 } }, true);
-  EXPECT_FALSE(keeper_.MayDispatch(now_, 5000));
-  EXPECT_TRUE(keeper_.MayDispatch(now_, 50));
-  EXPECT_LT(keeper_.ReleasedVersion(), 11U);
+  manager_.SetDesiredRanges(3, 11, { { 0, 100 } }, true);
+  EXPECT_FALSE(manager_.MayDispatch(now_, 5000));
+  EXPECT_TRUE(manager_.MayDispatch(now_, 50));
+  EXPECT_LT(manager_.ReleasedVersion(), 11U);
   Run(milliseconds(20), true);
-  EXPECT_EQ(keeper_.ReleasedVersion(), 11U);
+  EXPECT_EQ(manager_.ReleasedVersion(), 11U);
 }
 
-TEST_F(KeeperAndServer, HigherFenceIsSeen_OrderIsRefused)
+TEST_F(GrantManagerWithServer, ServerHasSeenHigherFence_CommandIsRefused)
 {
-  const auto orders = keeper_.Tick(now_);
-  auto reply = ReplyTo(orders[0]);
+  const auto commands = manager_.Tick(now_);
+  auto reply = ReplyTo(commands[0]);
   reply.accepted_ = false;
   reply.fence_ = 4;
-  keeper_.OnReply(now_, now_, orders[0], reply);
-  EXPECT_TRUE(keeper_.WasRefused());
-  EXPECT_FALSE(keeper_.IsConfirmed());
+  manager_.OnReply(now_, now_, commands[0], reply);
+  EXPECT_TRUE(manager_.WasRefused());
+  EXPECT_FALSE(manager_.IsConfirmed());
 }
 
-TEST(GrantManager, ServerChecksNothingAndFormerHolderMayLive_StaysAway)
+TEST(GrantManager, ServerChecksNoGrants_NotContactedUntilFormerHoldersStopped)
 {
-  GrantManager keeper("rates", "s1", false, GrantTiming{});
-  keeper.SetDesiredRanges(3, 10, kAll, false);
-  EXPECT_TRUE(keeper.Tick(seconds(5)).empty());
-  keeper.SetDesiredRanges(3, 11, kAll, true);
-  EXPECT_EQ(keeper.Tick(seconds(6)).size(), 1U);
+  GrantManager manager("rates", "s1", false, GrantTiming{});
+  manager.SetDesiredRanges(3, 10, kAll, false);
+  EXPECT_TRUE(manager.Tick(seconds(5)).empty());
+  manager.SetDesiredRanges(3, 11, kAll, true);
+  EXPECT_EQ(manager.Tick(seconds(6)).size(), 1U);
 }
 
 } // namespace
--- a/Tests/LibDispatch/TestServerQueue.cpp
+++ b/Tests/LibDispatch/TestServerQueue.cpp
@@ -66,20 +66,20 @@
   std::map<WorkId, std::string> groupOf_;
 };
 
-TEST_F(QueueOfTwoGroups, BothAskForMore_EachGetsItsPortion)
+TEST_F(QueueOfTwoGroups, BothGroupsAreBacklogged_EachGetsItsPortion)
 {
   Fill("heavy", 900);
   Fill("light", 900);
   EXPECT_NEAR(static_cast<double>(ServeAndCount(400, "light")), 100, 2);
 }
 
-TEST_F(QueueOfTwoGroups, OneAsksForNothing_TheOtherGetsAll)
+TEST_F(QueueOfTwoGroups, OneGroupIsIdle_OtherGetsAllSlots)
 {
   Fill("light", 50);
   EXPECT_EQ(ServeAndCount(50, "light"), 50U);
 }
 
-TEST_F(QueueOfTwoGroups, LentShareIsWantedBack_ItComesBackAtOnce)
+TEST_F(QueueOfTwoGroups, IdleGroupBecomesBusy_RegainsItsPortionAtOnce)
 {
   Fill("light", 500);
   ServeAndCount(300, "light");
@@ -87,7 +87,7 @@
   EXPECT_NEAR(static_cast<double>(ServeAndCount(40, "heavy")), 30, 2);
 }
 
-TEST_F(QueueOfTwoGroups, LightIsDeferrable_InteractiveGoesFirstAndPortionsHold)
+TEST_F(QueueOfTwoGroups, LightGroupIsDeferrable_InteractiveStartsFirstAndPortionsHold)
 {
   Configure(1, LatencyClass::Deferrable);
   Fill("light", 900);
@@ -96,7 +96,7 @@
   EXPECT_NEAR(static_cast<double>(ServeAndCount(800, "light")), 200, 40);
 }
 
-TEST_F(QueueOfTwoGroups, SlotsAreTaken_NothingStarts)
+TEST_F(QueueOfTwoGroups, AllSlotsAreOccupied_NothingStarts)
 {
   Fill("heavy", 6);
   for (int slot = 0; slot < 4; ++slot) {
@@ -105,7 +105,7 @@
   EXPECT_FALSE(queue_.StartNext());
 }
 
-TEST_F(QueueOfTwoGroups, FormerHolderStillRuns_ItsSlotsAreLeftAlone)
+TEST_F(QueueOfTwoGroups, FormerHolderHasRunningWork_ItsSlotsAreNotUsed)
 {
   queue_.SetForeignSlots(3);
   Fill("heavy", 6);
@@ -113,7 +113,7 @@
   EXPECT_FALSE(queue_.StartNext());
 }
 
-TEST_F(QueueOfTwoGroups, DeadlineCannotBeMet_RefusedAtOnceWithWhenToComeBack)
+TEST_F(QueueOfTwoGroups, DeadlineCannotBeMet_RefusedWithRetryAfter)
 {
   Fill("heavy", 400);
   const auto admission = queue_.Admit(kNow, 9999, "heavy", kNow + milliseconds(20));
@@ -132,7 +132,7 @@
   EXPECT_EQ(queue_.Admit(kNow, 1, "nobody", kFar).verdict_, AdmissionVerdict::UnknownGroup);
 }
 
-TEST_F(QueueOfTwoGroups, DeadlinePassesInTheQueue_TakenOutBeforeIt)
+TEST_F(QueueOfTwoGroups, DeadlineIsNear_RemovedFromQueue)
 {
   queue_.Admit(kNow, 1, "heavy", kNow + milliseconds(10));
   queue_.Admit(kNow, 2, "heavy", kFar);
@@ -141,7 +141,7 @@
   EXPECT_EQ(queue_.Waiting(), 1U);
 }
 
-TEST_F(QueueOfTwoGroups, EarlierDeadlineComesLater_StartsFirst)
+TEST_F(QueueOfTwoGroups, EarlierDeadlineArrivesLater_StartsFirst)
 {
   queue_.Admit(kNow, 1, "heavy", kFar);
   queue_.Admit(kNow, 2, "heavy", kNow + seconds(1));
