--- a/Libraries/LibInstance/PlacementController.cpp
+++ b/Libraries/LibInstance/PlacementController.cpp
@@ -96,7 +96,7 @@
   const bool isPlacer = current.placer_ == self;
   if (isPlacer != aRole.isPlacer_) {
     aRole.isPlacer_ = isPlacer;
-    aRole.placer_.Forget();
+    aRole.placer_.Reset();
   }
   const bool isVacant = !context_.membership_.IsLive(aNow, current.placer_) ||
                         context_.membership_.IsLeavingInstance(current.placer_);
@@ -110,8 +110,8 @@
                                         current,
                                         version,
                                         context_.membership_);
-  for (const auto& note : aRole.placer_.TakeNotes()) {
-    context_.events_.Record(note.event_, "service=" + aService.name_ + " " + note.detail_);
+  for (const auto& deferral : aRole.placer_.TakeDeferrals()) {
+    context_.events_.Record(deferral.event_, "service=" + aService.name_ + " " + deferral.detail_);
   }
   if (takesOver) {
     if (!proposal && current.slices_.empty()) {
--- a/Libraries/LibPlacement/HolderAssigner.cpp
+++ b/Libraries/LibPlacement/HolderAssigner.cpp
@@ -10,28 +10,28 @@
 namespace {
 
 // Maximum difference in the number of servers that two instances hold of one service.
-constexpr std::size_t kHolderSlack = 1;
+constexpr std::size_t kMaxHolderImbalance = 1;
 
 } // namespace
 
 void
 HolderAssigner::OnStopped(const std::string& aServer, const InstanceId& aHolder)
 {
-  stopped_[aServer].insert(aHolder);
+  stoppedHolders_[aServer].insert(aHolder);
 }
 
 void
-HolderAssigner::Forget()
+HolderAssigner::Reset()
 {
-  stopped_.clear();
-  goneSince_.clear();
+  stoppedHolders_.clear();
+  formerHoldersGoneSince_.clear();
 }
 
 bool
-HolderAssigner::AreFormerGrantsOver(Instant aNow, const PlacedServer& aServer) const
+HolderAssigner::AreFormerGrantsExpired(Instant aNow, const PlacedServer& aServer) const
 {
-  const auto gone = goneSince_.find(aServer.name_);
-  return aServer.formerHolders_.empty() && gone != goneSince_.end() &&
+  const auto gone = formerHoldersGoneSince_.find(aServer.name_);
+  return aServer.formerHolders_.empty() && gone != formerHoldersGoneSince_.end() &&
          aNow - gone->second >= formerGrantTimeout_;
 }
 
@@ -70,40 +70,42 @@
         };
         return rank(aLeft) < rank(aRight);
       });
-    GiveTo(aDraft, server, chosen->id_);
+    AssignHolder(aDraft, server, chosen->id_);
     ++held[chosen->id_];
   }
 }
 
 void
-HolderAssigner::GiveTo(PlacementDraft& aDraft, PlacedServer& aServer, const InstanceId& aHolder)
+HolderAssigner::AssignHolder(PlacementDraft& aDraft,
+                             PlacedServer& aServer,
+                             const InstanceId& aHolder)
 {
-  auto& unsettled = aServer.formerHolders_;
-  const bool isNoted =
-    std::find(unsettled.begin(), unsettled.end(), aServer.holder_) != unsettled.end();
-  if (!aServer.holder_.empty() && !isNoted) {
-    unsettled.push_back(aServer.holder_);
+  auto& formerHolders = aServer.formerHolders_;
+  const bool isListed =
+    std::find(formerHolders.begin(), formerHolders.end(), aServer.holder_) != formerHolders.end();
+  if (!aServer.holder_.empty() && !isListed) {
+    formerHolders.push_back(aServer.holder_);
   }
   const auto former = std::exchange(aServer.holder_, aHolder);
   aServer.fence_ = ++aDraft.next_.lastFence_;
-  goneSince_.erase(aServer.name_);
+  formerHoldersGoneSince_.erase(aServer.name_);
   // A holder that is assigned again must not count as stopped by an old report.
-  stopped_[aServer.name_].erase(aHolder);
-  std::erase(unsettled, aHolder);
-  aDraft.Note(Event::HolderAssigned,
-              "server=" + aServer.name_ + " holder=" + aHolder + " former=" + former +
-                " fence=" + std::to_string(aServer.fence_));
+  stoppedHolders_[aServer.name_].erase(aHolder);
+  std::erase(formerHolders, aHolder);
+  aDraft.AddDecision(Event::HolderAssigned,
+                     "server=" + aServer.name_ + " holder=" + aHolder + " former=" + former +
+                       " fence=" + std::to_string(aServer.fence_));
 }
 
 void
-HolderAssigner::Settle(PlacementDraft& aDraft, const ReportFunction& aReportOf)
+HolderAssigner::RemoveStoppedHolders(PlacementDraft& aDraft, const ReportFunction& aReportOf)
 {
   for (auto& server : aDraft.next_.servers_) {
     if (server.formerHolders_.empty()) {
-      goneSince_.emplace(server.name_, aDraft.now_);
+      formerHoldersGoneSince_.emplace(server.name_, aDraft.now_);
       continue;
     }
-    const auto& stopped = stopped_[server.name_];
+    const auto& stopped = stoppedHolders_[server.name_];
     std::erase_if(server.formerHolders_,
                   [&](const std::string& aHolder) { return stopped.contains(aHolder); });
     const bool areGone = std::all_of(
@@ -111,10 +113,10 @@
         return aDraft.membership_.IsGone(aDraft.now_, aHolder);
       });
     if (!areGone) {
-      goneSince_.erase(server.name_);
+      formerHoldersGoneSince_.erase(server.name_);
       continue;
     }
-    const auto since = goneSince_.emplace(server.name_, aDraft.now_).first->second;
+    const auto since = formerHoldersGoneSince_.emplace(server.name_, aDraft.now_).first->second;
     const auto* report = aReportOf(server);
     // Once a server that checks fences has answered under the higher fence, all grants under
     // lower ones are void. Otherwise they must have expired.
@@ -127,7 +129,7 @@
 }
 
 void
-HolderAssigner::EvenOut(PlacementDraft& aDraft)
+HolderAssigner::BalanceHolders(PlacementDraft& aDraft)
 {
   std::map<InstanceId, std::size_t> held;
   std::map<InstanceId, std::string> halls;
@@ -151,14 +153,14 @@
   };
   const auto least = std::min_element(held.begin(), held.end(), byCount);
   const auto most = std::max_element(held.begin(), held.end(), byCount);
-  if (most->second <= least->second + kHolderSlack) {
+  if (most->second <= least->second + kMaxHolderImbalance) {
     return;
   }
   // At most one server per round, and never to an instance in the server's own hall.
   for (auto& server : aDraft.next_.servers_) {
     const bool isApart = halls[least->first] != server.hall_;
     if (server.holder_ == most->first && isApart && server.formerHolders_.empty()) {
-      GiveTo(aDraft, server, least->first);
+      AssignHolder(aDraft, server, least->first);
       return;
     }
   }
--- a/Libraries/LibPlacement/HolderAssigner.h
+++ b/Libraries/LibPlacement/HolderAssigner.h
@@ -31,24 +31,24 @@
   // Reassigns the servers whose holder is lost or leaving.
   void Assign(PlacementDraft& aDraft);
   // Removes the former holders that can no longer send a command that the server would obey.
-  void Settle(PlacementDraft& aDraft, const ReportFunction& aReportOf);
+  void RemoveStoppedHolders(PlacementDraft& aDraft, const ReportFunction& aReportOf);
   // Reassigns one server if the numbers of servers held are uneven.
-  void EvenOut(PlacementDraft& aDraft);
+  void BalanceHolders(PlacementDraft& aDraft);
 
   // Whether every grant of the server's former holders has expired.
-  bool AreFormerGrantsOver(Instant aNow, const PlacedServer& aServer) const;
+  bool AreFormerGrantsExpired(Instant aNow, const PlacedServer& aServer) const;
 
   // Discards all state; called when the placer role begins or ends.
-  void Forget();
+  void Reset();
 
 private:
-  void GiveTo(PlacementDraft& aDraft, PlacedServer& aServer, const InstanceId& aHolder);
+  void AssignHolder(PlacementDraft& aDraft, PlacedServer& aServer, const InstanceId& aHolder);
 
   Duration formerGrantTimeout_;
   // Former holders that have reported that they stopped, by server.
-  std::map<std::string, std::set<std::string>> stopped_;
+  std::map<std::string, std::set<std::string>> stoppedHolders_;
   // Since when no former holder of a server can have renewed its grant, by server.
-  std::map<std::string, Instant> goneSince_;
+  std::map<std::string, Instant> formerHoldersGoneSince_;
 };
 
 } // namespace latchslip
--- a/Libraries/LibPlacement/Placement.cpp
+++ b/Libraries/LibPlacement/Placement.cpp
@@ -47,8 +47,8 @@
     return FieldError{ "servers[].state", "is not a known state: " + stateName };
   }
   server.state_ = *state;
-  BOOST_OUTCOME_TRY(const auto* unsettled, reader.List("unsettled"));
-  for (const auto& holder : *unsettled) {
+  BOOST_OUTCOME_TRY(const auto* formerHolders, reader.List("unsettled"));
+  for (const auto& holder : *formerHolders) {
     if (!holder.is_string()) {
       return FieldError{ "servers[].unsettled", "must hold texts" };
     }
@@ -129,20 +129,21 @@
 }
 
 void
-Placement::JoinNeighbours(std::size_t aEvenSlices)
+Placement::MergeAdjacent(std::size_t aInitialSlices)
 {
-  const KeyHash width = std::numeric_limits<KeyHash>::max() / std::max<std::size_t>(aEvenSlices, 1);
-  std::vector<Slice> joined;
-  joined.reserve(slices_.size());
+  const KeyHash width =
+    std::numeric_limits<KeyHash>::max() / std::max<std::size_t>(aInitialSlices, 1);
+  std::vector<Slice> merged;
+  merged.reserve(slices_.size());
   for (const auto& slice : slices_) {
-    const bool isEvenCut = slice.start_ % width == 0;
-    const bool joins = !joined.empty() && !isEvenCut && !slice.IsMoving() &&
-                       !joined.back().IsMoving() && joined.back().owner_ == slice.owner_;
-    if (!joins) {
-      joined.push_back(slice);
+    const bool isInitialBoundary = slice.start_ % width == 0;
+    const bool merges = !merged.empty() && !isInitialBoundary && !slice.IsMoving() &&
+                        !merged.back().IsMoving() && merged.back().owner_ == slice.owner_;
+    if (!merges) {
+      merged.push_back(slice);
     }
   }
-  slices_ = std::move(joined);
+  slices_ = std::move(merged);
 }
 
 FieldResult<Placement>
@@ -184,15 +185,15 @@
 {
   boost::json::array servers;
   for (const auto& server : aPlacement.servers_) {
-    boost::json::array unsettled;
+    boost::json::array formerHolders;
     for (const auto& holder : server.formerHolders_) {
-      unsettled.emplace_back(holder);
+      formerHolders.emplace_back(holder);
     }
     boost::json::object entry{ { "name", server.name_ },
                                { "hall", server.hall_ },
                                { "fence", ToHex(server.fence_) },
                                { "state", kPlacedStateNames.NameOf(server.state_) },
-                               { "unsettled", std::move(unsettled) } };
+                               { "unsettled", std::move(formerHolders) } };
     if (!server.holder_.empty()) {
       entry["holder"] = server.holder_;
     }
--- a/Libraries/LibPlacement/Placement.h
+++ b/Libraries/LibPlacement/Placement.h
@@ -92,8 +92,8 @@
   std::size_t SplitAt(KeyHash aHash);
 
   // Merges adjacent slices that have the same owner and are not moving. The boundaries of the
-  // aEvenSlices equal slices that the placement began with are kept.
-  void JoinNeighbours(std::size_t aEvenSlices);
+  // aInitialSlices equal slices that the placement began with are kept.
+  void MergeAdjacent(std::size_t aInitialSlices);
 
   bool operator==(const Placement&) const = default;
 };
--- a/Libraries/LibPlacement/PlacementDraft.h
+++ b/Libraries/LibPlacement/PlacementDraft.h
@@ -33,7 +33,7 @@
   std::vector<std::string> lostServers_{};
 
   // Records a decision for the log.
-  void Note(Event aEvent, std::string aDetail)
+  void AddDecision(Event aEvent, std::string aDetail)
   {
     decisions_.push_back({ aEvent, std::move(aDetail) });
   }
--- a/Libraries/LibPlacement/Placer.cpp
+++ b/Libraries/LibPlacement/Placer.cpp
@@ -22,10 +22,10 @@
 }
 
 void
-Placer::Forget()
+Placer::Reset()
 {
   reports_.clear();
-  holders_.Forget();
+  holders_.Reset();
   reachableSince_.clear();
 }
 
@@ -36,10 +36,11 @@
     holders_.OnStopped(aReport.server_, aReport.holder_);
     return;
   }
-  auto& known = reports_[aReport.server_];
-  const bool isOlder = aReport.fence_ < known.fence_ ||
-                       (aReport.fence_ == known.fence_ && aReport.holder_ == known.holder_ &&
-                        aReport.sequence_ <= known.sequence_);
+  auto& lastReport = reports_[aReport.server_];
+  const bool isOlder =
+    aReport.fence_ < lastReport.fence_ ||
+    (aReport.fence_ == lastReport.fence_ && aReport.holder_ == lastReport.holder_ &&
+     aReport.sequence_ <= lastReport.sequence_);
   if (isOlder) {
     return;
   }
@@ -48,10 +49,10 @@
   } else {
     reachableSince_.erase(aReport.server_);
   }
-  known = aReport;
+  lastReport = aReport;
   if (aReport.hasLoad_) {
     auto& load = loads_[aReport.server_];
-    load.Blend(aReport);
+    load.AddReport(aReport);
   }
 }
 
@@ -90,7 +91,8 @@
     server.hall_ = declared.hall_;
     if (declared.draining_ && server.state_ == PlacedState::Active) {
       server.state_ = PlacedState::Draining;
-      aDraft.Note(Event::ServerLeaving, "server=" + server.name_ + " reason=declared-draining");
+      aDraft.AddDecision(Event::ServerLeaving,
+                         "server=" + server.name_ + " reason=declared-draining");
     }
     if (!declared.draining_ && server.state_ == PlacedState::Draining) {
       server.state_ = PlacedState::Active;
@@ -100,7 +102,8 @@
     const bool isDeclared = declarations.contains(server.name_);
     if (!isDeclared && server.state_ == PlacedState::Active) {
       server.state_ = PlacedState::Draining;
-      aDraft.Note(Event::ServerLeaving, "server=" + server.name_ + " reason=no-longer-declared");
+      aDraft.AddDecision(Event::ServerLeaving,
+                         "server=" + server.name_ + " reason=no-longer-declared");
     }
   }
 }
@@ -116,9 +119,9 @@
     const auto* report = ReportOf(aDraft.next_.servers_[slice.owner_]);
     const bool isReleased = report != nullptr && report->releasedVersion_ == aDraft.version_;
     if (isReleased) {
-      aDraft.Note(Event::SliceMoved,
-                  "slice=" + std::to_string(slice.start_) + " to=" + target.name_ +
-                    " reason=released");
+      aDraft.AddDecision(Event::SliceMoved,
+                         "slice=" + std::to_string(slice.start_) + " to=" + target.name_ +
+                           " reason=released");
       MoveLoad(loads_, slice.start_, aDraft.next_.servers_[slice.owner_].name_, target.name_);
       slice.owner_ = slice.next_;
       slice.next_ = kNoServer;
@@ -130,7 +133,8 @@
 }
 
 ServerIndex
-Placer::LeastLoaded(const PlacementDraft& aDraft, const std::vector<std::size_t>& aCounts)
+Placer::ServerWithFewestSlices(const PlacementDraft& aDraft,
+                               const std::vector<std::size_t>& aCounts)
 {
   const auto active = aDraft.ActiveServers();
   const auto least = std::min_element(active.begin(), active.end(), [&](auto aLeft, auto aRight) {
@@ -142,15 +146,15 @@
 bool
 Placer::IsLossAllowed(Instant aNow, std::size_t aActive)
 {
-  std::erase_if(losses_, [&](Instant aLoss) { return aNow - aLoss > timing_.lossSpan_; });
+  std::erase_if(losses_, [&](Instant aLoss) { return aNow - aLoss > timing_.lossWindow_; });
   const auto total = static_cast<double>(aActive + losses_.size());
-  return static_cast<double>(losses_.size() + 1) <= std::max(1.0, total * timing_.lossShare_);
+  return static_cast<double>(losses_.size() + 1) <= std::max(1.0, total * timing_.maxLossFraction_);
 }
 
 bool
-Placer::IsCertainlySilent(const PlacementDraft& aDraft,
-                          const PlacedServer& aServer,
-                          const ServerReport& aReport) const
+Placer::IsGrantExpired(const PlacementDraft& aDraft,
+                       const PlacedServer& aServer,
+                       const ServerReport& aReport) const
 {
   if (!aReport.isWithheld_) {
     return false;
@@ -160,11 +164,11 @@
   }
   // A holder that never reached the server cannot determine whether the grants of its predecessors
   // have expired.
-  return holders_.AreFormerGrantsOver(aDraft.now_, aServer);
+  return holders_.AreFormerGrantsExpired(aDraft.now_, aServer);
 }
 
 std::size_t
-Placer::GiveAway(PlacementDraft& aDraft, ServerIndex aLost)
+Placer::ReassignSlices(PlacementDraft& aDraft, ServerIndex aLost)
 {
   std::size_t count = 0;
   auto counts = aDraft.next_.CountSlices();
@@ -177,11 +181,13 @@
     }
     const bool hasTarget =
       slice.IsMoving() && aDraft.next_.servers_[slice.next_].state_ == PlacedState::Active;
-    const auto heir = hasTarget ? slice.next_ : LeastLoaded(aDraft, counts);
-    ++counts[heir];
-    MoveLoad(
-      loads_, slice.start_, aDraft.next_.servers_[aLost].name_, aDraft.next_.servers_[heir].name_);
-    slice.owner_ = heir;
+    const auto newOwner = hasTarget ? slice.next_ : ServerWithFewestSlices(aDraft, counts);
+    ++counts[newOwner];
+    MoveLoad(loads_,
+             slice.start_,
+             aDraft.next_.servers_[aLost].name_,
+             aDraft.next_.servers_[newOwner].name_);
+    slice.owner_ = newOwner;
     slice.next_ = kNoServer;
     ++count;
   }
@@ -189,13 +195,13 @@
 }
 
 void
-Placer::MoveLost(PlacementDraft& aDraft)
+Placer::FailOverLostServers(PlacementDraft& aDraft)
 {
   for (ServerIndex index = 0; index < aDraft.next_.servers_.size(); ++index) {
     auto& server = aDraft.next_.servers_[index];
     const auto* report = ReportOf(server);
     if (server.state_ == PlacedState::Lost || report == nullptr ||
-        !IsCertainlySilent(aDraft, server, *report)) {
+        !IsGrantExpired(aDraft, server, *report)) {
       continue;
     }
     if (report->isReachable_) {
@@ -203,28 +209,29 @@
       continue;
     }
     const auto active = aDraft.ActiveServers().size();
-    const bool hasHeir = active > (server.state_ == PlacedState::Active ? 1U : 0U);
-    if (!hasHeir || !IsLossAllowed(aDraft.now_, active)) {
-      if (deferred_.insert(server.name_).second) {
-        notes_.push_back({ Event::ServerLossDeferred,
-                           "server=" + server.name_ +
-                             (hasHeir ? " reason=too-many-at-once" : " reason=no-other-server") });
+    const bool hasOtherServer = active > (server.state_ == PlacedState::Active ? 1U : 0U);
+    if (!hasOtherServer || !IsLossAllowed(aDraft.now_, active)) {
+      if (deferredServers_.insert(server.name_).second) {
+        deferrals_.push_back(
+          { Event::ServerLossDeferred,
+            "server=" + server.name_ +
+              (hasOtherServer ? " reason=too-many-at-once" : " reason=no-other-server") });
       }
       continue;
     }
     losses_.push_back(aDraft.now_);
-    deferred_.erase(server.name_);
+    deferredServers_.erase(server.name_);
     server.state_ = PlacedState::Lost;
     aDraft.lostServers_.push_back(server.name_);
-    const auto count = GiveAway(aDraft, index);
-    aDraft.Note(Event::ServerLost,
-                "server=" + server.name_ + " slices=" + std::to_string(count) +
-                  " reason=grant-ran-out");
+    const auto count = ReassignSlices(aDraft, index);
+    aDraft.AddDecision(Event::ServerLost,
+                       "server=" + server.name_ + " slices=" + std::to_string(count) +
+                         " reason=grant-ran-out");
   }
 }
 
 void
-Placer::ReturnLost(PlacementDraft& aDraft)
+Placer::ReactivateReturnedServers(PlacementDraft& aDraft)
 {
   for (auto& server : aDraft.next_.servers_) {
     if (server.state_ != PlacedState::Lost) {
@@ -234,18 +241,19 @@
     const auto since = reachableSince_.find(server.name_);
     const bool isBack = report != nullptr && report->isReachable_ && !report->isWithheld_ &&
                         since != reachableSince_.end() &&
-                        aDraft.now_ - since->second >= timing_.returnDelay_;
+                        aDraft.now_ - since->second >= timing_.reactivationDelay_;
     if (isBack) {
       const auto* declared = aDraft.service_.FindServer(server.name_);
       const bool drains = declared == nullptr || declared->draining_;
       server.state_ = drains ? PlacedState::Draining : PlacedState::Active;
-      aDraft.Note(Event::ServerReturned, "server=" + server.name_ + " reason=stayed-reachable");
+      aDraft.AddDecision(Event::ServerReturned,
+                         "server=" + server.name_ + " reason=stayed-reachable");
     }
   }
 }
 
 void
-Placer::PlaceFirst(PlacementDraft& aDraft)
+Placer::CreateInitialSlices(PlacementDraft& aDraft)
 {
   if (!aDraft.next_.slices_.empty()) {
     return;
@@ -262,7 +270,7 @@
 }
 
 void
-Placer::EmptyDraining(PlacementDraft& aDraft)
+Placer::DrainServers(PlacementDraft& aDraft)
 {
   auto counts = aDraft.next_.CountSlices();
   for (auto& slice : aDraft.next_.slices_) {
@@ -270,15 +278,15 @@
     if (owner.state_ != PlacedState::Draining || slice.IsMoving()) {
       continue;
     }
-    const auto target = LeastLoaded(aDraft, counts);
+    const auto target = ServerWithFewestSlices(aDraft, counts);
     if (target == kNoServer) {
       return;
     }
     ++counts[target];
     slice.next_ = target;
-    aDraft.Note(Event::SliceMoveStarted,
-                "slice=" + std::to_string(slice.start_) + " from=" + owner.name_ +
-                  " to=" + aDraft.next_.servers_[target].name_ + " reason=draining");
+    aDraft.AddDecision(Event::SliceMoveStarted,
+                       "slice=" + std::to_string(slice.start_) + " from=" + owner.name_ +
+                         " to=" + aDraft.next_.servers_[target].name_ + " reason=draining");
   }
 }
 
@@ -311,29 +319,29 @@
   if (empty == active.end()) {
     return false;
   }
-  const std::size_t fair = aDraft.next_.slices_.size() / active.size();
-  for (std::size_t given = 0; given < fair; ++given) {
-    const auto richest =
+  const std::size_t fairShare = aDraft.next_.slices_.size() / active.size();
+  for (std::size_t moved = 0; moved < fairShare; ++moved) {
+    const auto mostLoaded =
       static_cast<ServerIndex>(std::max_element(counts.begin(), counts.end()) - counts.begin());
-    if (counts[richest] <= given + 1) {
+    if (counts[mostLoaded] <= moved + 1) {
       break;
     }
     const auto taken = std::find_if(
       aDraft.next_.slices_.begin(), aDraft.next_.slices_.end(), [&](const Slice& aSlice) {
-        return aSlice.owner_ == richest && !aSlice.IsMoving();
+        return aSlice.owner_ == mostLoaded && !aSlice.IsMoving();
       });
     taken->next_ = *empty;
-    --counts[richest];
-    aDraft.Note(Event::SliceMoveStarted,
-                "slice=" + std::to_string(taken->start_) +
-                  " from=" + aDraft.next_.servers_[richest].name_ +
-                  " to=" + aDraft.next_.servers_[*empty].name_ + " reason=empty-server");
+    --counts[mostLoaded];
+    aDraft.AddDecision(Event::SliceMoveStarted,
+                       "slice=" + std::to_string(taken->start_) +
+                         " from=" + aDraft.next_.servers_[mostLoaded].name_ +
+                         " to=" + aDraft.next_.servers_[*empty].name_ + " reason=empty-server");
   }
   return true;
 }
 
 void
-Placer::EvenOutLoad(PlacementDraft& aDraft)
+Placer::BalanceLoad(PlacementDraft& aDraft)
 {
   auto& placement = aDraft.next_;
   for (const auto& move : ChooseMoves(
@@ -344,18 +352,20 @@
         placement.SplitAt(move.start_ + 1);
       }
       index = placement.SplitAt(move.start_);
-      aDraft.Note(Event::SliceSplit, "hash=" + std::to_string(move.start_) + " reason=hot-key");
+      aDraft.AddDecision(Event::SliceSplit,
+                         "hash=" + std::to_string(move.start_) + " reason=hot-key");
     } else if (move.isHalf_) {
       const auto width = placement.LastHashOf(index) - move.start_;
       index = placement.SplitAt(move.start_ + width / 2 + 1);
-      aDraft.Note(Event::SliceSplit, "slice=" + std::to_string(move.start_) + " reason=too-heavy");
+      aDraft.AddDecision(Event::SliceSplit,
+                         "slice=" + std::to_string(move.start_) + " reason=too-heavy");
     }
     placement.slices_[index].next_ = move.to_;
-    aDraft.Note(Event::SliceMoveStarted,
-                "slice=" + std::to_string(placement.slices_[index].start_) +
-                  " from=" + placement.servers_[move.from_].name_ +
-                  " to=" + placement.servers_[move.to_].name_ +
-                  " reason=load load=" + std::to_string(move.load_));
+    aDraft.AddDecision(Event::SliceMoveStarted,
+                       "slice=" + std::to_string(placement.slices_[index].start_) +
+                         " from=" + placement.servers_[move.from_].name_ +
+                         " to=" + placement.servers_[move.to_].name_ +
+                         " reason=load load=" + std::to_string(move.load_));
   }
 }
 
@@ -366,17 +376,17 @@
     return;
   }
   rebalancedAt_ = aDraft.now_;
-  holders_.EvenOut(aDraft);
+  holders_.BalanceHolders(aDraft);
   const bool isSettled = std::none_of(aDraft.next_.slices_.begin(),
                                       aDraft.next_.slices_.end(),
                                       [](const Slice& aSlice) { return aSlice.IsMoving(); });
   if (!isSettled || FillEmptyServer(aDraft)) {
     return;
   }
-  EvenOutLoad(aDraft);
+  BalanceLoad(aDraft);
   const auto even = aDraft.ActiveServers().size() * kSlicesPerServer;
   if (aDraft.decisions_.empty() && aDraft.next_.slices_.size() > even * 2) {
-    aDraft.next_.JoinNeighbours(even);
+    aDraft.next_.MergeAdjacent(even);
   }
 }
 
@@ -393,11 +403,12 @@
   ReconcileServers(draft);
   FinishMoves(draft);
   holders_.Assign(draft);
-  holders_.Settle(draft, [this](const PlacedServer& aServer) { return ReportOf(aServer); });
-  MoveLost(draft);
-  ReturnLost(draft);
-  PlaceFirst(draft);
-  EmptyDraining(draft);
+  holders_.RemoveStoppedHolders(draft,
+                                [this](const PlacedServer& aServer) { return ReportOf(aServer); });
+  FailOverLostServers(draft);
+  ReactivateReturnedServers(draft);
+  CreateInitialSlices(draft);
+  DrainServers(draft);
   Rebalance(draft);
   RemoveUndeclared(draft);
   if (draft.next_ == aCurrent || draft.next_.slices_.empty()) {
@@ -420,9 +431,9 @@
 }
 
 std::vector<PlacementDecision>
-Placer::TakeNotes()
+Placer::TakeDeferrals()
 {
-  return std::exchange(notes_, {});
+  return std::exchange(deferrals_, {});
 }
 
 std::vector<ResumeCommand>
--- a/Libraries/LibPlacement/Placer.h
+++ b/Libraries/LibPlacement/Placer.h
@@ -23,12 +23,12 @@
   // How long the last grant of a former holder may remain valid after that holder is gone.
   Duration formerGrantTimeout_ = milliseconds(540);
   // How long a returned server must stay reachable before it may own keys again.
-  Duration returnDelay_ = seconds(2);
+  Duration reactivationDelay_ = seconds(2);
   Duration rebalanceInterval_ = seconds(1);
   // Loss limit: at most this fraction of the active servers, but at least one, may be
-  // declared lost within lossSpan_.
-  double lossShare_ = 0.5;
-  Duration lossSpan_ = seconds(5);
+  // declared lost within lossWindow_.
+  double maxLossFraction_ = 0.5;
+  Duration lossWindow_ = seconds(5);
 };
 
 struct PlacementProposal
@@ -71,10 +71,10 @@
   void OnNotCommitted(const PlacementProposal& aProposal);
 
   // Returns the losses that were deferred since the last call, each reported once.
-  std::vector<PlacementDecision> TakeNotes();
+  std::vector<PlacementDecision> TakeDeferrals();
 
   // Discards all that was learnt in an earlier epoch of this placer.
-  void Forget();
+  void Reset();
 
 private:
   // Adds declared servers and starts or ends draining as declared.
@@ -83,32 +83,32 @@
   // gone.
   void FinishMoves(PlacementDraft& aDraft);
   // Declares servers lost whose grants have certainly expired, and reassigns their slices.
-  void MoveLost(PlacementDraft& aDraft);
-  // Reactivates lost servers that have stayed reachable for returnDelay_.
-  void ReturnLost(PlacementDraft& aDraft);
+  void FailOverLostServers(PlacementDraft& aDraft);
+  // Reactivates lost servers that have stayed reachable for reactivationDelay_.
+  void ReactivateReturnedServers(PlacementDraft& aDraft);
   // Creates the initial slices of a service that has none.
-  void PlaceFirst(PlacementDraft& aDraft);
+  void CreateInitialSlices(PlacementDraft& aDraft);
   // Starts to move the slices of draining servers away.
-  void EmptyDraining(PlacementDraft& aDraft);
+  void DrainServers(PlacementDraft& aDraft);
   // Removes servers that are not declared any more and own no slices.
   void RemoveUndeclared(PlacementDraft& aDraft);
   void Rebalance(PlacementDraft& aDraft);
   // Starts to move slices to an active server that has none; returns false if there is none.
   bool FillEmptyServer(PlacementDraft& aDraft);
-  void EvenOutLoad(PlacementDraft& aDraft);
+  void BalanceLoad(PlacementDraft& aDraft);
   // Whether another server may be declared lost under the loss limit.
   bool IsLossAllowed(Instant aNow, std::size_t aActive);
   // Whether every grant of the server, of this holder and of former ones, has expired.
-  bool IsCertainlySilent(const PlacementDraft& aDraft,
-                         const PlacedServer& aServer,
-                         const ServerReport& aReport) const;
+  bool IsGrantExpired(const PlacementDraft& aDraft,
+                      const PlacedServer& aServer,
+                      const ServerReport& aReport) const;
   // Returns the last report of the server's current holder, or nullptr.
   const ServerReport* ReportOf(const PlacedServer& aServer) const;
   // Reassigns all slices of a lost server and returns their number.
-  std::size_t GiveAway(PlacementDraft& aDraft, ServerIndex aLost);
+  std::size_t ReassignSlices(PlacementDraft& aDraft, ServerIndex aLost);
   // Returns the active server with the fewest slices, or kNoServer.
-  static ServerIndex LeastLoaded(const PlacementDraft& aDraft,
-                                 const std::vector<std::size_t>& aCounts);
+  static ServerIndex ServerWithFewestSlices(const PlacementDraft& aDraft,
+                                            const std::vector<std::size_t>& aCounts);
 
   std::string service_;
   PlacerTiming timing_;
@@ -118,8 +118,8 @@
   HolderAssigner holders_;
   std::map<std::string, Instant> reachableSince_;
   std::vector<Instant> losses_;
-  std::set<std::string> deferred_;
-  std::vector<PlacementDecision> notes_;
+  std::set<std::string> deferredServers_;
+  std::vector<PlacementDecision> deferrals_;
   Instant rebalancedAt_{ 0 };
 };
 
--- a/Libraries/LibPlacement/Rebalancer.cpp
+++ b/Libraries/LibPlacement/Rebalancer.cpp
@@ -9,10 +9,10 @@
 namespace {
 
 // Share of a server's slots that must be busy before balancing its load is worth a move.
-constexpr double kNegligibleShare = 0.2;
+constexpr double kMinBusyShare = 0.2;
 // Weight of a new report in the moving average.
-constexpr double kReportGain = 0.4;
-constexpr double kForgottenLoad = 1e-4;
+constexpr double kReportWeight = 0.4;
+constexpr double kNegligibleLoad = 1e-4;
 
 // Server loads, updated as moves are chosen.
 struct Balance
@@ -20,7 +20,7 @@
   std::vector<ServerIndex> active_;
   std::vector<double> loads_;
   // Whether none of the remaining moves would improve the server's load.
-  std::vector<bool> isStuck_;
+  std::vector<bool> isExhausted_;
 
   double Mean() const
   {
@@ -35,14 +35,14 @@
   {
     std::optional<ServerIndex> busiest;
     for (const auto server : active_) {
-      if (!isStuck_[server] && (!busiest || loads_[server] > loads_[*busiest])) {
+      if (!isExhausted_[server] && (!busiest || loads_[server] > loads_[*busiest])) {
         busiest = server;
       }
     }
     return busiest;
   }
 
-  ServerIndex Idlest() const
+  ServerIndex LeastBusy() const
   {
     return *std::min_element(active_.begin(), active_.end(), [&](auto aLeft, auto aRight) {
       return loads_[aLeft] < loads_[aRight];
@@ -51,11 +51,11 @@
 };
 
 Balance
-BalanceOf(const Placement& aPlacement, const LoadTable& aLoads)
+MakeBalance(const Placement& aPlacement, const LoadTable& aLoads)
 {
   Balance balance;
   balance.loads_.resize(aPlacement.servers_.size(), 0);
-  balance.isStuck_.resize(aPlacement.servers_.size(), false);
+  balance.isExhausted_.resize(aPlacement.servers_.size(), false);
   for (ServerIndex index = 0; index < aPlacement.servers_.size(); ++index) {
     const auto& server = aPlacement.servers_[index];
     if (server.state_ != PlacedState::Active) {
@@ -69,10 +69,10 @@
 }
 
 void
-AddCandidates(const Placement& aPlacement,
-              const ServerLoad& aLoad,
-              ServerIndex aFrom,
-              std::vector<SliceMove>& aCandidates)
+AddCandidateMoves(const Placement& aPlacement,
+                  const ServerLoad& aLoad,
+                  ServerIndex aFrom,
+                  std::vector<SliceMove>& aCandidates)
 {
   for (const auto& [start, load] : aLoad.slices_) {
     const auto index = aPlacement.SliceIndexOf(start);
@@ -99,15 +99,15 @@
 // Returns the move that leaves the two servers most even, preferring whole slices over
 // splits.
 std::optional<SliceMove>
-BestMove(const std::vector<SliceMove>& aCandidates, double aSurplus, double aLeastGain)
+BestMove(const std::vector<SliceMove>& aCandidates, double aSurplus, double aMinGain)
 {
   std::optional<SliceMove> best;
   double bestGain = 0;
   for (const auto& candidate : aCandidates) {
     // Moving more than the surplus only makes the target the busier server.
     const double gain = std::min(candidate.load_, aSurplus * 2 - candidate.load_);
-    const double cost = candidate.isHalf_ || candidate.isSingleKey_ ? aLeastGain / 2 : 0;
-    if (gain >= aLeastGain && gain - cost > bestGain) {
+    const double cost = candidate.isHalf_ || candidate.isSingleKey_ ? aMinGain / 2 : 0;
+    if (gain >= aMinGain && gain - cost > bestGain) {
       best = candidate;
       bestGain = gain - cost;
     }
@@ -118,10 +118,10 @@
 } // namespace
 
 void
-ServerLoad::Blend(const ServerReport& aReport)
+ServerLoad::AddReport(const ServerReport& aReport)
 {
   const bool isFirst = slices_.empty() && load_ == 0;
-  const double gain = isFirst ? 1 : kReportGain;
+  const double gain = isFirst ? 1 : kReportWeight;
   const auto blend = [&](double& aKnown, double aNew) { aKnown += gain * (aNew - aKnown); };
   blend(load_, aReport.load_);
   // A slice that is not reported had no load or has been moved away.
@@ -131,7 +131,7 @@
   for (const auto& slice : aReport.slices_) {
     slices_[slice.start_] += gain * slice.load_;
   }
-  std::erase_if(slices_, [](const auto& aSlice) { return aSlice.second < kForgottenLoad; });
+  std::erase_if(slices_, [](const auto& aSlice) { return aSlice.second < kNegligibleLoad; });
   if (aReport.hottestKey_ != hottestKey_) {
     hottestKey_ = aReport.hottestKey_;
     hottestLoad_ = 0;
@@ -158,7 +158,7 @@
 RebalancePolicy
 RebalancePolicy::Of(PlacementProfile aProfile, unsigned aSlots)
 {
-  const double leastLoad = kNegligibleShare * aSlots;
+  const double leastLoad = kMinBusyShare * aSlots;
   switch (aProfile) {
     case PlacementProfile::ChurnFirst:
       return { 0.14, 0.04, 2, leastLoad };
@@ -171,33 +171,33 @@
 std::vector<SliceMove>
 ChooseMoves(const Placement& aPlacement, const LoadTable& aLoads, const RebalancePolicy& aPolicy)
 {
-  auto balance = BalanceOf(aPlacement, aLoads);
+  auto balance = MakeBalance(aPlacement, aLoads);
   std::vector<SliceMove> moves;
   if (balance.active_.size() < 2) {
     return moves;
   }
   const double mean = balance.Mean();
   std::vector<KeyHash> taken;
-  while (moves.size() < aPolicy.mostMoves_) {
+  while (moves.size() < aPolicy.maxMoves_) {
     const auto from = balance.Busiest();
-    if (!from || balance.loads_[*from] < aPolicy.leastLoad_ ||
+    if (!from || balance.loads_[*from] < aPolicy.minLoad_ ||
         balance.loads_[*from] <= mean * (1 + aPolicy.tolerance_)) {
       break;
     }
-    const auto to = balance.Idlest();
+    const auto to = balance.LeastBusy();
     const double surplus =
       std::min(balance.loads_[*from] - mean, (balance.loads_[*from] - balance.loads_[to]) / 2);
     std::vector<SliceMove> candidates;
     const auto load = aLoads.find(aPlacement.servers_[*from].name_);
-    AddCandidates(aPlacement, load->second, *from, candidates);
+    AddCandidateMoves(aPlacement, load->second, *from, candidates);
     std::erase_if(candidates, [&](const SliceMove& aMove) {
       return std::any_of(taken.begin(), taken.end(), [&](KeyHash aHash) {
         return aPlacement.SliceIndexOf(aHash) == aPlacement.SliceIndexOf(aMove.start_);
       });
     });
-    auto best = BestMove(candidates, surplus, mean * aPolicy.leastGain_);
+    auto best = BestMove(candidates, surplus, mean * aPolicy.minGain_);
     if (!best) {
-      balance.isStuck_[*from] = true;
+      balance.isExhausted_[*from] = true;
       continue;
     }
     best->to_ = to;
@@ -212,7 +212,7 @@
 double
 ImbalanceOf(const Placement& aPlacement, const LoadTable& aLoads)
 {
-  const auto balance = BalanceOf(aPlacement, aLoads);
+  const auto balance = MakeBalance(aPlacement, aLoads);
   const double mean = balance.Mean();
   if (mean <= 0) {
     return 1;
--- a/Libraries/LibPlacement/Rebalancer.h
+++ b/Libraries/LibPlacement/Rebalancer.h
@@ -20,7 +20,7 @@
 
   // Adds a report to an exponential moving average. A single report is a small sample, and
   // moves made on its noise would be churn.
-  void Blend(const ServerReport& aReport);
+  void AddReport(const ServerReport& aReport);
 };
 using LoadTable = std::map<std::string, ServerLoad>;
 
@@ -30,16 +30,16 @@
 MoveLoad(LoadTable& aLoads, KeyHash aStart, const std::string& aFrom, const std::string& aTo);
 
 // Hysteresis and limits of load balancing.
-// Nothing moves while the busiest server has fewer than leastLoad_ busy slots, since no
+// Nothing moves while the busiest server has fewer than minLoad_ busy slots, since no
 // requests wait then, or while its load is within tolerance_ of the mean. A move must take at
-// least leastGain_ of the mean load off the busiest server. At most mostMoves_ moves are made
+// least minGain_ of the mean load off the busiest server. At most maxMoves_ moves are made
 // at once.
 struct RebalancePolicy
 {
   double tolerance_ = 0;
-  double leastGain_ = 0;
-  std::size_t mostMoves_ = 0;
-  double leastLoad_ = 0;
+  double minGain_ = 0;
+  std::size_t maxMoves_ = 0;
+  double minLoad_ = 0;
 
   static RebalancePolicy Of(PlacementProfile aProfile, unsigned aSlots);
 };
--- a/Tests/LibPlacement/TestPlacement.cpp
+++ b/Tests/LibPlacement/TestPlacement.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-constexpr KeyHash kLast = std::numeric_limits<KeyHash>::max();
+constexpr KeyHash kMaxHash = std::numeric_limits<KeyHash>::max();
 
-class PlacementOfTwo : public testing::Test
+class PlacementOfTwoServers : public testing::Test
 {
 protected:
-  PlacementOfTwo()
+  PlacementOfTwoServers()
   {
     placement_.service_ = "rates";
     placement_.placer_ = "i1#a";
@@ -26,25 +26,26 @@
       placement_.servers_.push_back(server);
     }
     for (ServerIndex index = 0; index < 8; ++index) {
-      placement_.slices_.push_back({ index * (kLast / 8 + 1), index % 2, kNoServer });
+      placement_.slices_.push_back({ index * (kMaxHash / 8 + 1), index % 2, kNoServer });
     }
   }
 
   Placement placement_;
 };
 
-TEST_F(PlacementOfTwo, EveryHashLookedUp_SliceCoversIt)
+TEST_F(PlacementOfTwoServers, EveryHashLookedUp_SliceCoversIt)
 {
-  for (const KeyHash hash : { KeyHash{ 0 }, kLast / 3, kLast / 2, kLast / 2 + 1, kLast }) {
+  for (const KeyHash hash :
+       { KeyHash{ 0 }, kMaxHash / 3, kMaxHash / 2, kMaxHash / 2 + 1, kMaxHash }) {
     const auto index = placement_.SliceIndexOf(hash);
     EXPECT_LE(placement_.slices_[index].start_, hash);
     EXPECT_GE(placement_.LastHashOf(index), hash);
   }
 }
 
-TEST_F(PlacementOfTwo, SplitAroundOneKey_OnlyThatHashIsCutOut)
+TEST_F(PlacementOfTwoServers, SplitAroundOneKey_SliceCoversOnlyThatHash)
 {
-  const KeyHash key = kLast / 3;
+  const KeyHash key = kMaxHash / 3;
   placement_.SplitAt(key + 1);
   const auto index = placement_.SplitAt(key);
   EXPECT_EQ(placement_.slices_.size(), 10U);
@@ -52,35 +53,35 @@
   EXPECT_EQ(placement_.LastHashOf(index), key);
 }
 
-TEST_F(PlacementOfTwo, WrittenAndReadAgain_IsEqual)
+TEST_F(PlacementOfTwoServers, SerializedAndParsed_IsEqual)
 {
   placement_.slices_[3].next_ = 0;
   placement_.servers_[0].formerHolders_ = { "i2#b" };
   placement_.servers_[1].state_ = PlacedState::Lost;
   placement_.lastFence_ = 77;
-  const auto again = ParsePlacement(SerializePlacement(placement_));
-  ASSERT_TRUE(again) << again.error().Describe();
-  EXPECT_EQ(again.value(), placement_);
+  const auto parsed = ParsePlacement(SerializePlacement(placement_));
+  ASSERT_TRUE(parsed) << parsed.error().Describe();
+  EXPECT_EQ(parsed.value(), placement_);
 }
 
-TEST_F(PlacementOfTwo, OwnerOutOfRange_IsRefused)
+TEST_F(PlacementOfTwoServers, OwnerOutOfRange_ParseFails)
 {
   auto text = SerializePlacement(placement_);
   text.replace(text.find("\"o\":1"), 5, "\"o\":9");
   EXPECT_FALSE(ParsePlacement(text));
 }
 
-TEST_F(PlacementOfTwo, SlicesOutOfOrder_AreRefused)
+TEST_F(PlacementOfTwoServers, SlicesOutOfOrder_ParseFails)
 {
   std::swap(placement_.slices_[2], placement_.slices_[3]);
   EXPECT_FALSE(ParsePlacement(SerializePlacement(placement_)));
 }
 
 // Loads of the two servers; initially each slice keeps one slot busy.
-class RebalancingOfTwo : public PlacementOfTwo
+class RebalancingOfTwoServers : public PlacementOfTwoServers
 {
 protected:
-  RebalancingOfTwo()
+  RebalancingOfTwoServers()
   {
     for (const auto& slice : placement_.slices_) {
       SetLoad(slice.start_, 0.5);
@@ -99,13 +100,13 @@
   RebalancePolicy policy_ = RebalancePolicy::Of(PlacementProfile::UnavailabilityFirst, 4);
 };
 
-TEST_F(RebalancingOfTwo, LoadIsEven_NothingMoves)
+TEST_F(RebalancingOfTwoServers, LoadIsEven_NothingMoves)
 {
   EXPECT_TRUE(ChooseMoves(placement_, loads_, policy_).empty());
   EXPECT_DOUBLE_EQ(ImbalanceOf(placement_, loads_), 1);
 }
 
-TEST_F(RebalancingOfTwo, OneServerIsBusier_OneSliceOfTheSurplusMoves)
+TEST_F(RebalancingOfTwoServers, OneServerIsBusier_OneSliceOfTheSurplusMoves)
 {
   for (const auto& slice : placement_.slices_) {
     if (slice.owner_ == 0) {
@@ -119,7 +120,7 @@
   EXPECT_DOUBLE_EQ(moves[0].load_, 1.0);
 }
 
-TEST_F(RebalancingOfTwo, OneKeyIsHot_ItsNeighboursMoveAndNotIt)
+TEST_F(RebalancingOfTwoServers, OneKeyIsHot_ItsSliceIsNotHalved)
 {
   const auto start = placement_.slices_[2].start_;
   SetLoad(start, 2.5);
@@ -131,7 +132,7 @@
   }
 }
 
-TEST_F(RebalancingOfTwo, ServersAreHardlyBusy_NothingMoves)
+TEST_F(RebalancingOfTwoServers, LoadIsNegligible_NothingMoves)
 {
   for (auto& [name, load] : loads_) {
     load.load_ *= 0.1;
@@ -143,7 +144,7 @@
   EXPECT_TRUE(ChooseMoves(placement_, loads_, policy_).empty());
 }
 
-TEST_F(RebalancingOfTwo, ProfileWeighsChurn_SmallSurplusStays)
+TEST_F(RebalancingOfTwoServers, ProfileIsChurnFirst_SmallSurplusStays)
 {
   for (const auto& slice : placement_.slices_) {
     if (slice.owner_ == 0) {
