--- a/Libraries/LibConfig/Declaration.cpp
+++ b/Libraries/LibConfig/Declaration.cpp
@@ -11,12 +11,12 @@
 
 namespace {
 
-constexpr unsigned kMostSlots = 1024;
-constexpr unsigned kMostConnections = 65536;
+constexpr unsigned kMaxSlots = 1024;
+constexpr unsigned kMaxConnections = 65536;
 // Connections that a holder needs in addition to one per slot.
 constexpr unsigned kControlConnections = 2;
 constexpr unsigned kDefaultMaxWaiting = 256;
-constexpr double kMostPortion = 1e6;
+constexpr double kMaxPortion = 1e6;
 
 // Whether the text is an IP address and port. Host names are not resolved.
 bool
@@ -61,8 +61,8 @@
   ServiceDeclaration service;
   BOOST_OUTCOME_TRY(service.name_, reader.Text("name"));
   BOOST_OUTCOME_TRY(service.checksGrants_, reader.FlagOr("checks_orders", true));
-  BOOST_OUTCOME_TRY(const auto slots, reader.NumberOr("slots", 0, 1, kMostSlots));
-  BOOST_OUTCOME_TRY(const auto connections, reader.NumberOr("connections", 0, 1, kMostConnections));
+  BOOST_OUTCOME_TRY(const auto slots, reader.NumberOr("slots", 0, 1, kMaxSlots));
+  BOOST_OUTCOME_TRY(const auto connections, reader.NumberOr("connections", 0, 1, kMaxConnections));
   if (slots == 0 || connections == 0) {
     return FieldError{ reader.PathOf(slots == 0 ? "slots" : "connections"), "is missing" };
   }
@@ -98,7 +98,7 @@
   SharingIntent intent;
   BOOST_OUTCOME_TRY(intent.group_, reader.Text("group"));
   BOOST_OUTCOME_TRY(intent.service_, reader.Text("service"));
-  BOOST_OUTCOME_TRY(intent.portion_, reader.NumberOr("portion", 1, 0.001, kMostPortion));
+  BOOST_OUTCOME_TRY(intent.portion_, reader.NumberOr("portion", 1, 0.001, kMaxPortion));
   BOOST_OUTCOME_TRY(const auto className, reader.TextOr("class", "interactive"));
   const auto latencyClass = kLatencyClassNames.ValueOf(className);
   if (!latencyClass) {
@@ -107,7 +107,7 @@
   intent.latencyClass_ = *latencyClass;
   BOOST_OUTCOME_TRY(const auto waiting,
                     reader.NumberOr("max_waiting", kDefaultMaxWaiting, 1, 100000));
-  BOOST_OUTCOME_TRY(const auto slots, reader.NumberOr("max_slots", 0, 0, kMostSlots));
+  BOOST_OUTCOME_TRY(const auto slots, reader.NumberOr("max_slots", 0, 0, kMaxSlots));
   intent.maxWaiting_ = static_cast<unsigned>(waiting);
   intent.maxSlots_ = static_cast<unsigned>(slots);
   return intent;
--- a/Libraries/LibConfig/JsonReader.cpp
+++ b/Libraries/LibConfig/JsonReader.cpp
@@ -61,7 +61,7 @@
 }
 
 FieldResult<double>
-JsonReader::NumberOr(std::string_view aName, double aDefault, double aLeast, double aMost) const
+JsonReader::NumberOr(std::string_view aName, double aDefault, double aMin, double aMax) const
 {
   const auto* found = object_->if_contains(aName);
   if (found == nullptr) {
@@ -69,10 +69,10 @@
   }
   const bool isNumber = found->is_number();
   const double value = isNumber ? found->to_number<double>() : 0;
-  if (!isNumber || value < aLeast || value > aMost) {
-    return FieldError{ PathOf(aName),
-                       "must be a number from " + std::to_string(aLeast) + " to " +
-                         std::to_string(aMost) };
+  if (!isNumber || value < aMin || value > aMax) {
+    return FieldError{
+      PathOf(aName), "must be a number from " + std::to_string(aMin) + " to " + std::to_string(aMax)
+    };
   }
   return value;
 }
--- a/Libraries/LibConfig/JsonReader.h
+++ b/Libraries/LibConfig/JsonReader.h
@@ -22,8 +22,8 @@
   FieldResult<bool> FlagOr(std::string_view aName, bool aDefault) const;
   FieldResult<double> NumberOr(std::string_view aName,
                                double aDefault,
-                               double aLeast,
-                               double aMost) const;
+                               double aMin,
+                               double aMax) const;
   FieldResult<const boost::json::array*> List(std::string_view aName) const;
 
   // Returns an error for members that are not in the list, as they are likely misspelt.
--- a/Libraries/LibConfig/Plan.cpp
+++ b/Libraries/LibConfig/Plan.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr double kMostRevision = 9e15;
+constexpr double kMaxRevision = 9e15;
 
 std::string
 Describe(const ServiceDeclaration& aService)
@@ -37,20 +37,20 @@
 
 void
 CompareServers(const ServiceDeclaration& aCurrent,
-               const ServiceDeclaration& aWanted,
+               const ServiceDeclaration& aRequested,
                std::vector<std::string>& aChanges)
 {
-  for (const auto& wanted : aWanted.servers_) {
-    const auto* current = aCurrent.FindServer(wanted.name_);
-    const auto name = "server " + aWanted.name_ + "/" + wanted.name_;
+  for (const auto& requested : aRequested.servers_) {
+    const auto* current = aCurrent.FindServer(requested.name_);
+    const auto name = "server " + aRequested.name_ + "/" + requested.name_;
     if (current == nullptr) {
-      aChanges.push_back("+ " + name + ": " + Describe(wanted));
-    } else if (*current != wanted) {
-      aChanges.push_back("~ " + name + ": " + Describe(*current) + " -> " + Describe(wanted));
+      aChanges.push_back("+ " + name + ": " + Describe(requested));
+    } else if (*current != requested) {
+      aChanges.push_back("~ " + name + ": " + Describe(*current) + " -> " + Describe(requested));
     }
   }
   for (const auto& current : aCurrent.servers_) {
-    if (aWanted.FindServer(current.name_) == nullptr) {
+    if (aRequested.FindServer(current.name_) == nullptr) {
       aChanges.push_back("- server " + aCurrent.name_ + "/" + current.name_);
     }
   }
@@ -58,24 +58,24 @@
 
 void
 CompareServices(const Declaration& aCurrent,
-                const Declaration& aWanted,
+                const Declaration& aRequested,
                 std::vector<std::string>& aChanges)
 {
-  for (const auto& wanted : aWanted.services_) {
-    const auto* current = aCurrent.FindService(wanted.name_);
+  for (const auto& requested : aRequested.services_) {
+    const auto* current = aCurrent.FindService(requested.name_);
     if (current == nullptr) {
-      aChanges.push_back("+ service " + wanted.name_ + ": " + Describe(wanted));
-      CompareServers(ServiceDeclaration{}, wanted, aChanges);
+      aChanges.push_back("+ service " + requested.name_ + ": " + Describe(requested));
+      CompareServers(ServiceDeclaration{}, requested, aChanges);
       continue;
     }
-    if (Describe(*current) != Describe(wanted)) {
-      aChanges.push_back("~ service " + wanted.name_ + ": " + Describe(*current) + " -> " +
-                         Describe(wanted));
+    if (Describe(*current) != Describe(requested)) {
+      aChanges.push_back("~ service " + requested.name_ + ": " + Describe(*current) + " -> " +
+                         Describe(requested));
     }
-    CompareServers(*current, wanted, aChanges);
+    CompareServers(*current, requested, aChanges);
   }
   for (const auto& current : aCurrent.services_) {
-    if (aWanted.FindService(current.name_) == nullptr) {
+    if (aRequested.FindService(current.name_) == nullptr) {
       aChanges.push_back("- service " + current.name_);
     }
   }
@@ -83,20 +83,20 @@
 
 void
 CompareIntents(const Declaration& aCurrent,
-               const Declaration& aWanted,
+               const Declaration& aRequested,
                std::vector<std::string>& aChanges)
 {
-  for (const auto& wanted : aWanted.intents_) {
-    const auto* current = aCurrent.FindIntent(wanted.group_, wanted.service_);
-    const auto name = "intent " + wanted.group_ + " on " + wanted.service_;
+  for (const auto& requested : aRequested.intents_) {
+    const auto* current = aCurrent.FindIntent(requested.group_, requested.service_);
+    const auto name = "intent " + requested.group_ + " on " + requested.service_;
     if (current == nullptr) {
-      aChanges.push_back("+ " + name + ": " + Describe(wanted));
-    } else if (*current != wanted) {
-      aChanges.push_back("~ " + name + ": " + Describe(*current) + " -> " + Describe(wanted));
+      aChanges.push_back("+ " + name + ": " + Describe(requested));
+    } else if (*current != requested) {
+      aChanges.push_back("~ " + name + ": " + Describe(*current) + " -> " + Describe(requested));
     }
   }
   for (const auto& current : aCurrent.intents_) {
-    if (aWanted.FindIntent(current.group_, current.service_) == nullptr) {
+    if (aRequested.FindIntent(current.group_, current.service_) == nullptr) {
       aChanges.push_back("- intent " + current.group_ + " on " + current.service_);
     }
   }
@@ -112,18 +112,18 @@
 }
 
 Plan
-MakePlan(std::uint64_t aBaseRevision, const Declaration& aCurrent, const Declaration& aWanted)
+MakePlan(std::uint64_t aBaseRevision, const Declaration& aCurrent, const Declaration& aRequested)
 {
   Plan plan;
   plan.baseRevision_ = aBaseRevision;
-  plan.declaration_ = aWanted;
-  if (aCurrent.profile_ != aWanted.profile_) {
+  plan.declaration_ = aRequested;
+  if (aCurrent.profile_ != aRequested.profile_) {
     plan.changes_.push_back(
       "~ profile: " + std::string(kPlacementProfileNames.NameOf(aCurrent.profile_)) + " -> " +
-      std::string(kPlacementProfileNames.NameOf(aWanted.profile_)));
+      std::string(kPlacementProfileNames.NameOf(aRequested.profile_)));
   }
-  CompareServices(aCurrent, aWanted, plan.changes_);
-  CompareIntents(aCurrent, aWanted, plan.changes_);
+  CompareServices(aCurrent, aRequested, plan.changes_);
+  CompareIntents(aCurrent, aRequested, plan.changes_);
   return plan;
 }
 
@@ -147,7 +147,7 @@
   BOOST_OUTCOME_TRY(const auto value, ParseJson(aText, "plan"));
   BOOST_OUTCOME_TRY(const auto reader, JsonReader::Create(value, ""));
   BOOST_OUTCOME_TRY(const auto id, reader.Text("plan_id"));
-  BOOST_OUTCOME_TRY(const auto base, reader.NumberOr("base_revision", -1, 0, kMostRevision));
+  BOOST_OUTCOME_TRY(const auto base, reader.NumberOr("base_revision", -1, 0, kMaxRevision));
   BOOST_OUTCOME_TRY(const auto* changes, reader.List("changes"));
   if (base < 0) {
     return FieldError{ "base_revision", "is missing" };
--- a/Libraries/LibConfig/Plan.h
+++ b/Libraries/LibConfig/Plan.h
@@ -23,7 +23,7 @@
 };
 
 Plan
-MakePlan(std::uint64_t aBaseRevision, const Declaration& aCurrent, const Declaration& aWanted);
+MakePlan(std::uint64_t aBaseRevision, const Declaration& aCurrent, const Declaration& aRequested);
 
 std::string
 SerializePlan(const Plan& aPlan);
--- a/Libraries/LibStore/StoreJson.cpp
+++ b/Libraries/LibStore/StoreJson.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr double kMostVersion = 9e15;
+constexpr double kMaxVersion = 9e15;
 
 boost::json::array
 ToJson(const std::vector<RowStamp>& aStamps)
@@ -27,7 +27,7 @@
     BOOST_OUTCOME_TRY(const auto reader, JsonReader::Create(entry, aReader.PathOf(aName)));
     RowStamp stamp;
     BOOST_OUTCOME_TRY(stamp.key_, reader.Text("key"));
-    BOOST_OUTCOME_TRY(const auto version, reader.NumberOr("version", 0, 0, kMostVersion));
+    BOOST_OUTCOME_TRY(const auto version, reader.NumberOr("version", 0, 0, kMaxVersion));
     stamp.version_ = static_cast<RowVersion>(version);
     stamps.push_back(std::move(stamp));
   }
@@ -104,7 +104,7 @@
     BOOST_OUTCOME_TRY(const auto member, JsonReader::Create(entry, "rows"));
     Row row;
     BOOST_OUTCOME_TRY(row.key_, member.Text("key"));
-    BOOST_OUTCOME_TRY(const auto version, member.NumberOr("version", 0, 0, kMostVersion));
+    BOOST_OUTCOME_TRY(const auto version, member.NumberOr("version", 0, 0, kMaxVersion));
     BOOST_OUTCOME_TRY(row.value_, member.TextOr("value", ""));
     row.version_ = static_cast<RowVersion>(version);
     rows.push_back(std::move(row));
--- a/Tests/LibConfig/TestDeclaration.cpp
+++ b/Tests/LibConfig/TestDeclaration.cpp
@@ -14,7 +14,7 @@
   "intents": [ { "group": "web", "service": "rates", "portion": 2.5, "class": "deferrable",
     "max_waiting": 7, "max_slots": 2 } ] })";
 
-struct BadCase
+struct InvalidCase
 {
   std::string name_;
   std::string find_;
@@ -31,21 +31,21 @@
   return text.replace(position, aFind.size(), aReplace);
 }
 
-TEST(Declaration, WrittenAndReadAgain_IsEqual)
+TEST(Declaration, SerializedAndParsed_IsEqual)
 {
   const auto declaration = ParseDeclaration(kValid);
   ASSERT_TRUE(declaration) << declaration.error().Describe();
   EXPECT_EQ(declaration.value().intents_[0].portion_, 2.5);
   EXPECT_FALSE(declaration.value().services_[0].checksGrants_);
-  const auto again = ParseDeclaration(SerializeDeclaration(declaration.value()));
-  ASSERT_TRUE(again);
-  EXPECT_EQ(again.value(), declaration.value());
+  const auto parsedAgain = ParseDeclaration(SerializeDeclaration(declaration.value()));
+  ASSERT_TRUE(parsedAgain);
+  EXPECT_EQ(parsedAgain.value(), declaration.value());
 }
 
-class BadDeclaration : public testing::TestWithParam<BadCase>
+class InvalidDeclaration : public testing::TestWithParam<InvalidCase>
 {};
 
-TEST_P(BadDeclaration, Parsed_ErrorNamesTheField)
+TEST_P(InvalidDeclaration, Parsed_ErrorNamesField)
 {
   const auto& bad = GetParam();
   const auto result = ParseDeclaration(Replace(kValid, bad.find_, bad.replace_));
@@ -56,34 +56,37 @@
 
 INSTANTIATE_TEST_SUITE_P(
   Fields,
-  BadDeclaration,
+  InvalidDeclaration,
   testing::Values(
-    BadCase{ "NotJson", "{", "", "document" },
-    BadCase{ "UnknownProfile", "churn-first", "best", "profile" },
-    BadCase{ "MissingSlots", "\"slots\": 4,", "", "services[0].slots" },
-    BadCase{ "ZeroSlots", "\"slots\": 4", "\"slots\": 0", "services[0].slots" },
-    BadCase{ "FewConnections", "130", "5", "services[0].connections" },
-    BadCase{ "TextForSlots", "\"slots\": 4", "\"slots\": \"4\"", "services[0].slots" },
-    BadCase{ "HostName", "127.0.0.1:9001", "rates.example:80", "services[0].servers[0].address" },
-    BadCase{ "PortTooLarge", "9001", "99001", "services[0].servers[0].address" },
-    BadCase{ "MisspeltField", "\"hall\"", "\"hal\"", "services[0].servers[0].hal" },
-    BadCase{ "NoServers",
-             "{ \"name\": \"rates-1\", \"address\": \"127.0.0.1:9001\", \"hall\": \"a\" }",
-             "",
-             "services[0].servers" },
-    BadCase{ "NegativePortion", "2.5", "-1", "intents[0].portion" },
-    BadCase{ "UnknownClass", "deferrable", "urgent", "intents[0].class" },
-    BadCase{ "UndeclaredService",
-             "\"service\": \"rates\"",
-             "\"service\": \"rooms\"",
-             "intents[0].service" },
-    BadCase{ "EmptyGroup", "\"group\": \"web\"", "\"group\": \"\"", "intents[0].group" }),
+    InvalidCase{ "NotJson", "{", "", "document" },
+    InvalidCase{ "UnknownProfile", "churn-first", "best", "profile" },
+    InvalidCase{ "MissingSlots", "\"slots\": 4,", "", "services[0].slots" },
+    InvalidCase{ "ZeroSlots", "\"slots\": 4", "\"slots\": 0", "services[0].slots" },
+    InvalidCase{ "FewConnections", "130", "5", "services[0].connections" },
+    InvalidCase{ "TextForSlots", "\"slots\": 4", "\"slots\": \"4\"", "services[0].slots" },
+    InvalidCase{ "HostName",
+                 "127.0.0.1:9001",
+                 "rates.example:80",
+                 "services[0].servers[0].address" },
+    InvalidCase{ "PortTooLarge", "9001", "99001", "services[0].servers[0].address" },
+    InvalidCase{ "MisspeltField", "\"hall\"", "\"hal\"", "services[0].servers[0].hal" },
+    InvalidCase{ "NoServers",
+                 "{ \"name\": \"rates-1\", \"address\": \"127.0.0.1:9001\", \"hall\": \"a\" }",
+                 "",
+                 "services[0].servers" },
+    InvalidCase{ "NegativePortion", "2.5", "-1", "intents[0].portion" },
+    InvalidCase{ "UnknownClass", "deferrable", "urgent", "intents[0].class" },
+    InvalidCase{ "UndeclaredService",
+                 "\"service\": \"rates\"",
+                 "\"service\": \"rooms\"",
+                 "intents[0].service" },
+    InvalidCase{ "EmptyGroup", "\"group\": \"web\"", "\"group\": \"\"", "intents[0].group" }),
   [](const auto& aInfo) { return aInfo.param.name_; });
 
-TEST(Plan, EditedAfterItWasMade_IsRefused)
+TEST(Plan, EditedPlan_ParseFails)
 {
-  const auto wanted = ParseDeclaration(kValid).value();
-  const auto plan = MakePlan(3, Declaration{}, wanted);
+  const auto requested = ParseDeclaration(kValid).value();
+  const auto plan = MakePlan(3, Declaration{}, requested);
   const auto text = SerializePlan(plan);
   ASSERT_TRUE(ParsePlan(text));
   const auto edited = ParsePlan(Replace(text, "\"slots\":4", "\"slots\":5"));
@@ -91,19 +94,19 @@
   EXPECT_EQ(edited.error().field_, "plan_id");
 }
 
-TEST(Plan, SameDeclaration_ChangesNothing)
+TEST(Plan, SameDeclaration_HasNoChanges)
 {
-  const auto wanted = ParseDeclaration(kValid).value();
-  EXPECT_TRUE(MakePlan(3, wanted, wanted).changes_.empty());
+  const auto requested = ParseDeclaration(kValid).value();
+  EXPECT_TRUE(MakePlan(3, requested, requested).changes_.empty());
 }
 
-TEST(Plan, ServerDrainsAndPortionChanges_NamesBoth)
+TEST(Plan, ServerDrainsAndPortionChanges_BothAreListed)
 {
   const auto current = ParseDeclaration(kValid).value();
-  auto wanted = current;
-  wanted.services_[0].servers_[0].draining_ = true;
-  wanted.intents_[0].portion_ = 4;
-  const auto plan = MakePlan(3, current, wanted);
+  auto requested = current;
+  requested.services_[0].servers_[0].draining_ = true;
+  requested.intents_[0].portion_ = 4;
+  const auto plan = MakePlan(3, current, requested);
   ASSERT_EQ(plan.changes_.size(), 2U);
   EXPECT_NE(plan.changes_[0].find("rates-1"), std::string::npos);
   EXPECT_NE(plan.changes_[1].find("intent web on rates"), std::string::npos);
