--- a/Tests/LibInstance/TestInstanceCore.cpp
+++ b/Tests/LibInstance/TestInstanceCore.cpp
@@ -12,10 +12,10 @@
 using testing::Field;
 
 // Three instances with one service, simulated on the fakes of the scenario tests.
-class FleetOfThree : public testing::Test
+class ThreeInstances : public testing::Test
 {
 protected:
-  FleetOfThree()
+  ThreeInstances()
     : world_(5, { "a", "b" })
   {
     for (const auto* name : { "i1", "i2", "i3" }) {
@@ -45,30 +45,30 @@
   int last_ = 0;
 };
 
-TEST_F(FleetOfThree, RequestIsGood_Answered)
+TEST_F(ThreeInstances, RequestIsValid_Answered)
 {
   SendAndExpect(how_, RequestOutcome::Answered, Reason::None);
 }
 
-TEST_F(FleetOfThree, ServiceIsUnknown_NotRun)
+TEST_F(ThreeInstances, ServiceIsUnknown_NotRun)
 {
   how_.service_ = "rooms";
   SendAndExpect(how_, RequestOutcome::NotRun, Reason::NoSuchService);
 }
 
-TEST_F(FleetOfThree, GroupHasNoIntent_NotRun)
+TEST_F(ThreeInstances, GroupHasNoIntent_NotRun)
 {
   how_.group_ = "strangers";
   SendAndExpect(how_, RequestOutcome::NotRun, Reason::NoSuchGroup);
 }
 
-TEST_F(FleetOfThree, DeadlineHasPassed_NotRun)
+TEST_F(ThreeInstances, DeadlineHasPassed_NotRun)
 {
   how_.deadline_ = Duration{ 0 };
   SendAndExpect(how_, RequestOutcome::NotRun, Reason::DeadlinePassed);
 }
 
-TEST_F(FleetOfThree, DeadlineIsShorterThanTheWork_RefusedAtOnce)
+TEST_F(ThreeInstances, DeadlineIsShorterThanWork_RefusedAtOnce)
 {
   for (int warmUp = 0; warmUp < 60; ++warmUp) {
     world_.Send("w" + std::to_string(warmUp), "i2", how_, "key");
@@ -78,7 +78,7 @@
   SendAndExpect(how_, RequestOutcome::NotRun, Reason::DeadlineTooNear);
 }
 
-TEST_F(FleetOfThree, QueueOfTheGroupIsFull_RefusedAtOnce)
+TEST_F(ThreeInstances, QueueOfGroupIsFull_RefusedAtOnce)
 {
   for (int number = 0; number < 20; ++number) {
     world_.Send("q" + std::to_string(number), "i1", how_, "key");
@@ -89,7 +89,7 @@
   EXPECT_EQ(world_.Total().answered_ + world_.Total().notRun_, 20U);
 }
 
-TEST_F(FleetOfThree, CallerGoesAwayWhileRunning_CancelledAtTheServer)
+TEST_F(ThreeInstances, CallerDisconnectsWhileRunning_CancelledAtServer)
 {
   how_.isRepeatable_ = false;
   world_.Send("gone", "i1", how_, "key");
@@ -101,7 +101,7 @@
   EXPECT_TRUE(world_.Violations().empty());
 }
 
-TEST_F(FleetOfThree, EveryAnswerCame_NothingIsKept)
+TEST_F(ThreeInstances, AllRequestsAnswered_NoStateRemains)
 {
   for (int number = 0; number < 50; ++number) {
     world_.Send("k" + std::to_string(number), "i3", how_, "key" + std::to_string(number));
@@ -135,10 +135,10 @@
   void Record(Event, std::string_view) override {}
 };
 
-class LoneInstance : public testing::Test
+class SingleInstance : public testing::Test
 {
 protected:
-  LoneInstance()
+  SingleInstance()
     : core_("i1#a", "a", InstanceTiming{}, outbox_, events_)
   {
   }
@@ -148,7 +148,7 @@
   InstanceCore core_;
 };
 
-TEST_F(LoneInstance, KnowsNoView_RefusesWithWhenToComeBack)
+TEST_F(SingleInstance, NoViewInstalled_RefusesWithRetryAfter)
 {
   WorkRequest request;
   request.service_ = "rates";
@@ -161,20 +161,20 @@
   core_.OnCaller(seconds(1), 7, request);
 }
 
-TEST_F(LoneInstance, PlanIsNoJson_AnswersWithTheField)
+TEST_F(SingleInstance, PlanIsNotJson_AnswersBadRequest)
 {
   EXPECT_CALL(outbox_, AnswerOperator(3, Field(&OperatorAnswer::status_, 400U)));
   core_.OnPlan(seconds(1), 3, "{ nonsense");
 }
 
-TEST_F(LoneInstance, ReadsTheStoreOnItsFirstTick_AndNotAgainAtOnce)
+TEST_F(SingleInstance, FirstTick_ReadsStoreOnce)
 {
   EXPECT_CALL(outbox_, CallStore(testing::_, Field(&StoreCall::isRead_, true))).Times(1);
   core_.Tick(seconds(1));
   core_.Tick(seconds(1) + milliseconds(10));
 }
 
-TEST_F(LoneInstance, ForwardedRequestForAServerItDoesNotHold_SaysNotHolder)
+TEST_F(SingleInstance, ForwardedRequestForServerNotHeld_AnswersNotHolder)
 {
   ForwardedRequest forwarded;
   forwarded.id_ = 12;
