--- a/Libraries/LibConfig/Declaration.cpp
+++ b/Libraries/LibConfig/Declaration.cpp
@@ -47,7 +47,7 @@
   BOOST_OUTCOME_TRY(server.draining_, reader.FlagOr("draining", false));
   if (!IsAddress(server.address_)) {
     return FieldError{ reader.PathOf("address"),
-                       "must be an IP number and a port, like 10.0.0.7:8080" };
+                       "must be an IP address and a port, such as 10.0.0.7:8080" };
   }
   return server;
 }
@@ -79,7 +79,7 @@
     const auto path = reader.PathOf("servers") + "[" + std::to_string(index) + "]";
     BOOST_OUTCOME_TRY(auto server, ReadServer((*servers)[index], path));
     if (!names.insert(server.name_).second) {
-      return FieldError{ path + ".name", "stands twice: " + server.name_ };
+      return FieldError{ path + ".name", "is not unique: " + server.name_ };
     }
     service.servers_.push_back(std::move(server));
   }
@@ -121,7 +121,7 @@
     const auto path = "services[" + std::to_string(index) + "]";
     BOOST_OUTCOME_TRY(auto service, ReadService((*services)[index], path));
     if (aDeclaration.FindService(service.name_) != nullptr) {
-      return FieldError{ path + ".name", "stands twice: " + service.name_ };
+      return FieldError{ path + ".name", "is not unique: " + service.name_ };
     }
     aDeclaration.services_.push_back(std::move(service));
   }
@@ -139,7 +139,7 @@
       return FieldError{ path + ".service", "names an undeclared service: " + intent.service_ };
     }
     if (aDeclaration.FindIntent(intent.group_, intent.service_) != nullptr) {
-      return FieldError{ path, "the group has an intent for this service already" };
+      return FieldError{ path, "duplicates the intent of the same group for the same service" };
     }
     aDeclaration.intents_.push_back(std::move(intent));
   }
--- a/Libraries/LibConfig/JsonReader.cpp
+++ b/Libraries/LibConfig/JsonReader.cpp
@@ -33,7 +33,7 @@
     return FieldError{ PathOf(aName), "is missing" };
   }
   if (!found->is_string() || found->get_string().empty()) {
-    return FieldError{ PathOf(aName), "must be a text that is not empty" };
+    return FieldError{ PathOf(aName), "must be a non-empty string" };
   }
   return std::string(found->get_string());
 }
--- a/Libraries/LibInstance/PlanController.cpp
+++ b/Libraries/LibInstance/PlanController.cpp
@@ -175,7 +175,7 @@
   AnswerError(aConfirmation.operator_,
               503,
               "store",
-              "the table service cannot be reached; the plan is not in force");
+              "the table service is unavailable; the plan is not in force");
   return true;
 }
 
--- a/Libraries/LibPlacement/Placement.cpp
+++ b/Libraries/LibPlacement/Placement.cpp
@@ -50,7 +50,7 @@
   BOOST_OUTCOME_TRY(const auto* formerHolders, reader.List("unsettled"));
   for (const auto& holder : *formerHolders) {
     if (!holder.is_string()) {
-      return FieldError{ "servers[].unsettled", "must hold texts" };
+      return FieldError{ "servers[].unsettled", "must be a list of strings" };
     }
     server.formerHolders_.emplace_back(holder.get_string());
   }
@@ -170,7 +170,8 @@
     const bool inOrder = placement.slices_.empty() ? slice.start_ == 0
                                                    : slice.start_ > placement.slices_.back().start_;
     if (!inOrder || slice.owner_ == kNoServer) {
-      return FieldError{ "slices", "must begin at 0, rise, and each have an owner" };
+      return FieldError{ "slices",
+                         "must start at 0, be in ascending order, and each have an owner" };
     }
     placement.slices_.push_back(slice);
   }
