--- a/Libraries/LibConfig/Declaration.h
+++ b/Libraries/LibConfig/Declaration.h
@@ -25,7 +25,9 @@
 struct ServiceDeclaration
 {
   std::string name_;
-  // Whether its servers check the fence of the commands that they are sent.
+  // Whether its servers check grants: such a server rejects commands with a lower fence than
+  // the highest it has seen, and runs no work without a valid grant. In the documents this
+  // field is checks_orders.
   bool checksGrants_ = true;
   // Requests that one server runs at once.
   unsigned slots_ = 0;
--- a/Libraries/LibDispatch/GrantManager.cpp
+++ b/Libraries/LibDispatch/GrantManager.cpp
@@ -54,7 +54,7 @@
     bootId_ = 0;
     serverClock_ = 0;
   }
-  // A server that checks fences rejects former holders by the higher fence itself. For any
+  // A server that checks grants rejects former holders by the higher fence itself. For any
   // other server, the former holders must be known to have stopped.
   if (state_ == GrantState::Waiting && (checksGrants_ || aFormerHoldersStopped)) {
     state_ = GrantState::Contacting;
--- a/Libraries/LibDispatch/GrantManager.h
+++ b/Libraries/LibDispatch/GrantManager.h
@@ -79,6 +79,7 @@
 
 // Maintains the grant of one server for the instance that holds it: first contact, renewal,
 // release of ranges, and expiry.
+//
 // A grant is a lease: it lets the holder dispatch work for a set of key ranges until a time
 // on the server's own clock. It carries the fencing token (fence) of the holder, and is
 // renewed as a whole before it expires. Pure decisions without I/O.
--- a/Libraries/LibInstance/DispatchController.h
+++ b/Libraries/LibInstance/DispatchController.h
@@ -18,6 +18,7 @@
 // fair queue of its server; then it is dispatched under the server's grant. Reports the load
 // and the grant state of each server to the placer. Every submitted request is answered
 // exactly once through the answer function.
+//
 // Does no I/O: actions go out through the outbox, and InstanceCore passes their outcomes to
 // the On...() functions.
 class DispatchController
--- a/Libraries/LibInstance/HolderReporter.cpp
+++ b/Libraries/LibInstance/HolderReporter.cpp
@@ -16,7 +16,7 @@
   if (aHeld.grantManager_.State() != GrantState::Withheld) {
     return false;
   }
-  // A server that checks fences aborts its work when its grant expires. Any other server
+  // A server that checks grants aborts its work when its grant expires. Any other server
   // finishes its work however long it was frozen, so its keys must not move before that work
   // has ended or the process is known to be gone.
   const auto* service = context_.view_.Configuration().FindService(aHeld.service_);
--- a/Libraries/LibInstance/PlacementController.h
+++ b/Libraries/LibInstance/PlacementController.h
@@ -12,6 +12,7 @@
 // Runs the placers of the services for which this instance has the placer role, takes the
 // role over when the placer of a service is missing or leaving, and commits what the placers
 // propose.
+//
 // A role is held as long as the service's placement row names this instance; it does not
 // expire. Every write is conditional on the version of the row that the decision was based
 // on, so a placer that was replaced while it was suspended cannot change anything.
--- a/Libraries/LibInstance/RequestRouter.h
+++ b/Libraries/LibInstance/RequestRouter.h
@@ -10,9 +10,10 @@
 namespace latchslip {
 
 // Routes the requests of this instance's callers. Finds the instance that holds the server
-// which owns the key, runs the request there (locally or forwarded to a peer), and retries
-// with exponential backoff as long as it is certain that the request did not run, or if it is
-// repeatable. Every caller gets exactly one answer.
+// which owns the key, and runs the request there, locally or forwarded to a peer. Retries
+// with exponential backoff if the refusal is transient and the request certainly did not run,
+// or if the holder was lost and the request is repeatable. Every caller gets exactly one
+// answer.
 class RequestRouter
 {
 public:
--- a/Libraries/LibPlacement/HolderAssigner.cpp
+++ b/Libraries/LibPlacement/HolderAssigner.cpp
@@ -118,7 +118,7 @@
     }
     const auto since = formerHoldersGoneSince_.emplace(server.name_, aDraft.now_).first->second;
     const auto* report = aReportOf(server);
-    // Once a server that checks fences has answered under the higher fence, all grants under
+    // Once a server that checks grants has answered under the higher fence, all grants under
     // lower ones are void. Otherwise they must have expired.
     const bool isFencedOff = aDraft.service_.checksGrants_ && report != nullptr &&
                              report->isReachable_ && !report->isUnconfirmed_;
--- a/Libraries/LibPlacement/Rebalancer.h
+++ b/Libraries/LibPlacement/Rebalancer.h
@@ -30,6 +30,7 @@
 MoveLoad(LoadTable& aLoads, KeyHash aStart, const std::string& aFrom, const std::string& aTo);
 
 // Hysteresis and limits of load balancing.
+//
 // Nothing moves while the busiest server has fewer than minLoad_ busy slots, since no
 // requests wait then, or while its load is within tolerance_ of the mean. A move must take at
 // least minGain_ of the mean load off the busiest server. At most maxMoves_ moves are made
--- a/Tests/LibPlacement/TestPlacement.cpp
+++ b/Tests/LibPlacement/TestPlacement.cpp
@@ -77,7 +77,7 @@
   EXPECT_FALSE(ParsePlacement(SerializePlacement(placement_)));
 }
 
-// Loads of the two servers; initially each slice keeps one slot busy.
+// Loads of the two servers; initially each slice keeps half a slot busy.
 class RebalancingOfTwoServers : public PlacementOfTwoServers
 {
 protected:
