--- a/Libraries/LibBase/Time.h
+++ b/Libraries/LibBase/Time.h
@@ -42,7 +42,7 @@
 // Exponential moving average: adds a sample with the given weight. The first sample becomes
 // the mean; a mean of 0 counts as no mean.
 constexpr Duration
-Blend(Duration aMean, Duration aSample, double aWeight)
+ExponentialAverage(Duration aMean, Duration aSample, double aWeight)
 {
   return aMean == Duration(0) ? aSample : aMean + Scale(aSample - aMean, aWeight);
 }
--- a/Libraries/LibGateway/ServerLoad.cpp
+++ b/Libraries/LibGateway/ServerLoad.cpp
@@ -185,7 +185,7 @@
 {
   ++work_.answers_;
   work_.busy_ += aLatency;
-  mean_ = Blend(mean_, aLatency, kMeanWeight);
+  mean_ = ExponentialAverage(mean_, aLatency, kMeanWeight);
 }
 
 void
--- a/Libraries/LibInstance/DispatchController.cpp
+++ b/Libraries/LibInstance/DispatchController.cpp
@@ -378,9 +378,9 @@
 }
 
 void
-DispatchController::FreeAbandonedSlots(HeldServer& aHeld, Instant aOrderSentAt)
+DispatchController::FreeAbandonedSlots(HeldServer& aHeld, Instant aCommandSentAt)
 {
-  for (const auto id : aHeld.AbandonedBefore(aOrderSentAt)) {
+  for (const auto id : aHeld.AbandonedBefore(aCommandSentAt)) {
     aHeld.queue_.Finish(id, Duration{ 0 });
     Drop(aHeld, id);
   }
--- a/Libraries/LibInstance/DispatchController.h
+++ b/Libraries/LibInstance/DispatchController.h
@@ -91,8 +91,8 @@
   void Abandon(Instant aNow, HeldWork& aWork);
   void RejectWaiting(Instant aNow, HeldServer& aHeld, Reason aReason);
   // Frees the slots of abandoned work after the server has answered a command that was sent at
-  // aOrderSentAt.
-  void FreeAbandonedSlots(HeldServer& aHeld, Instant aOrderSentAt);
+  // aCommandSentAt.
+  void FreeAbandonedSlots(HeldServer& aHeld, Instant aCommandSentAt);
   // Sends the next call of the claim registry, unless one is in flight.
   void SendNextClaimCall(Instant aNow);
   // Removes the servers that are stopping and have no work left, and reports that to the
--- a/Libraries/LibPermit/DispatchedServer.cpp
+++ b/Libraries/LibPermit/DispatchedServer.cpp
@@ -139,7 +139,7 @@
   }
   const double pace = aEnd.status_ ? aEnd.status_->pace_ : 1;
   const auto work = Scale(aEnd.latency_, 1 / ((1 + WaitsBehind(aFound)) * pace));
-  work_ = Blend(work_, work, kWorkWeight);
+  work_ = ExponentialAverage(work_, work, kWorkWeight);
 }
 
 // Those that are there must leave a slot first.
--- a/Libraries/LibPermit/PermitDispatcher.cpp
+++ b/Libraries/LibPermit/PermitDispatcher.cpp
@@ -186,7 +186,7 @@
     server->second.OnEnded(aNow, aCaller, send.sentAt_, send.found_, aEnd);
     const auto work = server->second.UsualWorkTime();
     if (work > Duration(0)) {
-      service.work_ = Blend(service.work_, work, kServiceWeight);
+      service.work_ = ExponentialAverage(service.work_, work, kServiceWeight);
     }
   }
   Pump(aNow, service, send.server_);
