--- a/Libraries/LibDispatch/LoadMeter.cpp
+++ b/Libraries/LibDispatch/LoadMeter.cpp
@@ -24,7 +24,7 @@
 }
 
 void
-LoadMeter::Fill(Duration aSpan, ServerReport& aReport)
+LoadMeter::WriteReport(Duration aSpan, ServerReport& aReport)
 {
   const auto span = static_cast<double>(std::max<std::int64_t>(aSpan.count(), 1));
   const auto toLoad = [&](Duration aBusy) { return static_cast<double>(aBusy.count()) / span; };
--- a/Libraries/LibDispatch/LoadMeter.h
+++ b/Libraries/LibDispatch/LoadMeter.h
@@ -22,7 +22,7 @@
   void Add(KeyHash aHash, KeyHash aSliceStart, Duration aBusy);
 
   // Writes the mean load over aSpan, in busy slots, into a report and resets the meter.
-  void Fill(Duration aSpan, ServerReport& aReport);
+  void WriteReport(Duration aSpan, ServerReport& aReport);
 
 private:
   static constexpr std::size_t kCounters = 32;
--- a/Libraries/LibDispatch/ServerQueue.cpp
+++ b/Libraries/LibDispatch/ServerQueue.cpp
@@ -13,7 +13,7 @@
 // Priority offset of an interactive group over a deferrable one, in requests of a group of
 // portion 1. It is longer than a burst and shorter than a second of work, so that portions
 // hold over the time span by which intents are judged.
-constexpr double kInteractiveHeadStart = 32;
+constexpr double kInteractivePriorityOffset = 32;
 constexpr Duration kMinRetryAfter = milliseconds(10);
 constexpr Duration kMaxRetryAfter = seconds(5);
 
@@ -32,8 +32,8 @@
   for (const auto& intent : aIntents) {
     auto& group = groups_[intent.group_];
     group.portion_ = intent.portion_;
-    group.headStart_ =
-      intent.latencyClass_ == LatencyClass::Interactive ? kInteractiveHeadStart : 0;
+    group.priorityOffset_ =
+      intent.latencyClass_ == LatencyClass::Interactive ? kInteractivePriorityOffset : 0;
     group.maxWaiting_ = intent.maxWaiting_;
     group.maxSlots_ = intent.maxSlots_;
   }
@@ -101,7 +101,7 @@
   auto& group = groups_.find(aGroup)->second;
   if (group.waiting_.empty() && group.running_ == 0) {
     // A group earns no credit for the time in which it was idle.
-    group.tag_ = std::max(group.tag_, virtualTime_);
+    group.startTag_ = std::max(group.startTag_, virtualTime_);
   }
   // Earliest deadline first within the group.
   const auto after = std::upper_bound(
@@ -122,7 +122,7 @@
     if (!group.CanStart()) {
       continue;
     }
-    const double tag = std::max(group.tag_, virtualTime_) - group.headStart_;
+    const double tag = std::max(group.startTag_, virtualTime_) - group.priorityOffset_;
     if (chosen == nullptr || tag < least) {
       chosen = &group;
       least = tag;
@@ -144,14 +144,14 @@
   const auto id = group->waiting_.front().id_;
   group->waiting_.pop_front();
   --waiting_;
-  group->tag_ = std::max(group->tag_, virtualTime_) + 1 / group->portion_;
+  group->startTag_ = std::max(group->startTag_, virtualTime_) + 1 / group->portion_;
   ++group->running_;
   // Virtual time advances with the most lagging of the waiting groups, so that a group which
   // becomes idle cannot accumulate a claim on the server.
-  double lowestTag = group->tag_;
+  double lowestTag = group->startTag_;
   for (const auto& [name, other] : groups_) {
     if (!other.waiting_.empty()) {
-      lowestTag = std::min(lowestTag, other.tag_);
+      lowestTag = std::min(lowestTag, other.startTag_);
     }
   }
   virtualTime_ = std::max(virtualTime_, lowestTag);
--- a/Libraries/LibDispatch/ServerQueue.h
+++ b/Libraries/LibDispatch/ServerQueue.h
@@ -86,12 +86,12 @@
   struct GroupQueue
   {
     double portion_ = 1;
-    double headStart_ = 0;
+    double priorityOffset_ = 0;
     unsigned maxWaiting_ = 0;
     unsigned maxSlots_ = 0;
     unsigned running_ = 0;
     // Start tag: the virtual time at which the next request of the group starts.
-    double tag_ = 0;
+    double startTag_ = 0;
     std::deque<Entry> waiting_;
 
     bool CanStart() const { return !waiting_.empty() && (maxSlots_ == 0 || running_ < maxSlots_); }
--- a/Libraries/LibInstance/HolderReporter.cpp
+++ b/Libraries/LibInstance/HolderReporter.cpp
@@ -85,7 +85,7 @@
   auto report = aHeld.ComposeReport(aNow, context_.membership_.Self(), placed->placement_, *index);
   report.isWithheld_ = isWithheld;
   if (isLoadDue) {
-    aHeld.loadMeter_.Fill(aNow - aHeld.loadReportedAt_, report);
+    aHeld.loadMeter_.WriteReport(aNow - aHeld.loadReportedAt_, report);
     aHeld.loadReportedAt_ = aNow;
   }
   aHeld.reportedAt_ = aNow;
