--- a/Libraries/LibInstance/HeldServer.cpp
+++ b/Libraries/LibInstance/HeldServer.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 std::vector<HashRange>
-RangesOf(const Placement& aPlacement, ServerIndex aIndex)
+PlacedRanges(const Placement& aPlacement, ServerIndex aIndex)
 {
   std::vector<HashRange> ranges;
   for (std::size_t index = 0; index < aPlacement.slices_.size(); ++index) {
@@ -65,7 +65,7 @@
   const auto& server = aPlaced.placement_.servers_[aIndex];
   grantManager_.SetDesiredRanges(server.fence_,
                                  aPlaced.version_,
-                                 RangesOf(aPlaced.placement_, aIndex),
+                                 PlacedRanges(aPlaced.placement_, aIndex),
                                  server.formerHolders_.empty());
 }
 
--- a/Libraries/LibInstance/InstanceCore.cpp
+++ b/Libraries/LibInstance/InstanceCore.cpp
@@ -86,7 +86,7 @@
   if (!hasView_) {
     return false;
   }
-  return aNow - viewAsOf_ <= timing_.maxViewAge_ ||
+  return aNow - viewConfirmedAt_ <= timing_.maxViewAge_ ||
          membership_.HeardFromMajority(aNow, timing_.maxViewAge_);
 }
 
@@ -110,8 +110,8 @@
   Heartbeat heartbeat;
   heartbeat.isLeaving_ = membership_.IsLeaving();
   heartbeat.viewDigest_ = view_.Digest();
-  heartbeat.viewAge_ = aNow - viewAsOf_;
-  const bool isWide = aNow - viewAsOf_ > kWideHeartbeatViewAge || !hasView_;
+  heartbeat.viewAge_ = aNow - viewConfirmedAt_;
+  const bool isWide = aNow - viewConfirmedAt_ > kWideHeartbeatViewAge || !hasView_;
   if (isWide && aNow - wideHeartbeatAt_ >= kWideHeartbeatInterval) {
     wideHeartbeatAt_ = aNow;
     Broadcast(heartbeat);
@@ -162,7 +162,7 @@
   for (const auto& row : aReply.rows_) {
     isChanged = Install(row) || isChanged;
   }
-  viewAsOf_ = std::max(viewAsOf_, pollSentAt_);
+  viewConfirmedAt_ = std::max(viewConfirmedAt_, pollSentAt_);
   hasView_ = true;
   placers_.OnStoreRead();
   if (isChanged) {
@@ -268,7 +268,7 @@
   membership_.OnHeartbeat(aNow, aFrom, aMessage.isLeaving_);
   if (aMessage.viewDigest_ == view_.Digest()) {
     // Equal views: the age that the peer reports for its view is valid for this one too.
-    viewAsOf_ = std::max(viewAsOf_, aNow - aMessage.viewAge_);
+    viewConfirmedAt_ = std::max(viewConfirmedAt_, aNow - aMessage.viewAge_);
     return;
   }
   outbox_.SendToPeer(aFrom, ViewStamps{ view_.Stamps() });
@@ -403,7 +403,7 @@
   Heartbeat heartbeat;
   heartbeat.isLeaving_ = true;
   heartbeat.viewDigest_ = view_.Digest();
-  heartbeat.viewAge_ = aNow - viewAsOf_;
+  heartbeat.viewAge_ = aNow - viewConfirmedAt_;
   Broadcast(heartbeat);
 }
 
@@ -461,7 +461,7 @@
                          { "leaving", membership_.IsLeaving() },
                          { "revision", view_.Revision() },
                          { "view_fresh", IsViewFresh(aNow) },
-                         { "view_age_ms", (aNow - viewAsOf_).count() / 1000 },
+                         { "view_age_ms", (aNow - viewConfirmedAt_).count() / 1000 },
                          { "store_down", isStoreDown_ },
                          { "callers_in_flight", entry_.Pending() },
                          { "placer_roles", placers_.PlacerRoleCount() },
--- a/Libraries/LibInstance/InstanceCore.h
+++ b/Libraries/LibInstance/InstanceCore.h
@@ -103,7 +103,7 @@
   PlanController operators_;
 
   // When the view was last known to be up to date.
-  Instant viewAsOf_{ 0 };
+  Instant viewConfirmedAt_{ 0 };
   bool hasView_ = false;
   bool wasFresh_ = false;
   Instant heartbeatAt_{ 0 };
--- a/Libraries/LibInstance/PlacementController.cpp
+++ b/Libraries/LibInstance/PlacementController.cpp
@@ -25,7 +25,7 @@
 }
 
 PlacementController::Role&
-PlacementController::RoleOf(const std::string& aService)
+PlacementController::GetOrCreateRole(const std::string& aService)
 {
   const auto found = roles_.find(aService);
   if (found != roles_.end()) {
@@ -59,7 +59,7 @@
 void
 PlacementController::OnReport(Instant aNow, const ServerReport& aReport)
 {
-  auto& role = RoleOf(aReport.service_);
+  auto& role = GetOrCreateRole(aReport.service_);
   if (role.isPlacer_) {
     role.placer_.OnReport(aNow, aReport);
     role.idleUntil_ = aNow;
@@ -73,7 +73,7 @@
     return;
   }
   for (const auto& service : context_.view_.Configuration().services_) {
-    auto& role = RoleOf(service.name_);
+    auto& role = GetOrCreateRole(service.name_);
     if (role.tag_ != 0 || aNow < role.notBefore_ || aNow < role.idleUntil_) {
       continue;
     }
--- a/Libraries/LibInstance/PlacementController.h
+++ b/Libraries/LibInstance/PlacementController.h
@@ -56,7 +56,7 @@
     Instant idleUntil_{ 0 };
   };
 
-  Role& RoleOf(const std::string& aService);
+  Role& GetOrCreateRole(const std::string& aService);
   // Whether this instance is the one that may take over the placer role of a service.
   bool IsCandidate(Instant aNow, const std::string& aService) const;
   void Decide(Instant aNow, const ServiceDeclaration& aService, Role& aRole);
--- a/Libraries/LibPlacement/Placer.cpp
+++ b/Libraries/LibPlacement/Placer.cpp
@@ -57,7 +57,7 @@
 }
 
 const ServerReport*
-Placer::ReportOf(const PlacedServer& aServer) const
+Placer::FindReport(const PlacedServer& aServer) const
 {
   const auto found = reports_.find(aServer.name_);
   const bool isCurrent = found != reports_.end() && found->second.fence_ == aServer.fence_ &&
@@ -116,7 +116,7 @@
       continue;
     }
     const auto& target = aDraft.next_.servers_[slice.next_];
-    const auto* report = ReportOf(aDraft.next_.servers_[slice.owner_]);
+    const auto* report = FindReport(aDraft.next_.servers_[slice.owner_]);
     const bool isReleased = report != nullptr && report->releasedVersion_ == aDraft.version_;
     if (isReleased) {
       aDraft.AddDecision(Event::SliceMoved,
@@ -199,7 +199,7 @@
 {
   for (ServerIndex index = 0; index < aDraft.next_.servers_.size(); ++index) {
     auto& server = aDraft.next_.servers_[index];
-    const auto* report = ReportOf(server);
+    const auto* report = FindReport(server);
     if (server.state_ == PlacedState::Lost || report == nullptr ||
         !IsGrantExpired(aDraft, server, *report)) {
       continue;
@@ -237,7 +237,7 @@
     if (server.state_ != PlacedState::Lost) {
       continue;
     }
-    const auto* report = ReportOf(server);
+    const auto* report = FindReport(server);
     const auto since = reachableSince_.find(server.name_);
     const bool isBack = report != nullptr && report->isReachable_ && !report->isWithheld_ &&
                         since != reachableSince_.end() &&
@@ -403,8 +403,8 @@
   ReconcileServers(draft);
   FinishMoves(draft);
   holders_.Assign(draft);
-  holders_.RemoveStoppedHolders(draft,
-                                [this](const PlacedServer& aServer) { return ReportOf(aServer); });
+  holders_.RemoveStoppedHolders(
+    draft, [this](const PlacedServer& aServer) { return FindReport(aServer); });
   FailOverLostServers(draft);
   ReactivateReturnedServers(draft);
   CreateInitialSlices(draft);
@@ -441,7 +441,7 @@
 {
   std::vector<ResumeCommand> orders;
   for (const auto& server : aCurrent.servers_) {
-    const auto* report = ReportOf(server);
+    const auto* report = FindReport(server);
     if (report == nullptr || !report->isWithheld_ || !report->isReachable_) {
       continue;
     }
--- a/Libraries/LibPlacement/Placer.h
+++ b/Libraries/LibPlacement/Placer.h
@@ -103,7 +103,7 @@
                       const PlacedServer& aServer,
                       const ServerReport& aReport) const;
   // Returns the last report of the server's current holder, or nullptr.
-  const ServerReport* ReportOf(const PlacedServer& aServer) const;
+  const ServerReport* FindReport(const PlacedServer& aServer) const;
   // Reassigns all slices of a lost server and returns their number.
   std::size_t ReassignSlices(PlacementDraft& aDraft, ServerIndex aLost);
   // Returns the active server with the fewest slices, or kNoServer.
