--- a/Libraries/LibStore/StoreEpoch.h
+++ b/Libraries/LibStore/StoreEpoch.h
@@ -19,7 +19,7 @@
 inline constexpr std::uint64_t kMaxVersionNumber = (std::uint64_t{ 1 } << kNumberBits) - 1;
 
 constexpr RowVersion
-VersionIn(StoreEpoch aEpoch, std::uint64_t aNumber)
+MakeVersion(StoreEpoch aEpoch, std::uint64_t aNumber)
 {
   return aEpoch << kNumberBits | aNumber;
 }
--- a/Tests/LibFleet/TestConfigurationProof.cpp
+++ b/Tests/LibFleet/TestConfigurationProof.cpp
@@ -50,10 +50,10 @@
 
 TEST_F(WatchOfAConfiguration, ProofIsOfAnotherEpoch_IsNone)
 {
-  watch_.OnKnown(VersionIn(1, 3));
-  watch_.OnProof(seconds(9), VersionIn(0, 7));
+  watch_.OnKnown(MakeVersion(1, 3));
+  watch_.OnProof(seconds(9), MakeVersion(0, 7));
   EXPECT_EQ(watch_.ProvenAt(), Instant::min());
-  watch_.OnProof(seconds(9), VersionIn(2, 1));
+  watch_.OnProof(seconds(9), MakeVersion(2, 1));
   EXPECT_EQ(watch_.ProvenAt(), Instant::min());
 }
 
@@ -62,7 +62,7 @@
 {
   watch_.OnKnown(5);
   watch_.OnProof(seconds(9), 5);
-  watch_.OnKnown(VersionIn(1, 4));
+  watch_.OnKnown(MakeVersion(1, 4));
   EXPECT_FALSE(watch_.Tell(seconds(10)));
   EXPECT_EQ(watch_.ProvenAt(), seconds(9));
 }
@@ -313,8 +313,8 @@
 {
   ShowTables();
   Pass(milliseconds(200));
-  const auto copied = VersionIn(1, 5);
-  Show(FleetTable::Configuration, VersionIn(1, 6), { { "config", copied, "1" } });
+  const auto copied = MakeVersion(1, 5);
+  Show(FleetTable::Configuration, MakeVersion(1, 6), { { "config", copied, "1" } });
   Pass(milliseconds(50));
   member_.OnConfigurationRead(now_, now_, copied);
   EXPECT_FALSE(member_.IsServing(now_));
@@ -365,7 +365,7 @@
 TEST(FleetNews, WithProofAndParts_WrittenAndReadIsTheSame)
 {
   FleetNews news;
-  news.proof_ = ConfigurationProof{ VersionIn(2, 77), milliseconds(321) };
+  news.proof_ = ConfigurationProof{ MakeVersion(2, 77), milliseconds(321) };
   news.parts_ = { { "g", 0.5, 0.25 } };
   const auto read = ParseNews(SerializeNews(news)).value();
   EXPECT_EQ(read.proof_, news.proof_);
--- a/Tests/LibFleet/TestStoreReturn.cpp
+++ b/Tests/LibFleet/TestStoreReturn.cpp
@@ -14,7 +14,7 @@
 {
 protected:
   // What the store's answers name after its return.
-  static constexpr RowVersion After(std::uint64_t aNumber) { return VersionIn(1, aNumber); }
+  static constexpr RowVersion After(std::uint64_t aNumber) { return MakeVersion(1, aNumber); }
 
   // The member placed all keys, and its write was acknowledged as version 11.
   void PlaceKeys()
@@ -234,12 +234,12 @@
   };
   show(90, { { "a", 3, "x" }, { "b", 80, "y" }, { "c", 85, "z" } });
   const auto changes =
-    show(VersionIn(1, 50), { { "a", VersionIn(1, 3), "x" }, { "b", VersionIn(1, 40), "w" } });
+    show(MakeVersion(1, 50), { { "a", MakeVersion(1, 3), "x" }, { "b", MakeVersion(1, 40), "w" } });
   ASSERT_EQ(changes.size(), 2U);
   EXPECT_EQ(changes[0].row_.value_, "w");
   EXPECT_TRUE(changes[1].isRemoved_);
-  EXPECT_EQ(mirror.Find(FleetTable::Servers, "a")->version_, VersionIn(1, 3));
-  EXPECT_EQ(mirror.VersionOf(FleetTable::Servers), VersionIn(1, 50));
+  EXPECT_EQ(mirror.Find(FleetTable::Servers, "a")->version_, MakeVersion(1, 3));
+  EXPECT_EQ(mirror.VersionOf(FleetTable::Servers), MakeVersion(1, 50));
 }
 
 } // namespace
--- a/Tests/LibGateway/TestServerDirectory.cpp
+++ b/Tests/LibGateway/TestServerDirectory.cpp
@@ -36,7 +36,7 @@
     ASSERT_FALSE(IsListedAt("s1", seconds(1)));
     directory_.OnStoreCameBack(kNow + seconds(1));
     directory_.Put(kNow + seconds(1),
-                   { "s1", "rates", "10.0.0.1:80", "hall", 4, false, VersionIn(2, 1) });
+                   { "s1", "rates", "10.0.0.1:80", "hall", 4, false, MakeVersion(2, 1) });
   }
 
   ServerDirectory directory_;
@@ -72,7 +72,7 @@
 {
   directory_.Put(kNow, { "s1", "rates", "10.0.0.1:80", "hall", 4, true, 3 });
   directory_.OnStoreCameBack(kNow);
-  Put("s1", "10.0.0.1:80", VersionIn(2, 1));
+  Put("s1", "10.0.0.1:80", MakeVersion(2, 1));
   EXPECT_FALSE(directory_.Find("s1")->TakesWork());
   directory_.Expire(kNow + milliseconds(2200));
   EXPECT_FALSE(directory_.Find("s1")->TakesWork());
@@ -84,8 +84,8 @@
 {
   directory_.Put(kNow, { "s1", "rates", "10.0.0.1:80", "hall", 4, true, 3 });
   directory_.OnStoreCameBack(kNow);
-  Put("s1", "10.0.0.1:80", VersionIn(2, 1));
-  directory_.Put(kNow, { "s1", "rates", "10.0.0.1:80", "hall", 4, true, VersionIn(2, 9) });
+  Put("s1", "10.0.0.1:80", MakeVersion(2, 1));
+  directory_.Put(kNow, { "s1", "rates", "10.0.0.1:80", "hall", 4, true, MakeVersion(2, 9) });
   EXPECT_FALSE(directory_.Expire(kNow + seconds(3)));
   EXPECT_FALSE(directory_.Find("s1")->TakesWork());
 }
@@ -141,7 +141,7 @@
   ASSERT_FALSE(IsListedAt("s1", seconds(1)));
   directory_.OnStoreCameBack(kNow);
   // The same write as before, in the store's next epoch.
-  Put("s1", "10.0.0.1:80", VersionIn(1, 1));
+  Put("s1", "10.0.0.1:80", MakeVersion(1, 1));
   directory_.Expire(kNow + seconds(3));
   EXPECT_FALSE(directory_.HasEnded("s3"));
   EXPECT_TRUE(directory_.HasEnded("s1"));
--- a/Tests/Platform/TestPlatformDocuments.cpp
+++ b/Tests/Platform/TestPlatformDocuments.cpp
@@ -243,8 +243,8 @@
   const std::string text =
     R"({"rows":[{"key":"a","value":"bm9k","ver":412},{"key":"b","value":"bm9k"}],"ver":530})";
   const auto page = DecodePage(text, 3).value();
-  EXPECT_EQ(page.version_, VersionIn(3, 530));
-  EXPECT_EQ(page.rows_[0].row_.version_, VersionIn(3, 412));
+  EXPECT_EQ(page.version_, MakeVersion(3, 530));
+  EXPECT_EQ(page.rows_[0].row_.version_, MakeVersion(3, 412));
   EXPECT_GT(page.rows_[0].row_.version_, DecodePage(text, 2).value().version_);
   // A row that does not exist has no version in any epoch.
   EXPECT_EQ(page.rows_[1].row_.version_, 0U);
@@ -264,7 +264,7 @@
 
 TEST(StoreProtocol, ChangesAreAskedFor_InTheStoresOwnNumbers)
 {
-  const auto request = EncodeFollow(FleetTable::Servers, VersionIn(3, 412), seconds(1));
+  const auto request = EncodeFollow(FleetTable::Servers, MakeVersion(3, 412), seconds(1));
   EXPECT_NE(request.target_.find("after=412&"), std::string::npos);
 }
 
--- a/Tests/Platform/TestPlatformStore.cpp
+++ b/Tests/Platform/TestPlatformStore.cpp
@@ -62,7 +62,7 @@
   store_->Put("latchslip", "a", "theirs");
   ASSERT_EQ(Write("b", 0, "x").status_, StoreStatus::Done);
   EXPECT_EQ(Write("a", lost, "ours again").status_, StoreStatus::Conflict);
-  const auto theirs = VersionIn(EpochOf(lost) + 1, NumberOf(lost));
+  const auto theirs = MakeVersion(EpochOf(lost) + 1, NumberOf(lost));
   EXPECT_EQ(Write("a", theirs, "ours now").status_, StoreStatus::Done);
 }
 
@@ -73,7 +73,7 @@
   store_->TakeCopy();
   store_->ReturnFromCopy();
   store_->Put("latchslip", "a", "1");
-  EXPECT_EQ(Write("a", VersionIn(2, 2), "2").status_, StoreStatus::Done);
+  EXPECT_EQ(Write("a", MakeVersion(2, 2), "2").status_, StoreStatus::Done);
 }
 
 // Owners of the keys of that many servers, each of two ranges.
