--- a/Libraries/LibStore/StoreEpoch.h
+++ b/Libraries/LibStore/StoreEpoch.h
@@ -14,10 +14,11 @@
 
 // Enough numbers for 170 years at 3,200 writes per second.
 inline constexpr unsigned kNumberBits = 44;
-// Restores beyond this number cannot be told apart.
+// Restores beyond this number cannot be distinguished.
 inline constexpr StoreEpoch kMaxEpoch = (StoreEpoch{ 1 } << (64 - kNumberBits)) - 1;
 inline constexpr std::uint64_t kMaxVersionNumber = (std::uint64_t{ 1 } << kNumberBits) - 1;
 
+// Returns the row version that corresponds to the store's aNumber in aEpoch.
 constexpr RowVersion
 MakeVersion(StoreEpoch aEpoch, std::uint64_t aNumber)
 {
