--- a/Libraries/LibConfig/Declaration.cpp
+++ b/Libraries/LibConfig/Declaration.cpp
@@ -11,14 +11,14 @@
 
 namespace {
 
-constexpr unsigned kMostSlots = 1024;
-constexpr unsigned kMostConnections = 65536;
-// Connections that a holder needs besides one for each slot.
+constexpr unsigned kMaxSlots = 1024;
+constexpr unsigned kMaxConnections = 65536;
+// Connections that a holder needs in addition to one per slot.
 constexpr unsigned kControlConnections = 2;
 constexpr unsigned kDefaultMaxWaiting = 256;
-constexpr double kMostPortion = 1e6;
+constexpr double kMaxPortion = 1e6;
 
-// Whether the text is an IP number and a port, since latchslip resolves no names.
+// Whether the text is an IP address and port. Host names are not resolved.
 bool
 IsAddress(const std::string& aText)
 {
@@ -47,7 +47,7 @@
   BOOST_OUTCOME_TRY(server.draining_, reader.FlagOr("draining", false));
   if (!IsAddress(server.address_)) {
     return FieldError{ reader.PathOf("address"),
-                       "must be an IP number and a port, like 10.0.0.7:8080" };
+                       "must be an IP address and a port, such as 10.0.0.7:8080" };
   }
   return server;
 }
@@ -60,9 +60,9 @@
     reader.AllowOnly({ "name", "checks_orders", "slots", "connections", "servers" }));
   ServiceDeclaration service;
   BOOST_OUTCOME_TRY(service.name_, reader.Text("name"));
-  BOOST_OUTCOME_TRY(service.checksOrders_, reader.FlagOr("checks_orders", true));
-  BOOST_OUTCOME_TRY(const auto slots, reader.NumberOr("slots", 0, 1, kMostSlots));
-  BOOST_OUTCOME_TRY(const auto connections, reader.NumberOr("connections", 0, 1, kMostConnections));
+  BOOST_OUTCOME_TRY(service.checksGrants_, reader.FlagOr("checks_orders", true));
+  BOOST_OUTCOME_TRY(const auto slots, reader.NumberOr("slots", 0, 1, kMaxSlots));
+  BOOST_OUTCOME_TRY(const auto connections, reader.NumberOr("connections", 0, 1, kMaxConnections));
   if (slots == 0 || connections == 0) {
     return FieldError{ reader.PathOf(slots == 0 ? "slots" : "connections"), "is missing" };
   }
@@ -79,7 +79,7 @@
     const auto path = reader.PathOf("servers") + "[" + std::to_string(index) + "]";
     BOOST_OUTCOME_TRY(auto server, ReadServer((*servers)[index], path));
     if (!names.insert(server.name_).second) {
-      return FieldError{ path + ".name", "stands twice: " + server.name_ };
+      return FieldError{ path + ".name", "is not unique: " + server.name_ };
     }
     service.servers_.push_back(std::move(server));
   }
@@ -98,7 +98,7 @@
   SharingIntent intent;
   BOOST_OUTCOME_TRY(intent.group_, reader.Text("group"));
   BOOST_OUTCOME_TRY(intent.service_, reader.Text("service"));
-  BOOST_OUTCOME_TRY(intent.portion_, reader.NumberOr("portion", 1, 0.001, kMostPortion));
+  BOOST_OUTCOME_TRY(intent.portion_, reader.NumberOr("portion", 1, 0.001, kMaxPortion));
   BOOST_OUTCOME_TRY(const auto className, reader.TextOr("class", "interactive"));
   const auto latencyClass = kLatencyClassNames.ValueOf(className);
   if (!latencyClass) {
@@ -107,7 +107,7 @@
   intent.latencyClass_ = *latencyClass;
   BOOST_OUTCOME_TRY(const auto waiting,
                     reader.NumberOr("max_waiting", kDefaultMaxWaiting, 1, 100000));
-  BOOST_OUTCOME_TRY(const auto slots, reader.NumberOr("max_slots", 0, 0, kMostSlots));
+  BOOST_OUTCOME_TRY(const auto slots, reader.NumberOr("max_slots", 0, 0, kMaxSlots));
   intent.maxWaiting_ = static_cast<unsigned>(waiting);
   intent.maxSlots_ = static_cast<unsigned>(slots);
   return intent;
@@ -121,7 +121,7 @@
     const auto path = "services[" + std::to_string(index) + "]";
     BOOST_OUTCOME_TRY(auto service, ReadService((*services)[index], path));
     if (aDeclaration.FindService(service.name_) != nullptr) {
-      return FieldError{ path + ".name", "stands twice: " + service.name_ };
+      return FieldError{ path + ".name", "is not unique: " + service.name_ };
     }
     aDeclaration.services_.push_back(std::move(service));
   }
@@ -139,7 +139,7 @@
       return FieldError{ path + ".service", "names an undeclared service: " + intent.service_ };
     }
     if (aDeclaration.FindIntent(intent.group_, intent.service_) != nullptr) {
-      return FieldError{ path, "the group has an intent for this service already" };
+      return FieldError{ path, "duplicates the intent of the same group for the same service" };
     }
     aDeclaration.intents_.push_back(std::move(intent));
   }
@@ -213,7 +213,7 @@
                                              { "draining", server.draining_ } });
     }
     services.push_back(boost::json::object{ { "name", service.name_ },
-                                            { "checks_orders", service.checksOrders_ },
+                                            { "checks_orders", service.checksGrants_ },
                                             { "slots", service.slots_ },
                                             { "connections", service.connections_ },
                                             { "servers", std::move(servers) } });
--- a/Libraries/LibDispatch/ClaimBook.cpp
+++ b/Libraries/LibDispatch/ClaimRegistry.cpp
@@ -1,4 +1,4 @@
-#include "LibDispatch/ClaimBook.h"
+#include "LibDispatch/ClaimRegistry.h"
 
 #include <algorithm>
 #include <utility>
@@ -13,22 +13,27 @@
 } // namespace
 
 std::string
-ClaimBook::RowKey(std::string_view aService, std::string_view aGroup, std::string_view aRequestId)
+ClaimRegistry::RowKey(std::string_view aService,
+                      std::string_view aGroup,
+                      std::string_view aRequestId)
 {
   std::string key = "claim/";
   key.append(aService).append("/").append(aGroup).append("/").append(aRequestId);
   return key;
 }
 
-ClaimBook::ClaimBook(std::string aWriter, ClaimTiming aTiming)
+ClaimRegistry::ClaimRegistry(std::string aWriter, ClaimTiming aTiming)
   : writer_(std::move(aWriter))
   , timing_(aTiming)
-  , allowance_(aTiming.burst_)
+  , tokens_(aTiming.burst_)
 {
 }
 
 bool
-ClaimBook::Submit(Instant aNow, ClaimId aId, std::string aRowKey, const std::string& aSendingToken)
+ClaimRegistry::Submit(Instant aNow,
+                      ClaimId aId,
+                      std::string aRowKey,
+                      const std::string& aSendingToken)
 {
   if (IsOutage(aNow)) {
     return false;
@@ -36,19 +41,19 @@
   Claim claim;
   claim.id_ = aId;
   claim.rowKey_ = std::move(aRowKey);
-  claim.sending_ = std::string(kStarted) + aSendingToken + " ";
-  claim.value_ = claim.sending_ + writer_ + " " + std::to_string(++sequence_);
+  claim.deliveryPrefix_ = std::string(kStarted) + aSendingToken + " ";
+  claim.value_ = claim.deliveryPrefix_ + writer_ + " " + std::to_string(++sequence_);
   pending_.push_back(std::move(claim));
   return true;
 }
 
 void
-ClaimBook::Release(ClaimId aId)
+ClaimRegistry::Release(ClaimId aId)
 {
-  const auto won = won_.find(aId);
-  if (won != won_.end()) {
+  const auto won = heldClaims_.find(aId);
+  if (won != heldClaims_.end()) {
     updates_.push_back({ won->second.rowKey_, std::string(kReleased), won->second.version_ });
-    won_.erase(won);
+    heldClaims_.erase(won);
     return;
   }
   const auto waiting = std::find_if(
@@ -61,28 +66,28 @@
 }
 
 void
-ClaimBook::Close(ClaimId aId, std::string_view aOutcome)
+ClaimRegistry::Close(ClaimId aId, std::string_view aOutcome)
 {
-  const auto won = won_.find(aId);
-  if (won == won_.end()) {
+  const auto won = heldClaims_.find(aId);
+  if (won == heldClaims_.end()) {
     return;
   }
   updates_.push_back({ won->second.rowKey_, std::string(aOutcome), won->second.version_ });
-  won_.erase(won);
+  heldClaims_.erase(won);
 }
 
 void
-ClaimBook::Refill(Instant aNow)
+ClaimRegistry::Refill(Instant aNow)
 {
   const auto elapsed = std::chrono::duration<double>(aNow - refilledAt_).count();
-  allowance_ = std::min(timing_.burst_, allowance_ + elapsed * timing_.rate_);
+  tokens_ = std::min(timing_.burst_, tokens_ + elapsed * timing_.rate_);
   refilledAt_ = aNow;
 }
 
 std::optional<ClaimCall>
-ClaimBook::NextCall(Instant aNow)
+ClaimRegistry::NextCall(Instant aNow)
 {
-  if (isCallOut_ || IsOutage(aNow)) {
+  if (isCallInFlight_ || IsOutage(aNow)) {
     return std::nullopt;
   }
   if (mustReadBack_) {
@@ -94,18 +99,18 @@
     for (const auto& update : updatesInFlight_) {
       call.keys_.push_back(update.rowKey_);
     }
-    isCallOut_ = true;
-    isReadOut_ = true;
+    isCallInFlight_ = true;
+    isReadInFlight_ = true;
     return call;
   }
   if (pending_.empty() && updates_.empty()) {
     return std::nullopt;
   }
   Refill(aNow);
-  if (allowance_ < 1) {
+  if (tokens_ < 1) {
     return std::nullopt;
   }
-  allowance_ -= 1;
+  tokens_ -= 1;
   ClaimCall call;
   std::vector<std::string> used;
   const auto add = [&](const std::string& aKey, RowVersion aExpected, const std::string& aValue) {
@@ -116,7 +121,8 @@
   const auto isUsed = [&](const std::string& aKey) {
     return std::find(used.begin(), used.end(), aKey) != used.end();
   };
-  // A row stands once in a transaction; what comes second waits for the next.
+  // A transaction may contain a row only once; a second change of it waits for the next
+  // transaction.
   while (!updates_.empty() && updatesInFlight_.size() < timing_.batch_ &&
          !isUsed(updates_.front().rowKey_)) {
     add(updates_.front().rowKey_, updates_.front().expected_, updates_.front().value_);
@@ -129,31 +135,31 @@
     inFlight_.push_back(std::move(pending_.front()));
     pending_.pop_front();
   }
-  isCallOut_ = true;
+  isCallInFlight_ = true;
   return call;
 }
 
 std::optional<ClaimDecision>
-ClaimBook::Settle(Claim& aClaim, const Row* aRow)
+ClaimRegistry::DecideClaim(Claim& aClaim, const Row* aRow)
 {
   const bool isAbsent = aRow == nullptr || aRow->version_ == 0;
   if (!isAbsent && aRow->value_ == aClaim.value_) {
     const bool isAbandoned = abandoned_.erase(aClaim.id_) != 0;
-    won_[aClaim.id_] = { aClaim.rowKey_, aClaim.value_, aRow->version_ };
+    heldClaims_[aClaim.id_] = { aClaim.rowKey_, aClaim.value_, aRow->version_ };
     if (isAbandoned) {
       Release(aClaim.id_);
       return std::nullopt;
     }
     return ClaimDecision{ aClaim.id_, ClaimVerdict::Claimed, "" };
   }
-  // NOTE: Taking over rewrites the row, so that the former holder's release, which
-  // may still be under way, no longer meets its condition.
-  const bool isSameSending = !isAbsent && aRow->value_.starts_with(aClaim.sending_);
-  if (isAbsent || isSameSending || aRow->value_ == kReleased) {
+  // NOTE: Taking over rewrites the row, so that a release by the former holder that is still
+  // in flight fails its condition.
+  const bool isSameDelivery = !isAbsent && aRow->value_.starts_with(aClaim.deliveryPrefix_);
+  if (isAbsent || isSameDelivery || aRow->value_ == kReleased) {
     if (abandoned_.erase(aClaim.id_) != 0) {
       return std::nullopt;
     }
-    // Free: try again on what stands now.
+    // The id is free; retry on the version that is stored now.
     aClaim.expected_ = isAbsent ? 0 : aRow->version_;
     pending_.push_back(std::move(aClaim));
     return std::nullopt;
@@ -165,7 +171,7 @@
 }
 
 std::vector<ClaimDecision>
-ClaimBook::OnTransactionDone(const StoreReply& aReply)
+ClaimRegistry::OnTransactionDone(const StoreReply& aReply)
 {
   std::vector<ClaimDecision> decisions;
   for (auto& claim : inFlight_) {
@@ -173,7 +179,7 @@
     Row written{ claim.rowKey_,
                  row == nullptr ? claim.expected_ + 1 : row->version_,
                  claim.value_ };
-    if (auto decision = Settle(claim, &written)) {
+    if (auto decision = DecideClaim(claim, &written)) {
       decisions.push_back(*decision);
     }
   }
@@ -183,7 +189,7 @@
 }
 
 std::vector<ClaimDecision>
-ClaimBook::OnConflict(const StoreReply& aReply)
+ClaimRegistry::OnConflict(const StoreReply& aReply)
 {
   std::vector<ClaimDecision> decisions;
   auto claims = std::move(inFlight_);
@@ -191,17 +197,17 @@
   for (auto& claim : claims) {
     const auto* row = FindRow(aReply.rows_, claim.rowKey_);
     if (row == nullptr) {
-      // Its own condition held; another row of the batch failed.
+      // The condition on this row held; another row of the batch failed.
       if (abandoned_.erase(claim.id_) == 0) {
         pending_.push_back(std::move(claim));
       }
       continue;
     }
-    if (auto decision = Settle(claim, row)) {
+    if (auto decision = DecideClaim(claim, row)) {
       decisions.push_back(*decision);
     }
   }
-  // An update whose row has changed is void: somebody else has the last word.
+  // An update whose row has changed is dropped: another writer owns the row now.
   for (auto& update : updatesInFlight_) {
     if (FindRow(aReply.rows_, update.rowKey_) == nullptr) {
       updates_.push_back(std::move(update));
@@ -212,13 +218,13 @@
 }
 
 std::vector<ClaimDecision>
-ClaimBook::OnReadBack(const StoreReply& aReply)
+ClaimRegistry::OnReadBack(const StoreReply& aReply)
 {
   std::vector<ClaimDecision> decisions;
   auto claims = std::move(inFlight_);
   inFlight_.clear();
   for (auto& claim : claims) {
-    if (auto decision = Settle(claim, FindRow(aReply.rows_, claim.rowKey_))) {
+    if (auto decision = DecideClaim(claim, FindRow(aReply.rows_, claim.rowKey_))) {
       decisions.push_back(*decision);
     }
   }
@@ -234,9 +240,9 @@
 }
 
 std::vector<ClaimDecision>
-ClaimBook::FailAll(Instant aNow)
+ClaimRegistry::FailAll(Instant aNow)
 {
-  outageUntil_ = aNow + timing_.outagePause_;
+  outageUntil_ = aNow + timing_.outageBackoff_;
   std::vector<ClaimDecision> decisions;
   const auto fail = [&](const Claim& aClaim) {
     if (abandoned_.erase(aClaim.id_) == 0) {
@@ -259,26 +265,27 @@
 }
 
 std::vector<ClaimDecision>
-ClaimBook::OnReply(Instant aNow, const StoreReply& aReply)
+ClaimRegistry::OnReply(Instant aNow, const StoreReply& aReply)
 {
-  isCallOut_ = false;
-  const bool wasRead = std::exchange(isReadOut_, false);
+  isCallInFlight_ = false;
+  const bool wasRead = std::exchange(isReadInFlight_, false);
   switch (aReply.status_) {
     case StoreStatus::Done:
       return wasRead ? OnReadBack(aReply) : OnTransactionDone(aReply);
     case StoreStatus::Conflict:
       return OnConflict(aReply);
-    case StoreStatus::Unsure:
-      // NOTE: The claims stay undecided; dispatching or refusing for good on a
-      // guess could run a booking twice or forbid its retry.
+    case StoreStatus::Indeterminate:
+      // NOTE: The outcome of the claims is unknown. Dispatching now could run a booking
+      // twice, and reporting a duplicate could forbid its retry for good, so the rows are
+      // read back first.
       mustReadBack_ = true;
-      outageUntil_ = wasRead ? aNow + timing_.outagePause_ : outageUntil_;
+      outageUntil_ = wasRead ? aNow + timing_.outageBackoff_ : outageUntil_;
       return {};
     case StoreStatus::Unavailable:
       break;
   }
   if (mustReadBack_) {
-    outageUntil_ = aNow + timing_.outagePause_;
+    outageUntil_ = aNow + timing_.outageBackoff_;
     return {};
   }
   return FailAll(aNow);
--- a/Libraries/LibDispatch/ServerQueue.cpp
+++ b/Libraries/LibDispatch/ServerQueue.cpp
@@ -6,22 +6,22 @@
 
 namespace {
 
-// What a server is thought to need per request before anything was measured.
-constexpr Duration kFirstServiceTime = milliseconds(2);
-// The weight of one new measurement in the mean.
-constexpr double kMeanGain = 0.05;
-// How far an interactive group may run ahead of a deferrable one, in requests
-// of a group of portion 1. Longer than a burst, shorter than a second of work,
-// so that portions hold over the span that intents are judged by.
-constexpr double kInteractiveHeadStart = 32;
-constexpr Duration kLeastRetryAfter = milliseconds(10);
-constexpr Duration kMostRetryAfter = seconds(5);
+// Initial estimate of the service time, before anything was measured.
+constexpr Duration kInitialServiceTime = milliseconds(2);
+// Weight of a new sample in the moving average of the service time.
+constexpr double kServiceTimeWeight = 0.05;
+// Priority offset of an interactive group over a deferrable one, in requests of a group of
+// portion 1. It is longer than a burst and shorter than a second of work, so that portions
+// hold over the time span by which intents are judged.
+constexpr double kInteractivePriorityOffset = 32;
+constexpr Duration kMinRetryAfter = milliseconds(10);
+constexpr Duration kMaxRetryAfter = seconds(5);
 
 } // namespace
 
 ServerQueue::ServerQueue(unsigned aSlots)
   : slots_(aSlots)
-  , meanServiceTime_(kFirstServiceTime)
+  , meanServiceTime_(kInitialServiceTime)
 {
 }
 
@@ -32,8 +32,8 @@
   for (const auto& intent : aIntents) {
     auto& group = groups_[intent.group_];
     group.portion_ = intent.portion_;
-    group.headStart_ =
-      intent.latencyClass_ == LatencyClass::Interactive ? kInteractiveHeadStart : 0;
+    group.priorityOffset_ =
+      intent.latencyClass_ == LatencyClass::Interactive ? kInteractivePriorityOffset : 0;
     group.maxWaiting_ = intent.maxWaiting_;
     group.maxSlots_ = intent.maxSlots_;
   }
@@ -43,7 +43,7 @@
         return aIntent.group_ == name;
       });
     if (!isKept) {
-      // What waits is still served, but nothing more is admitted.
+      // Waiting requests are still served, but no new ones are admitted.
       group.maxWaiting_ = 0;
     }
   }
@@ -63,7 +63,7 @@
     }
   }
   const auto slots = std::max(slots_, 1U);
-  const bool hasFreeSlot = running_.size() + foreign_ < slots_;
+  const bool hasFreeSlot = running_.size() + foreignSlots_ < slots_;
   const auto ahead = static_cast<double>(found->second.waiting_.size()) + (hasFreeSlot ? 0 : 1);
   const double share = found->second.portion_ / portions;
   const double usable = found->second.maxSlots_ == 0
@@ -81,7 +81,7 @@
     return { AdmissionVerdict::UnknownGroup, Duration{ 0 } };
   }
   const auto wait = EstimateWait(aGroup);
-  const auto retryAfter = std::clamp(wait, kLeastRetryAfter, kMostRetryAfter);
+  const auto retryAfter = std::clamp(wait, kMinRetryAfter, kMaxRetryAfter);
   if (found->second.waiting_.size() >= found->second.maxWaiting_) {
     return { AdmissionVerdict::QueueFull, retryAfter };
   }
@@ -100,8 +100,8 @@
   }
   auto& group = groups_.find(aGroup)->second;
   if (group.waiting_.empty() && group.running_ == 0) {
-    // An idle group earns no credit for the time in which it asked for nothing.
-    group.tag_ = std::max(group.tag_, virtualTime_);
+    // A group earns no credit for the time in which it was idle.
+    group.startTag_ = std::max(group.startTag_, virtualTime_);
   }
   // Earliest deadline first within the group.
   const auto after = std::upper_bound(
@@ -122,7 +122,7 @@
     if (!group.CanStart()) {
       continue;
     }
-    const double tag = std::max(group.tag_, virtualTime_) - group.headStart_;
+    const double tag = std::max(group.startTag_, virtualTime_) - group.priorityOffset_;
     if (chosen == nullptr || tag < least) {
       chosen = &group;
       least = tag;
@@ -134,7 +134,7 @@
 std::optional<WorkId>
 ServerQueue::StartNext()
 {
-  if (waiting_ == 0 || running_.size() + foreign_ >= slots_) {
+  if (waiting_ == 0 || running_.size() + foreignSlots_ >= slots_) {
     return std::nullopt;
   }
   auto* group = ChooseGroup();
@@ -144,17 +144,17 @@
   const auto id = group->waiting_.front().id_;
   group->waiting_.pop_front();
   --waiting_;
-  group->tag_ = std::max(group->tag_, virtualTime_) + 1 / group->portion_;
+  group->startTag_ = std::max(group->startTag_, virtualTime_) + 1 / group->portion_;
   ++group->running_;
-  // Virtual time follows the group that is furthest behind among those waiting,
-  // so that a group which falls idle cannot save up a claim on the server.
-  double behind = group->tag_;
+  // Virtual time advances with the most lagging of the waiting groups, so that a group which
+  // becomes idle cannot accumulate a claim on the server.
+  double lowestTag = group->startTag_;
   for (const auto& [name, other] : groups_) {
     if (!other.waiting_.empty()) {
-      behind = std::min(behind, other.tag_);
+      lowestTag = std::min(lowestTag, other.startTag_);
     }
   }
-  virtualTime_ = std::max(virtualTime_, behind);
+  virtualTime_ = std::max(virtualTime_, lowestTag);
   const auto name = std::find_if(
     groups_.begin(), groups_.end(), [&](const auto& aEntry) { return &aEntry.second == group; });
   running_.emplace(id, name->first);
@@ -173,7 +173,8 @@
   if (aServiceTime > Duration{ 0 }) {
     const auto mean = static_cast<double>(meanServiceTime_.count());
     const auto sample = static_cast<double>(aServiceTime.count());
-    meanServiceTime_ = Duration(static_cast<std::int64_t>(mean + kMeanGain * (sample - mean)));
+    meanServiceTime_ =
+      Duration(static_cast<std::int64_t>(mean + kServiceTimeWeight * (sample - mean)));
   }
 }
 
--- a/Libraries/LibInstance/InstanceCore.cpp
+++ b/Libraries/LibInstance/InstanceCore.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-// While the view is older than this, heartbeats also go to peers that do not
-// watch this instance, so that each learns how many of the others it can hear.
-constexpr Duration kAgeingView = milliseconds(1500);
+// Once the view is older than this, heartbeats are also sent to peers that do not monitor
+// this instance, so that every instance can check whether it can reach a majority.
+constexpr Duration kWideHeartbeatViewAge = milliseconds(1500);
 constexpr Duration kWideHeartbeatInterval = milliseconds(500);
-// A read that was not answered in this time is given up on.
-constexpr Duration kPollLife = seconds(2);
+// Timeout of a store read.
+constexpr Duration kPollTimeout = seconds(2);
 
 } // namespace
 
@@ -38,16 +38,16 @@
       [this](Instant aNow, const ReplyTo& aReplyTo) { dispatch_.Cancel(aNow, aReplyTo); })
   , placers_(
       MakeContext(),
-      [this](Instant aNow, const Row& aRow) { InstallAndSpread(aNow, aRow); },
-      [this](const InstanceId& aTo, const ResumeOrder& aOrder) {
+      [this](Instant aNow, const Row& aRow) { InstallAndBroadcast(aNow, aRow); },
+      [this](const InstanceId& aTo, const ResumeCommand& aCommand) {
         if (aTo == membership_.Self()) {
-          dispatch_.OnResume(aOrder);
+          dispatch_.OnResume(aCommand);
         } else {
-          outbox_.SendToPeer(aTo, aOrder);
+          outbox_.SendToPeer(aTo, aCommand);
         }
       })
   , operators_(MakeContext(),
-               [this](Instant aNow, const Row& aRow) { InstallAndSpread(aNow, aRow); })
+               [this](Instant aNow, const Row& aRow) { InstallAndBroadcast(aNow, aRow); })
 {
 }
 
@@ -86,8 +86,8 @@
   if (!hasView_) {
     return false;
   }
-  return aNow - viewAsOf_ <= timing_.viewBound_ ||
-         membership_.HasMajorityContact(aNow, timing_.viewBound_);
+  return aNow - viewConfirmedAt_ <= timing_.maxViewAge_ ||
+         membership_.HeardFromMajority(aNow, timing_.maxViewAge_);
 }
 
 void
@@ -110,8 +110,8 @@
   Heartbeat heartbeat;
   heartbeat.isLeaving_ = membership_.IsLeaving();
   heartbeat.viewDigest_ = view_.Digest();
-  heartbeat.viewAge_ = aNow - viewAsOf_;
-  const bool isWide = aNow - viewAsOf_ > kAgeingView || !hasView_;
+  heartbeat.viewAge_ = aNow - viewConfirmedAt_;
+  const bool isWide = aNow - viewConfirmedAt_ > kWideHeartbeatViewAge || !hasView_;
   if (isWide && aNow - wideHeartbeatAt_ >= kWideHeartbeatInterval) {
     wideHeartbeatAt_ = aNow;
     Broadcast(heartbeat);
@@ -127,10 +127,10 @@
 void
 InstanceCore::PollStore(Instant aNow)
 {
-  if (pollTag_ != 0 && aNow - pollSentAt_ > kPollLife) {
+  if (pollTag_ != 0 && aNow - pollSentAt_ > kPollTimeout) {
     pollTag_ = 0;
   }
-  const bool isDue = polledAt_ == Instant{ 0 } || aNow - polledAt_ >= timing_.storePoll_;
+  const bool isDue = polledAt_ == Instant{ 0 } || aNow - polledAt_ >= timing_.storePollInterval_;
   if (pollTag_ != 0 || !isDue) {
     return;
   }
@@ -162,14 +162,15 @@
   for (const auto& row : aReply.rows_) {
     isChanged = Install(row) || isChanged;
   }
-  viewAsOf_ = std::max(viewAsOf_, pollSentAt_);
+  viewConfirmedAt_ = std::max(viewConfirmedAt_, pollSentAt_);
   hasView_ = true;
   placers_.OnStoreRead();
   if (isChanged) {
-    dispatch_.FollowView(aNow);
+    dispatch_.ApplyView(aNow);
   }
   if (view_.Revision() != revision) {
-    // The new configuration may name services whose rows were not asked for.
+    // The new configuration may name services whose rows were not requested; poll again at
+    // once.
     polledAt_ = Instant{ 0 };
   }
 }
@@ -182,7 +183,7 @@
   if (result == InstallResult::Installed) {
     events_.Record(Event::ViewInstalled, detail);
     if (aRow.key_ == kConfigurationKey) {
-      TellInForce(view_.ConfirmedBy());
+      AcknowledgeConfiguration(view_.ConfirmedBy());
     }
   } else if (result == InstallResult::Invalid) {
     events_.Record(Event::ViewRejected, detail + " reason=unreadable");
@@ -191,11 +192,11 @@
 }
 
 void
-InstanceCore::InstallAndSpread(Instant aNow, const Row& aRow)
+InstanceCore::InstallAndBroadcast(Instant aNow, const Row& aRow)
 {
   if (Install(aRow)) {
     Broadcast(ViewRows{ { aRow } });
-    dispatch_.FollowView(aNow);
+    dispatch_.ApplyView(aNow);
   }
 }
 
@@ -234,17 +235,17 @@
 InstanceCore::OnPeerUp(Instant aNow, const InstanceId& aPeer, std::string_view aHall)
 {
   events_.Record(Event::PeerConnected, "peer=" + aPeer + " hall=" + std::string(aHall));
-  membership_.OnContact(aNow, aPeer, aHall, membership_.IsLeavingInstance(aPeer));
-  // Whatever this instance missed while they were apart comes with the answer.
+  membership_.OnHeard(aNow, aPeer, aHall, membership_.IsLeavingInstance(aPeer));
+  // The peer replies with every row that changed while the two were disconnected.
   outbox_.SendToPeer(aPeer, ViewStamps{ view_.Stamps() });
-  TellInForce(aPeer);
+  AcknowledgeConfiguration(aPeer);
 }
 
 void
-InstanceCore::TellInForce(const InstanceId& aPeer)
+InstanceCore::AcknowledgeConfiguration(const InstanceId& aPeer)
 {
   if (aPeer == view_.ConfirmedBy() && aPeer != membership_.Self()) {
-    outbox_.SendToPeer(aPeer, InForce{ view_.Revision() });
+    outbox_.SendToPeer(aPeer, ConfigurationApplied{ view_.Revision() });
   }
 }
 
@@ -266,8 +267,8 @@
 {
   membership_.OnHeartbeat(aNow, aFrom, aMessage.isLeaving_);
   if (aMessage.viewDigest_ == view_.Digest()) {
-    // Equal views: what the peer knows of their age holds here too.
-    viewAsOf_ = std::max(viewAsOf_, aNow - aMessage.viewAge_);
+    // Equal views: the age that the peer reports for its view is valid for this one too.
+    viewConfirmedAt_ = std::max(viewConfirmedAt_, aNow - aMessage.viewAge_);
     return;
   }
   outbox_.SendToPeer(aFrom, ViewStamps{ view_.Stamps() });
@@ -300,14 +301,14 @@
   }
   if (isChanged) {
     hasView_ = hasView_ || view_.Revision() != 0;
-    dispatch_.FollowView(aNow);
+    dispatch_.ApplyView(aNow);
   }
 }
 
 void
-InstanceCore::Handle(Instant aNow, const InstanceId& aFrom, const InForce& aMessage)
+InstanceCore::Handle(Instant aNow, const InstanceId& aFrom, const ConfigurationApplied& aMessage)
 {
-  operators_.OnInForce(aNow, aFrom, aMessage.revision_);
+  operators_.OnConfigurationApplied(aNow, aFrom, aMessage.revision_);
 }
 
 void
@@ -339,7 +340,7 @@
 }
 
 void
-InstanceCore::Handle(Instant, const InstanceId& aFrom, const ResumeOrder& aMessage)
+InstanceCore::Handle(Instant, const InstanceId& aFrom, const ResumeCommand& aMessage)
 {
   const auto* placed = view_.FindPlacement(aMessage.service_);
   if (placed != nullptr && placed->placement_.placer_ == aFrom) {
@@ -361,10 +362,10 @@
     OnPollReply(aNow, aReply);
     return;
   }
-  const bool isTaken = dispatch_.OnStoreReply(aNow, aTag, aReply) ||
-                       placers_.OnStoreReply(aNow, aTag, aReply) ||
-                       operators_.OnStoreReply(aNow, aTag, aReply);
-  static_cast<void>(isTaken);
+  const bool isHandled = dispatch_.OnStoreReply(aNow, aTag, aReply) ||
+                         placers_.OnStoreReply(aNow, aTag, aReply) ||
+                         operators_.OnStoreReply(aNow, aTag, aReply);
+  static_cast<void>(isHandled);
 }
 
 void
@@ -402,7 +403,7 @@
   Heartbeat heartbeat;
   heartbeat.isLeaving_ = true;
   heartbeat.viewDigest_ = view_.Digest();
-  heartbeat.viewAge_ = aNow - viewAsOf_;
+  heartbeat.viewAge_ = aNow - viewConfirmedAt_;
   Broadcast(heartbeat);
 }
 
@@ -445,7 +446,7 @@
   for (const auto& [key, server] : dispatch_.Held()) {
     held.push_back(
       boost::json::object{ { "server", key },
-                           { "grant", kGrantStateNames.NameOf(server->keeper_.State()) },
+                           { "grant", kGrantStateNames.NameOf(server->grantManager_.State()) },
                            { "waiting", server->queue_.Waiting() },
                            { "running", server->queue_.Running() } });
   }
@@ -460,10 +461,10 @@
                          { "leaving", membership_.IsLeaving() },
                          { "revision", view_.Revision() },
                          { "view_fresh", IsViewFresh(aNow) },
-                         { "view_age_ms", (aNow - viewAsOf_).count() / 1000 },
+                         { "view_age_ms", (aNow - viewConfirmedAt_).count() / 1000 },
                          { "store_down", isStoreDown_ },
                          { "callers_in_flight", entry_.Pending() },
-                         { "placer_roles", placers_.RolesHeld() },
+                         { "placer_roles", placers_.PlacerRoleCount() },
                          { "instances", std::move(instances) },
                          { "services", std::move(services) },
                          { "intents", std::move(intents) },
--- a/Libraries/LibInstance/InstanceCore.h
+++ b/Libraries/LibInstance/InstanceCore.h
@@ -1,18 +1,19 @@
 #pragma once
 
-#include "LibInstance/DispatchDesk.h"
-#include "LibInstance/EntryDesk.h"
+#include "LibInstance/DispatchController.h"
 #include "LibInstance/InstanceContext.h"
-#include "LibInstance/OperatorDesk.h"
-#include "LibInstance/PlacerDesk.h"
+#include "LibInstance/PlacementController.h"
+#include "LibInstance/PlanController.h"
+#include "LibInstance/RequestRouter.h"
 
 #include <string>
 
 namespace latchslip {
 
-// All decisions of one entry instance: events and a clock in, actions out
-// through the outbox. It does no I/O, reads no clock and starts no thread, so
-// tests and the daemon run exactly the same code.
+// The decision logic of an entry instance: routing, dispatch, placement, membership and
+// configuration. Deterministic: input events and the time are passed in, actions go out
+// through the outbox. It does no I/O, reads no clock and starts no thread, so that the
+// simulation tests and the daemon run the same code.
 class InstanceCore
 {
 public:
@@ -24,7 +25,7 @@
   InstanceCore(const InstanceCore&) = delete;
   InstanceCore& operator=(const InstanceCore&) = delete;
 
-  // To be called every few milliseconds.
+  // Runs all timers. Called every few milliseconds.
   void Tick(Instant aNow);
 
   void OnInstanceList(Instant aNow, std::vector<ListedInstance> aList);
@@ -37,7 +38,7 @@
 
   void OnStoreReply(Instant aNow, CallTag aTag, const StoreReply& aReply);
   void OnGrantReply(Instant aNow, CallTag aTag, const GrantReply& aReply);
-  // The server's host answered that nothing listens there: the process is gone.
+  // The server's host refused the connection: no process is listening there.
   void OnConnectionRefused(Instant aNow, CallTag aTag)
   {
     dispatch_.OnConnectionRefused(aNow, aTag);
@@ -47,31 +48,35 @@
   void OnPlan(Instant aNow, OperatorId aOperator, const std::string& aDeclaration);
   void OnConfirm(Instant aNow, OperatorId aOperator, const std::string& aPlan);
 
-  // Begins a planned stop: peers take over what this instance holds, and what
-  // it has begun is finished.
+  // Starts a graceful shutdown: peers take over the servers that this instance holds, and
+  // requests in progress are finished.
   void BeginLeaving(Instant aNow);
   bool IsLeaving() const { return membership_.IsLeaving(); }
-  // Whether a leaving instance may stop without cutting anything.
+  // Whether a leaving instance may exit without cutting off a request.
   bool MayStop() const;
 
+  // Whether the view is recent enough to serve from: confirmed within maxViewAge_, or backed
+  // by a majority of the instances.
   bool IsViewFresh(Instant aNow) const;
-  // A JSON document for operators.
+  // Returns the status document for operators as JSON.
   std::string DescribeStatus(Instant aNow) const;
   const View& CurrentView() const { return view_; }
   const Membership& Members() const { return membership_; }
-  const DispatchDesk& Dispatch() const { return dispatch_; }
-  const EntryDesk& Callers() const { return entry_; }
+  const DispatchController& Dispatch() const { return dispatch_; }
+  const RequestRouter& Callers() const { return entry_; }
 
 private:
   InstanceContext MakeContext();
   void SendHeartbeats(Instant aNow);
   void PollStore(Instant aNow);
   void OnPollReply(Instant aNow, const StoreReply& aReply);
-  void InstallAndSpread(Instant aNow, const Row& aRow);
+  // Installs a row that was just committed and broadcasts it to the peers.
+  void InstallAndBroadcast(Instant aNow, const Row& aRow);
   bool Install(const Row& aRow);
-  // Tells the instance that confirmed the standing configuration, if it is this
-  // peer, that the configuration is in force here.
-  void TellInForce(const InstanceId& aPeer);
+  // Reports to the peer, if the configuration in force was confirmed through it, that this
+  // instance has applied the configuration.
+  void AcknowledgeConfiguration(const InstanceId& aPeer);
+  // Sends a message to every peer that has a known id.
   void Broadcast(const PeerMessage& aMessage);
   void SendReport(Instant aNow, const ServerReport& aReport);
   void DeliverAnswer(Instant aNow, const ReplyTo& aReplyTo, const WorkAnswer& aAnswer);
@@ -80,25 +85,25 @@
   void Handle(Instant aNow, const InstanceId& aFrom, const Suspicion& aMessage);
   void Handle(Instant aNow, const InstanceId& aFrom, const ViewStamps& aMessage);
   void Handle(Instant aNow, const InstanceId& aFrom, const ViewRows& aMessage);
-  void Handle(Instant aNow, const InstanceId& aFrom, const InForce& aMessage);
+  void Handle(Instant aNow, const InstanceId& aFrom, const ConfigurationApplied& aMessage);
   void Handle(Instant aNow, const InstanceId& aFrom, const ForwardedRequest& aMessage);
   void Handle(Instant aNow, const InstanceId& aFrom, const ForwardedAnswer& aMessage);
   void Handle(Instant aNow, const InstanceId& aFrom, const ForwardedCancel& aMessage);
   void Handle(Instant aNow, const InstanceId& aFrom, const ServerReport& aMessage);
-  void Handle(Instant aNow, const InstanceId& aFrom, const ResumeOrder& aMessage);
+  void Handle(Instant aNow, const InstanceId& aFrom, const ResumeCommand& aMessage);
 
   InstanceTiming timing_;
   Outbox& outbox_;
   EventSink& events_;
   View view_;
   Membership membership_;
-  DispatchDesk dispatch_;
-  EntryDesk entry_;
-  PlacerDesk placers_;
-  OperatorDesk operators_;
+  DispatchController dispatch_;
+  RequestRouter entry_;
+  PlacementController placers_;
+  PlanController operators_;
 
-  // When the view was last known to be the newest there is.
-  Instant viewAsOf_{ 0 };
+  // When the view was last known to be up to date.
+  Instant viewConfirmedAt_{ 0 };
   bool hasView_ = false;
   bool wasFresh_ = false;
   Instant heartbeatAt_{ 0 };
--- a/Libraries/LibInstance/PlacerDesk.cpp
+++ b/Libraries/LibInstance/PlacementController.cpp
@@ -1,6 +1,6 @@
-#include "LibInstance/PlacerDesk.h"
+#include "LibInstance/PlacementController.h"
 
-#include "LibInstance/DispatchDesk.h"
+#include "LibInstance/DispatchController.h"
 
 #include <algorithm>
 
@@ -8,22 +8,24 @@
 
 namespace {
 
-constexpr Duration kOutagePause = milliseconds(200);
-// Between two rounds while nothing is to be decided; a report ends it at once.
-constexpr Duration kIdleRoundPause = milliseconds(30);
-constexpr Duration kReadBackPause = milliseconds(50);
+constexpr Duration kOutageBackoff = milliseconds(200);
+// Pause between two rounds that had nothing to decide. A report ends it at once.
+constexpr Duration kIdleRoundInterval = milliseconds(30);
+constexpr Duration kReadBackDelay = milliseconds(50);
 
 } // namespace
 
-PlacerDesk::PlacerDesk(InstanceContext aContext, InstallFunction aInstall, ResumeFunction aResume)
+PlacementController::PlacementController(InstanceContext aContext,
+                                         InstallFunction aInstall,
+                                         ResumeFunction aResume)
   : context_(aContext)
   , install_(std::move(aInstall))
   , resume_(std::move(aResume))
 {
 }
 
-PlacerDesk::Role&
-PlacerDesk::RoleOf(const std::string& aService)
+PlacementController::Role&
+PlacementController::GetOrCreateRole(const std::string& aService)
 {
   const auto found = roles_.find(aService);
   if (found != roles_.end()) {
@@ -33,17 +35,18 @@
 }
 
 std::size_t
-PlacerDesk::RolesHeld() const
+PlacementController::PlacerRoleCount() const
 {
   return static_cast<std::size_t>(std::count_if(
     roles_.begin(), roles_.end(), [](const auto& aEntry) { return aEntry.second.isPlacer_; }));
 }
 
 bool
-PlacerDesk::IsCandidate(Instant aNow, const std::string& aService) const
+PlacementController::IsCandidate(Instant aNow, const std::string& aService) const
 {
-  // Highest hash of instance and service first, so that the services spread
-  // over the instances and all instances agree without talking.
+  // Rendezvous hashing: the instance with the highest hash of instance and service is the
+  // candidate. The services spread over the instances, and all instances agree without
+  // communication.
   const auto& self = context_.membership_.Self();
   const auto own = HashPair(self, aService);
   const auto live = context_.membership_.LiveInstances(aNow);
@@ -54,9 +57,9 @@
 }
 
 void
-PlacerDesk::OnReport(Instant aNow, const ServerReport& aReport)
+PlacementController::OnReport(Instant aNow, const ServerReport& aReport)
 {
-  auto& role = RoleOf(aReport.service_);
+  auto& role = GetOrCreateRole(aReport.service_);
   if (role.isPlacer_) {
     role.placer_.OnReport(aNow, aReport);
     role.idleUntil_ = aNow;
@@ -64,17 +67,17 @@
 }
 
 void
-PlacerDesk::Tick(Instant aNow)
+PlacementController::Tick(Instant aNow)
 {
   if (!hasReadStore_ || !context_.membership_.IsSettled(aNow)) {
     return;
   }
   for (const auto& service : context_.view_.Configuration().services_) {
-    auto& role = RoleOf(service.name_);
+    auto& role = GetOrCreateRole(service.name_);
     if (role.tag_ != 0 || aNow < role.notBefore_ || aNow < role.idleUntil_) {
       continue;
     }
-    if (role.isUnsure_) {
+    if (role.isIndeterminate_) {
       ReadBack(service.name_, role);
     } else {
       Decide(aNow, service, role);
@@ -83,17 +86,17 @@
 }
 
 void
-PlacerDesk::Decide(Instant aNow, const ServiceDeclaration& aService, Role& aRole)
+PlacementController::Decide(Instant aNow, const ServiceDeclaration& aService, Role& aRole)
 {
-  static const Placement kNothing;
+  static const Placement kEmptyPlacement;
   const auto* placed = context_.view_.FindPlacement(aService.name_);
-  const auto& current = placed == nullptr ? kNothing : placed->placement_;
+  const auto& current = placed == nullptr ? kEmptyPlacement : placed->placement_;
   const auto version = placed == nullptr ? 0 : placed->version_;
   const auto& self = context_.membership_.Self();
   const bool isPlacer = current.placer_ == self;
   if (isPlacer != aRole.isPlacer_) {
     aRole.isPlacer_ = isPlacer;
-    aRole.placer_.Forget();
+    aRole.placer_.Reset();
   }
   const bool isVacant = !context_.membership_.IsLive(aNow, current.placer_) ||
                         context_.membership_.IsLeavingInstance(current.placer_);
@@ -107,8 +110,8 @@
                                         current,
                                         version,
                                         context_.membership_);
-  for (const auto& note : aRole.placer_.TakeNotes()) {
-    context_.events_.Record(note.event_, "service=" + aService.name_ + " " + note.detail_);
+  for (const auto& deferral : aRole.placer_.TakeDeferrals()) {
+    context_.events_.Record(deferral.event_, "service=" + aService.name_ + " " + deferral.detail_);
   }
   if (takesOver) {
     if (!proposal && current.slices_.empty()) {
@@ -126,18 +129,18 @@
     Commit(aNow, aService.name_, aRole, std::move(*proposal));
     return;
   }
-  aRole.idleUntil_ = aNow + kIdleRoundPause;
-  for (const auto& order : aRole.placer_.TakeResumable(current)) {
-    const auto index = current.FindServer(order.server_);
-    resume_(current.servers_[*index].holder_, order);
+  aRole.idleUntil_ = aNow + kIdleRoundInterval;
+  for (const auto& command : aRole.placer_.TakeResumeCommands(current)) {
+    const auto index = current.FindServer(command.server_);
+    resume_(current.servers_[*index].holder_, command);
   }
 }
 
 void
-PlacerDesk::Commit(Instant aNow,
-                   const std::string& aService,
-                   Role& aRole,
-                   PlacementProposal aProposal)
+PlacementController::Commit(Instant aNow,
+                            const std::string& aService,
+                            Role& aRole,
+                            PlacementProposal aProposal)
 {
   aProposal.placement_.token_ = MakeWriteToken(context_.membership_.Self(), NextTag());
   for (const auto& decision : aProposal.decisions_) {
@@ -149,7 +152,7 @@
 }
 
 void
-PlacerDesk::Send(const std::string& aService, Role& aRole)
+PlacementController::Send(const std::string& aService, Role& aRole)
 {
   StoreCall call;
   const auto key = PlacementKey(aService);
@@ -161,7 +164,7 @@
 }
 
 void
-PlacerDesk::ReadBack(const std::string& aService, Role& aRole)
+PlacementController::ReadBack(const std::string& aService, Role& aRole)
 {
   StoreCall call;
   call.isRead_ = true;
@@ -172,7 +175,7 @@
 }
 
 void
-PlacerDesk::OnCommitted(Instant aNow, Role& aRole, const Row& aRow)
+PlacementController::OnCommitted(Instant aNow, Role& aRole, const Row& aRow)
 {
   const auto& placement = aRole.proposal_->placement_;
   context_.events_.Record(Event::PlacementCommitted,
@@ -180,57 +183,57 @@
                             " version=" + std::to_string(aRow.version_) +
                             " decisions=" + std::to_string(aRole.proposal_->decisions_.size()));
   aRole.proposal_.reset();
-  aRole.isUnsure_ = false;
+  aRole.isIndeterminate_ = false;
   install_(aNow, aRow);
 }
 
 void
-PlacerDesk::OnRefused(Instant aNow, Role& aRole)
+PlacementController::OnUnavailable(Instant aNow, Role& aRole)
 {
   aRole.placer_.OnNotCommitted(*aRole.proposal_);
   aRole.proposal_.reset();
-  aRole.isUnsure_ = false;
-  aRole.notBefore_ = aNow + kOutagePause;
+  aRole.isIndeterminate_ = false;
+  aRole.notBefore_ = aNow + kOutageBackoff;
 }
 
 void
-PlacerDesk::OnConflict(Instant aNow,
-                       const std::string& aService,
-                       Role& aRole,
-                       const StoreReply& aReply)
+PlacementController::OnConflict(Instant aNow,
+                                const std::string& aService,
+                                Role& aRole,
+                                const StoreReply& aReply)
 {
   const auto* row = FindRow(aReply.rows_, PlacementKey(aService));
   const auto standing = row == nullptr ? FieldResult<Placement>(FieldError{ "row", "is absent" })
                                        : ParsePlacement(row->value_);
   if (standing && standing.value().token_ == aRole.proposal_->placement_.token_) {
-    // An earlier try under this token took effect and its answer was lost.
+    // An earlier attempt to write this token succeeded and its answer was lost.
     OnCommitted(aNow, aRole, *row);
     return;
   }
   context_.events_.Record(Event::PlacementConflict, "service=" + aService);
   aRole.placer_.OnNotCommitted(*aRole.proposal_);
   aRole.proposal_.reset();
-  aRole.isUnsure_ = false;
+  aRole.isIndeterminate_ = false;
   if (standing) {
     install_(aNow, *row);
   }
 }
 
 void
-PlacerDesk::OnReadBack(Instant aNow,
-                       const std::string& aService,
-                       Role& aRole,
-                       const StoreReply& aReply)
+PlacementController::OnReadBack(Instant aNow,
+                                const std::string& aService,
+                                Role& aRole,
+                                const StoreReply& aReply)
 {
   if (aReply.status_ != StoreStatus::Done) {
-    aRole.notBefore_ = aNow + kOutagePause;
+    aRole.notBefore_ = aNow + kOutageBackoff;
     return;
   }
   const auto* row = FindRow(aReply.rows_, PlacementKey(aService));
   const auto version = row == nullptr ? 0 : row->version_;
   if (version == aRole.proposal_->baseVersion_) {
-    // NOTE: It has not taken effect, but it may still be under way. Sending the
-    // same again is safe: at most one of the two can meet the condition.
+    // NOTE: The write has not taken effect but may still be in flight. Repeating it is safe:
+    // the condition lets at most one of the two succeed.
     Send(aService, aRole);
     return;
   }
@@ -238,7 +241,7 @@
 }
 
 bool
-PlacerDesk::OnStoreReply(Instant aNow, CallTag aTag, const StoreReply& aReply)
+PlacementController::OnStoreReply(Instant aNow, CallTag aTag, const StoreReply& aReply)
 {
   const auto found = std::find_if(roles_.begin(), roles_.end(), [&](const auto& aEntry) {
     return aTag != 0 && aEntry.second.tag_ == aTag;
@@ -264,17 +267,17 @@
     case StoreStatus::Conflict:
       OnConflict(aNow, service, role, aReply);
       break;
-    case StoreStatus::Unsure:
+    case StoreStatus::Indeterminate:
       context_.events_.Record(Event::StoreUnsure, "service=" + service);
-      role.isUnsure_ = true;
-      role.notBefore_ = aNow + kReadBackPause;
+      role.isIndeterminate_ = true;
+      role.notBefore_ = aNow + kReadBackDelay;
       break;
     case StoreStatus::Unavailable:
-      if (role.isUnsure_) {
-        // An earlier try may still take effect, so its fate stays open.
-        role.notBefore_ = aNow + kOutagePause;
+      if (role.isIndeterminate_) {
+        // An earlier attempt may still take effect, so the outcome remains open.
+        role.notBefore_ = aNow + kOutageBackoff;
       } else {
-        OnRefused(aNow, role);
+        OnUnavailable(aNow, role);
       }
       break;
   }
--- a/Libraries/LibInstance/OperatorDesk.cpp
+++ b/Libraries/LibInstance/PlanController.cpp
@@ -1,6 +1,6 @@
-#include "LibInstance/OperatorDesk.h"
+#include "LibInstance/PlanController.h"
 
-#include "LibInstance/DispatchDesk.h"
+#include "LibInstance/DispatchController.h"
 
 #include <algorithm>
 #include <boost/json.hpp>
@@ -9,37 +9,37 @@
 
 namespace {
 
-constexpr Duration kReadBackPause = milliseconds(100);
+constexpr Duration kReadBackDelay = milliseconds(100);
 
 } // namespace
 
-OperatorDesk::OperatorDesk(InstanceContext aContext, InstallFunction aInstall)
+PlanController::PlanController(InstanceContext aContext, InstallFunction aInstall)
   : context_(aContext)
   , install_(std::move(aInstall))
 {
 }
 
 void
-OperatorDesk::AnswerError(OperatorId aOperator,
-                          unsigned aStatus,
-                          std::string_view aField,
-                          std::string_view aProblem)
+PlanController::AnswerError(OperatorId aOperator,
+                            unsigned aStatus,
+                            std::string_view aField,
+                            std::string_view aProblem)
 {
   const boost::json::object body{ { "error", { { "field", aField }, { "problem", aProblem } } } };
   context_.outbox_.AnswerOperator(aOperator, { aStatus, boost::json::serialize(body) });
 }
 
 void
-OperatorDesk::OnPlan(Instant aNow, OperatorId aOperator, const std::string& aDeclaration)
+PlanController::OnPlan(Instant aNow, OperatorId aOperator, const std::string& aDeclaration)
 {
   static_cast<void>(aNow);
-  const auto wanted = ParseDeclaration(aDeclaration);
-  if (!wanted) {
-    AnswerError(aOperator, 400, wanted.error().field_, wanted.error().problem_);
+  const auto requested = ParseDeclaration(aDeclaration);
+  if (!requested) {
+    AnswerError(aOperator, 400, requested.error().field_, requested.error().problem_);
     return;
   }
   const auto plan =
-    MakePlan(context_.view_.Revision(), context_.view_.Configuration(), wanted.value());
+    MakePlan(context_.view_.Revision(), context_.view_.Configuration(), requested.value());
   context_.events_.Record(Event::PlanMade,
                           "plan=" + plan.Id() + " base=" + std::to_string(plan.baseRevision_) +
                             " changes=" + std::to_string(plan.changes_.size()));
@@ -47,7 +47,7 @@
 }
 
 void
-OperatorDesk::OnConfirm(Instant aNow, OperatorId aOperator, const std::string& aPlan)
+PlanController::OnConfirm(Instant aNow, OperatorId aOperator, const std::string& aPlan)
 {
   auto plan = ParsePlan(aPlan);
   if (!plan) {
@@ -64,7 +64,7 @@
 }
 
 void
-OperatorDesk::Send(Confirmation& aConfirmation)
+PlanController::Send(Confirmation& aConfirmation)
 {
   StoreCall call;
   const std::string key(kConfigurationKey);
@@ -77,7 +77,7 @@
 }
 
 void
-OperatorDesk::ReadBack(Confirmation& aConfirmation)
+PlanController::ReadBack(Confirmation& aConfirmation)
 {
   StoreCall call;
   call.isRead_ = true;
@@ -88,11 +88,11 @@
 }
 
 void
-OperatorDesk::OnCommitted(Instant aNow, Confirmation& aConfirmation, const Row& aRow)
+PlanController::OnCommitted(Instant aNow, Confirmation& aConfirmation, const Row& aRow)
 {
   aConfirmation.isCommitted_ = true;
-  aConfirmation.isUnsure_ = false;
-  aConfirmation.inForce_.insert(context_.membership_.Self());
+  aConfirmation.isIndeterminate_ = false;
+  aConfirmation.appliedBy_.insert(context_.membership_.Self());
   context_.events_.Record(Event::PlanConfirmed,
                           "plan=" + aConfirmation.plan_.Id() +
                             " revision=" + std::to_string(aRow.version_));
@@ -100,7 +100,7 @@
 }
 
 void
-OperatorDesk::AnswerConflict(const Confirmation& aConfirmation)
+PlanController::AnswerConflict(const Confirmation& aConfirmation)
 {
   context_.events_.Record(Event::PlanConflict,
                           "plan=" + aConfirmation.plan_.Id() +
@@ -119,12 +119,13 @@
 }
 
 bool
-OperatorDesk::OnStanding(Instant aNow, Confirmation& aConfirmation, const StoreReply& aReply)
+PlanController::OnCurrentRow(Instant aNow, Confirmation& aConfirmation, const StoreReply& aReply)
 {
   const auto* found = FindRow(aReply.rows_, kConfigurationKey);
   const auto version = found == nullptr ? 0 : found->version_;
   if (version == aConfirmation.plan_.baseRevision_) {
-    // Not in force yet: the same write again is safe under its condition.
+    // Not written yet. Repeating the write is safe, since its condition lets it take effect
+    // at most once.
     Send(aConfirmation);
     return false;
   }
@@ -135,20 +136,20 @@
   if (version != 0) {
     install_(aNow, *found);
   }
-  // NOTE: When the standing revision is higher still, this plan may have been in
-  // force in between; the conflict's fresh plan shows what differs now.
+  // NOTE: If the current revision is higher still, this plan may have been in force in
+  // between. The fresh plan in the conflict answer shows the differences that remain.
   AnswerConflict(aConfirmation);
   return true;
 }
 
 bool
-OperatorDesk::OnReply(Instant aNow, Confirmation& aConfirmation, const StoreReply& aReply)
+PlanController::OnReply(Instant aNow, Confirmation& aConfirmation, const StoreReply& aReply)
 {
   aConfirmation.tag_ = 0;
   switch (aReply.status_) {
     case StoreStatus::Done:
       if (aConfirmation.isReadBack_) {
-        return OnStanding(aNow, aConfirmation, aReply);
+        return OnCurrentRow(aNow, aConfirmation, aReply);
       }
       OnCommitted(
         aNow,
@@ -158,28 +159,28 @@
           SerializeConfigurationRow(aConfirmation.token_, aConfirmation.plan_.declaration_) });
       return TryFinish(aNow, aConfirmation);
     case StoreStatus::Conflict:
-      return OnStanding(aNow, aConfirmation, aReply);
-    case StoreStatus::Unsure:
+      return OnCurrentRow(aNow, aConfirmation, aReply);
+    case StoreStatus::Indeterminate:
       context_.events_.Record(Event::StoreUnsure, "plan=" + aConfirmation.plan_.Id());
-      aConfirmation.isUnsure_ = true;
-      aConfirmation.nextTryAt_ = aNow + kReadBackPause;
+      aConfirmation.isIndeterminate_ = true;
+      aConfirmation.nextTryAt_ = aNow + kReadBackDelay;
       return false;
     case StoreStatus::Unavailable:
       break;
   }
-  if (aConfirmation.isUnsure_) {
-    aConfirmation.nextTryAt_ = aNow + kReadBackPause;
+  if (aConfirmation.isIndeterminate_) {
+    aConfirmation.nextTryAt_ = aNow + kReadBackDelay;
     return false;
   }
   AnswerError(aConfirmation.operator_,
               503,
               "store",
-              "the table service cannot be reached; the plan is not in force");
+              "the table service is unavailable; the plan is not in force");
   return true;
 }
 
 bool
-OperatorDesk::OnStoreReply(Instant aNow, CallTag aTag, const StoreReply& aReply)
+PlanController::OnStoreReply(Instant aNow, CallTag aTag, const StoreReply& aReply)
 {
   const auto found =
     std::find_if(confirmations_.begin(), confirmations_.end(), [&](const auto& aEntry) {
@@ -195,21 +196,21 @@
 }
 
 void
-OperatorDesk::OnInForce(Instant aNow, const InstanceId& aPeer, RowVersion aRevision)
+PlanController::OnConfigurationApplied(Instant aNow, const InstanceId& aPeer, RowVersion aRevision)
 {
   static_cast<void>(aNow);
   for (auto& [id, confirmation] : confirmations_) {
     if (confirmation.isCommitted_ && aRevision >= RevisionOf(confirmation)) {
-      confirmation.inForce_.insert(aPeer);
+      confirmation.appliedBy_.insert(aPeer);
     }
   }
 }
 
 bool
-OperatorDesk::TryFinish(Instant aNow, const Confirmation& aConfirmation)
+PlanController::TryFinish(Instant aNow, const Confirmation& aConfirmation)
 {
-  const bool isOver = aNow - aConfirmation.startedAt_ >= context_.timing_.confirmWait_;
-  if (aConfirmation.isUnsure_ && isOver) {
+  const bool isOver = aNow - aConfirmation.startedAt_ >= context_.timing_.confirmTimeout_;
+  if (aConfirmation.isIndeterminate_ && isOver) {
     AnswerError(aConfirmation.operator_,
                 504,
                 "store",
@@ -221,8 +222,8 @@
   }
   boost::json::array inForce;
   boost::json::array pending;
-  for (const auto& instance : context_.membership_.LiveInstances(aNow)) {
-    const bool has = aConfirmation.inForce_.contains(instance.id_);
+  for (const auto& instance : context_.membership_.Live(aNow)) {
+    const bool has = aConfirmation.appliedBy_.contains(instance.id_);
     (has ? inForce : pending).emplace_back(instance.id_);
   }
   for (const auto& listed : context_.membership_.Peers()) {
@@ -244,11 +245,12 @@
 }
 
 void
-OperatorDesk::Tick(Instant aNow)
+PlanController::Tick(Instant aNow)
 {
   std::erase_if(confirmations_, [&](const auto& aEntry) { return TryFinish(aNow, aEntry.second); });
   for (auto& [id, confirmation] : confirmations_) {
-    if (confirmation.isUnsure_ && confirmation.tag_ == 0 && aNow >= confirmation.nextTryAt_) {
+    if (confirmation.isIndeterminate_ && confirmation.tag_ == 0 &&
+        aNow >= confirmation.nextTryAt_) {
       ReadBack(confirmation);
     }
   }
--- a/Libraries/LibInstance/OperatorDesk.h
+++ b/Libraries/LibInstance/PlanController.h
@@ -11,23 +11,28 @@
 
 namespace latchslip {
 
-// Makes plans and confirms them. A confirmation is one write that is
-// conditional on the revision the plan was made from.
-class OperatorDesk
+// Serves the plan and confirm calls of operators. Confirming is one compare-and-swap write of
+// the configuration row, conditional on the revision that the plan was made from. The answer
+// waits, up to InstanceTiming::confirmTimeout_, until all instances have applied the new
+// configuration.
+class PlanController
 {
 public:
   using InstallFunction = std::function<void(Instant, const Row&)>;
 
-  OperatorDesk(InstanceContext aContext, InstallFunction aInstall);
+  PlanController(InstanceContext aContext, InstallFunction aInstall);
 
-  // Answers with the plan for a declaration.
+  // Answers with the plan for a declaration (200), or with the field that is invalid (400).
   void OnPlan(Instant aNow, OperatorId aOperator, const std::string& aDeclaration);
-  // Puts exactly the given plan in force, or says why not.
+  // Puts exactly the given plan in force. Answers 200 with the revision, 409 with a fresh
+  // plan if another plan was confirmed since, 503 if the store is unavailable, or 504 if the
+  // outcome of the write is not known.
   void OnConfirm(Instant aNow, OperatorId aOperator, const std::string& aPlan);
 
+  // Returns false if the tag belongs to another component.
   bool OnStoreReply(Instant aNow, CallTag aTag, const StoreReply& aReply);
-  // A peer has a revision in force.
-  void OnInForce(Instant aNow, const InstanceId& aPeer, RowVersion aRevision);
+  // A peer has applied a revision.
+  void OnConfigurationApplied(Instant aNow, const InstanceId& aPeer, RowVersion aRevision);
   void Tick(Instant aNow);
 
 private:
@@ -38,19 +43,23 @@
     std::string token_;
     CallTag tag_ = 0;
     bool isReadBack_ = false;
-    bool isUnsure_ = false;
+    bool isIndeterminate_ = false;
     bool isCommitted_ = false;
     Instant startedAt_{ 0 };
     Instant nextTryAt_{ 0 };
-    std::set<InstanceId> inForce_;
+    std::set<InstanceId> appliedBy_;
   };
 
   void Send(Confirmation& aConfirmation);
   void ReadBack(Confirmation& aConfirmation);
   void OnCommitted(Instant aNow, Confirmation& aConfirmation, const Row& aRow);
-  // True when the confirmation has ended.
+  // Returns true if the confirmation is finished and has been answered.
   bool OnReply(Instant aNow, Confirmation& aConfirmation, const StoreReply& aReply);
-  bool OnStanding(Instant aNow, Confirmation& aConfirmation, const StoreReply& aReply);
+  // Compares the configuration row that is stored now with the one of the confirmation.
+  // Returns true if the confirmation is finished.
+  bool OnCurrentRow(Instant aNow, Confirmation& aConfirmation, const StoreReply& aReply);
+  // Answers if all instances have applied the revision, or at the timeout. Returns whether it
+  // did.
   bool TryFinish(Instant aNow, const Confirmation& aConfirmation);
   void AnswerConflict(const Confirmation& aConfirmation);
   void AnswerError(OperatorId aOperator,
--- a/Libraries/LibInstance/EntryDesk.cpp
+++ b/Libraries/LibInstance/RequestRouter.cpp
@@ -1,4 +1,4 @@
-#include "LibInstance/EntryDesk.h"
+#include "LibInstance/RequestRouter.h"
 
 #include <algorithm>
 #include <vector>
@@ -7,8 +7,8 @@
 
 namespace {
 
-constexpr Duration kFirstBackoff = milliseconds(5);
-constexpr Duration kMostBackoff = milliseconds(40);
+constexpr Duration kInitialBackoff = milliseconds(5);
+constexpr Duration kMaxBackoff = milliseconds(40);
 constexpr Duration kStaleRetry = seconds(1);
 constexpr Duration kNoOwnerRetry = milliseconds(500);
 constexpr Duration kBusyRetry = milliseconds(100);
@@ -16,12 +16,14 @@
 Duration
 BackoffAfter(unsigned aAttempts)
 {
-  return std::min(kMostBackoff, kFirstBackoff * (1U << std::min(aAttempts, 4U)));
+  return std::min(kMaxBackoff, kInitialBackoff * (1U << std::min(aAttempts, 4U)));
 }
 
 } // namespace
 
-EntryDesk::EntryDesk(InstanceContext aContext, SubmitFunction aSubmit, CancelFunction aCancel)
+RequestRouter::RequestRouter(InstanceContext aContext,
+                             SubmitFunction aSubmit,
+                             CancelFunction aCancel)
   : context_(aContext)
   , submit_(std::move(aSubmit))
   , cancel_(std::move(aCancel))
@@ -29,7 +31,7 @@
 }
 
 Reason
-EntryDesk::Validate(const WorkRequest& aRequest, bool aIsFresh) const
+RequestRouter::Validate(const WorkRequest& aRequest, bool aIsFresh) const
 {
   if (!aIsFresh) {
     return Reason::ViewStale;
@@ -41,14 +43,14 @@
   if (configuration.FindIntent(aRequest.group_, aRequest.service_) == nullptr) {
     return Reason::NoSuchGroup;
   }
-  if (pending_.size() >= context_.timing_.mostInFlight_) {
+  if (pending_.size() >= context_.timing_.maxInFlight_) {
     return Reason::TooManyInFlight;
   }
   return Reason::None;
 }
 
 void
-EntryDesk::OnRequest(Instant aNow, CallerId aCaller, const WorkRequest& aRequest, bool aIsFresh)
+RequestRouter::OnRequest(Instant aNow, CallerId aCaller, const WorkRequest& aRequest, bool aIsFresh)
 {
   const auto reason = Validate(aRequest, aIsFresh);
   if (reason != Reason::None || aRequest.deadline_ <= aNow) {
@@ -76,7 +78,7 @@
 }
 
 InstanceId
-EntryDesk::FindHolder(const WorkRequest& aRequest) const
+RequestRouter::FindHolder(const WorkRequest& aRequest) const
 {
   const auto* placed = context_.view_.FindPlacement(aRequest.service_);
   if (placed == nullptr) {
@@ -88,7 +90,7 @@
 }
 
 void
-EntryDesk::Route(Instant aNow, Entry aEntry)
+RequestRouter::Route(Instant aNow, Entry aEntry)
 {
   auto& pending = aEntry->second;
   const auto holder = FindHolder(pending.request_);
@@ -98,11 +100,11 @@
     Park(aNow, aEntry, MakeNotRun(Reason::NoOwner, kNoOwnerRetry));
     return;
   }
-  callerOfAttempt_.erase(pending.attempt_);
+  callerByAttempt_.erase(pending.attempt_);
   pending.attempt_ = NextTag();
   ++pending.attempts_;
   pending.holder_ = holder;
-  callerOfAttempt_[pending.attempt_] = pending.caller_;
+  callerByAttempt_[pending.attempt_] = pending.caller_;
   const auto attempt = pending.attempt_;
   context_.events_.Record(isSelf ? Event::RequestRouted : Event::RequestForwarded,
                           "caller=" + std::to_string(pending.caller_) + " service=" +
@@ -110,8 +112,8 @@
                             " holder=" + holder + " attempt=" + std::to_string(pending.attempts_));
   if (isSelf) {
     pending.phase_ = Phase::Local;
-    // NOTE: The request is copied because its answer may come at once and end
-    // the entry that it lives in.
+    // NOTE: The request is copied because the answer may arrive during the call and erase the
+    // entry that owns it.
     const auto request = pending.request_;
     submit_(aNow, request, { {}, attempt });
     return;
@@ -122,13 +124,13 @@
   forwarded.request_ = pending.request_;
   forwarded.request_.deadline_ = pending.request_.deadline_ - aNow;
   if (!context_.outbox_.SendToPeer(holder, forwarded)) {
-    callerOfAttempt_.erase(attempt);
+    callerByAttempt_.erase(attempt);
     Park(aNow, aEntry, MakeNotRun(Reason::HolderUnreachable, kNoOwnerRetry));
   }
 }
 
 bool
-EntryDesk::IsWorthRetrying(const WorkAnswer& aAnswer)
+RequestRouter::IsRetryable(const WorkAnswer& aAnswer)
 {
   if (aAnswer.outcome_ != RequestOutcome::NotRun) {
     return false;
@@ -147,15 +149,15 @@
 }
 
 void
-EntryDesk::Park(Instant aNow, Entry aEntry, const WorkAnswer& aWhy)
+RequestRouter::Park(Instant aNow, Entry aEntry, const WorkAnswer& aLastAnswer)
 {
   auto& pending = aEntry->second;
-  pending.mayHaveRun_ = pending.mayHaveRun_ || aWhy.outcome_ == RequestOutcome::Unknown;
+  pending.mayHaveRun_ = pending.mayHaveRun_ || aLastAnswer.outcome_ == RequestOutcome::Unknown;
   const auto backoff = BackoffAfter(pending.attempts_);
   const bool isTooLate = aNow + backoff >= pending.request_.deadline_ ||
-                         aNow - pending.arrivedAt_ >= context_.timing_.mostParked_;
+                         aNow - pending.arrivedAt_ >= context_.timing_.maxParkedTime_;
   if (isTooLate) {
-    Finish(aEntry, aWhy);
+    Finish(aEntry, aLastAnswer);
     return;
   }
   ++pending.attempts_;
@@ -164,11 +166,12 @@
 }
 
 void
-EntryDesk::Finish(Entry aEntry, const WorkAnswer& aLast)
+RequestRouter::Finish(Entry aEntry, const WorkAnswer& aLastAnswer)
 {
   const auto caller = aEntry->second.caller_;
-  const bool isUncertain = aEntry->second.mayHaveRun_ && aLast.outcome_ == RequestOutcome::NotRun;
-  const auto answer = isUncertain ? MakeUnknown(aLast.reason_) : aLast;
+  const bool isUncertain =
+    aEntry->second.mayHaveRun_ && aLastAnswer.outcome_ == RequestOutcome::NotRun;
+  const auto answer = isUncertain ? MakeUnknown(aLastAnswer.reason_) : aLastAnswer;
   const auto event = answer.outcome_ == RequestOutcome::Answered ? Event::RequestAnswered
                      : answer.outcome_ == RequestOutcome::NotRun ? Event::RequestRefused
                                                                  : Event::RequestUnknown;
@@ -176,21 +179,21 @@
                           "caller=" + std::to_string(caller) +
                             " reason=" + std::string(kReasonNames.NameOf(answer.reason_)) +
                             " status=" + std::to_string(answer.status_));
-  callerOfAttempt_.erase(aEntry->second.attempt_);
+  callerByAttempt_.erase(aEntry->second.attempt_);
   pending_.erase(aEntry);
   context_.outbox_.AnswerCaller(caller, answer);
 }
 
 void
-EntryDesk::OnWorkAnswer(Instant aNow, std::uint64_t aAttempt, const WorkAnswer& aAnswer)
+RequestRouter::OnWorkAnswer(Instant aNow, std::uint64_t aAttempt, const WorkAnswer& aAnswer)
 {
-  const auto caller = callerOfAttempt_.find(aAttempt);
-  if (caller == callerOfAttempt_.end()) {
+  const auto caller = callerByAttempt_.find(aAttempt);
+  if (caller == callerByAttempt_.end()) {
     return;
   }
   const auto entry = pending_.find(caller->second);
-  callerOfAttempt_.erase(caller);
-  if (IsWorthRetrying(aAnswer)) {
+  callerByAttempt_.erase(caller);
+  if (IsRetryable(aAnswer)) {
     Park(aNow, entry, aAnswer);
     return;
   }
@@ -198,7 +201,7 @@
 }
 
 void
-EntryDesk::OnPeerDown(Instant aNow, const InstanceId& aPeer)
+RequestRouter::OnPeerDown(Instant aNow, const InstanceId& aPeer)
 {
   std::vector<CallerId> affected;
   for (const auto& [caller, pending] : pending_) {
@@ -209,7 +212,7 @@
   for (const auto caller : affected) {
     const auto entry = pending_.find(caller);
     if (entry->second.request_.isRepeatable_) {
-      callerOfAttempt_.erase(entry->second.attempt_);
+      callerByAttempt_.erase(entry->second.attempt_);
       Park(aNow, entry, MakeUnknown(Reason::HolderUnreachable));
     } else {
       Finish(entry, MakeUnknown(Reason::HolderUnreachable));
@@ -218,7 +221,7 @@
 }
 
 void
-EntryDesk::GiveUp(Instant aNow, Entry aEntry)
+RequestRouter::CancelRequest(Instant aNow, Entry aEntry)
 {
   auto& pending = aEntry->second;
   if (pending.phase_ == Phase::Parked) {
@@ -231,21 +234,22 @@
     Finish(aEntry, MakeUnknown(Reason::DeadlinePassed));
     return;
   }
-  // The dispatch desk knows whether it has started, and answers at once.
+  // The dispatcher of this instance knows whether the request has started, and answers
+  // synchronously.
   cancel_(aNow, { {}, attempt });
 }
 
 void
-EntryDesk::OnCallerGone(Instant aNow, CallerId aCaller)
+RequestRouter::OnCallerGone(Instant aNow, CallerId aCaller)
 {
   const auto entry = pending_.find(aCaller);
   if (entry != pending_.end()) {
-    GiveUp(aNow, entry);
+    CancelRequest(aNow, entry);
   }
 }
 
 void
-EntryDesk::Tick(Instant aNow)
+RequestRouter::Tick(Instant aNow)
 {
   std::vector<CallerId> late;
   std::vector<CallerId> due;
@@ -262,11 +266,11 @@
     }
   }
   for (const auto caller : late) {
-    GiveUp(aNow, pending_.find(caller));
+    CancelRequest(aNow, pending_.find(caller));
   }
   for (const auto caller : stranded) {
     const auto entry = pending_.find(caller);
-    callerOfAttempt_.erase(entry->second.attempt_);
+    callerByAttempt_.erase(entry->second.attempt_);
     Park(aNow, entry, MakeUnknown(Reason::HolderUnreachable));
   }
   for (const auto caller : due) {
--- a/Libraries/LibPlacement/Placement.cpp
+++ b/Libraries/LibPlacement/Placement.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-// Hashes are written as hexadecimal text, since JSON readers of other languages
-// round numbers above 2^53.
+// Hashes are written as hexadecimal text, because JSON parsers of other languages round
+// integers above 2^53.
 std::string
 ToHex(KeyHash aHash)
 {
@@ -47,12 +47,12 @@
     return FieldError{ "servers[].state", "is not a known state: " + stateName };
   }
   server.state_ = *state;
-  BOOST_OUTCOME_TRY(const auto* unsettled, reader.List("unsettled"));
-  for (const auto& holder : *unsettled) {
+  BOOST_OUTCOME_TRY(const auto* formerHolders, reader.List("unsettled"));
+  for (const auto& holder : *formerHolders) {
     if (!holder.is_string()) {
-      return FieldError{ "servers[].unsettled", "must hold texts" };
+      return FieldError{ "servers[].unsettled", "must be a list of strings" };
     }
-    server.unsettled_.emplace_back(holder.get_string());
+    server.formerHolders_.emplace_back(holder.get_string());
   }
   return server;
 }
@@ -129,20 +129,21 @@
 }
 
 void
-Placement::JoinNeighbours(std::size_t aEvenSlices)
+Placement::MergeAdjacent(std::size_t aInitialSlices)
 {
-  const KeyHash width = std::numeric_limits<KeyHash>::max() / std::max<std::size_t>(aEvenSlices, 1);
-  std::vector<Slice> joined;
-  joined.reserve(slices_.size());
+  const KeyHash width =
+    std::numeric_limits<KeyHash>::max() / std::max<std::size_t>(aInitialSlices, 1);
+  std::vector<Slice> merged;
+  merged.reserve(slices_.size());
   for (const auto& slice : slices_) {
-    const bool isEvenCut = slice.start_ % width == 0;
-    const bool joins = !joined.empty() && !isEvenCut && !slice.IsMoving() &&
-                       !joined.back().IsMoving() && joined.back().owner_ == slice.owner_;
-    if (!joins) {
-      joined.push_back(slice);
+    const bool isInitialBoundary = slice.start_ % width == 0;
+    const bool merges = !merged.empty() && !isInitialBoundary && !slice.IsMoving() &&
+                        !merged.back().IsMoving() && merged.back().owner_ == slice.owner_;
+    if (!merges) {
+      merged.push_back(slice);
     }
   }
-  slices_ = std::move(joined);
+  slices_ = std::move(merged);
 }
 
 FieldResult<Placement>
@@ -169,7 +170,8 @@
     const bool inOrder = placement.slices_.empty() ? slice.start_ == 0
                                                    : slice.start_ > placement.slices_.back().start_;
     if (!inOrder || slice.owner_ == kNoServer) {
-      return FieldError{ "slices", "must begin at 0, rise, and each have an owner" };
+      return FieldError{ "slices",
+                         "must start at 0, be in ascending order, and each have an owner" };
     }
     placement.slices_.push_back(slice);
   }
@@ -184,15 +186,15 @@
 {
   boost::json::array servers;
   for (const auto& server : aPlacement.servers_) {
-    boost::json::array unsettled;
-    for (const auto& holder : server.unsettled_) {
-      unsettled.emplace_back(holder);
+    boost::json::array formerHolders;
+    for (const auto& holder : server.formerHolders_) {
+      formerHolders.emplace_back(holder);
     }
     boost::json::object entry{ { "name", server.name_ },
                                { "hall", server.hall_ },
                                { "fence", ToHex(server.fence_) },
                                { "state", kPlacedStateNames.NameOf(server.state_) },
-                               { "unsettled", std::move(unsettled) } };
+                               { "unsettled", std::move(formerHolders) } };
     if (!server.holder_.empty()) {
       entry["holder"] = server.holder_;
     }
--- a/Tests/Platform/TestPlatformDocuments.cpp
+++ b/Tests/Platform/TestPlatformDocuments.cpp
@@ -243,8 +243,8 @@
   const std::string text =
     R"({"rows":[{"key":"a","value":"bm9k","ver":412},{"key":"b","value":"bm9k"}],"ver":530})";
   const auto page = DecodePage(text, 3).value();
-  EXPECT_EQ(page.version_, VersionIn(3, 530));
-  EXPECT_EQ(page.rows_[0].row_.version_, VersionIn(3, 412));
+  EXPECT_EQ(page.version_, MakeVersion(3, 530));
+  EXPECT_EQ(page.rows_[0].row_.version_, MakeVersion(3, 412));
   EXPECT_GT(page.rows_[0].row_.version_, DecodePage(text, 2).value().version_);
   // A row that does not exist has no version in any epoch.
   EXPECT_EQ(page.rows_[1].row_.version_, 0U);
@@ -313,11 +313,11 @@
 {
   EXPECT_EQ(Decode(503, "").status_, StoreStatus::Unavailable);
   EXPECT_EQ(Decode(429, "").status_, StoreStatus::Unavailable);
-  EXPECT_EQ(Decode(500, "").status_, StoreStatus::Unsure);
-  EXPECT_EQ(Decode(200, "garbage").status_, StoreStatus::Unsure);
+  EXPECT_EQ(Decode(500, "").status_, StoreStatus::Indeterminate);
+  EXPECT_EQ(Decode(200, "garbage").status_, StoreStatus::Indeterminate);
   HttpExchange broken;
   broken.end_ = ExchangeEnd::Broken;
-  EXPECT_EQ(DecodeTransaction(transaction_, broken, 0).status_, StoreStatus::Unsure);
+  EXPECT_EQ(DecodeTransaction(transaction_, broken, 0).status_, StoreStatus::Indeterminate);
   broken.end_ = ExchangeEnd::NotSent;
   EXPECT_EQ(DecodeTransaction(transaction_, broken, 0).status_, StoreStatus::Unavailable);
 }
--- a/Tests/Platform/TestPlatformStore.cpp
+++ b/Tests/Platform/TestPlatformStore.cpp
@@ -32,7 +32,7 @@
       context_.run_for(std::chrono::milliseconds(5));
       context_.restart();
     }
-    return reply.value_or(StoreReply{ StoreStatus::Unsure, {} });
+    return reply.value_or(StoreReply{ StoreStatus::Indeterminate, {} });
   }
 
   boost::asio::io_context context_{ 1 };
@@ -63,7 +63,7 @@
   store_->Put("latchslip", "a", "theirs");
   ASSERT_EQ(Write("b", 0, "x").status_, StoreStatus::Done);
   EXPECT_EQ(Write("a", lost, "ours again").status_, StoreStatus::Conflict);
-  const auto theirs = VersionIn(EpochOf(lost) + 1, NumberOf(lost));
+  const auto theirs = MakeVersion(EpochOf(lost) + 1, NumberOf(lost));
   EXPECT_EQ(Write("a", theirs, "ours now").status_, StoreStatus::Done);
 }
 
@@ -74,7 +74,7 @@
   store_->SaveCopy();
   store_->RestoreCopy();
   store_->Put("latchslip", "a", "1");
-  EXPECT_EQ(Write("a", VersionIn(2, 2), "2").status_, StoreStatus::Done);
+  EXPECT_EQ(Write("a", MakeVersion(2, 2), "2").status_, StoreStatus::Done);
 }
 
 // Returns an ownership with two key ranges for each of aServers servers.
