--- a/Libraries/LibKeys/BalanceRound.cpp
+++ b/Libraries/LibKeys/BalanceRound.cpp
@@ -8,19 +8,19 @@
 
 namespace {
 
-// A move must take at least this part of the mean load off the busiest server.
+// A move must take at least this share of the mean load off the most loaded server.
 constexpr double kLeastGain = 0.04;
-// Ranges that one round takes from one server at the most, as many as can be let go
-// of together: keys that wait to be let go of have no owner.
+// Maximum number of ranges that one round takes from one server. Equals the number of releases that
+// may be outstanding to one server: keys that wait for their release have no owner.
 constexpr std::size_t kMostTakenFromOne = 64;
-// Nothing moves for load while the least busy server has more than this part of
-// the mean and the busiest is within its tolerance.
+// Nothing is moved while the least loaded server has more than this share of its fair share and the
+// most loaded one is within its tolerance.
 constexpr double kLeastPart = 0.75;
-// Loads are told from few requests. Differences of this many standard deviations
-// are taken for chance: among 200 equal servers, the busiest and the least busy
-// differ from the mean by about three.
+// Load estimates come from few requests. Deviations of fewer than this many standard deviations
+// count as noise: among 200 equally loaded servers, the most and the least loaded deviate from the
+// mean by about three.
 constexpr double kChance = 3.5;
-// But a server that has less than this part of what it should have is given more.
+// A server below this share of its fair share receives load even if the deviation could be noise.
 constexpr double kLeastPartAtAll = 0.25;
 
 } // namespace
@@ -45,7 +45,7 @@
     const auto from = shares_.Most();
     const auto move = ChooseMove();
     if (!move || ++taken[from] > kMostTakenFromOne) {
-      // One key may be all its load, or its ranges are on their way already.
+      // Its whole load may be a single key, or its ranges may already be moving.
       shares_.LeaveOut(from);
       continue;
     }
@@ -61,7 +61,8 @@
   return std::move(ownership_);
 }
 
-// A server that joined may lie far below while no other lies far above.
+// Checks both ends: after a server has joined, it can be far below its fair share while no other
+// server is far above.
 bool
 BalanceRound::IsEven() const
 {
@@ -84,9 +85,9 @@
          aRange.fence_ <= limits_.restedFence_;
 }
 
-// The receiver is filled up to the tolerance of its part only: what it got cannot
-// pass on before the former owner has let go of it. A key that has more than that
-// goes alone.
+// The receiver is filled only up to the tolerance of its fair share, because load that it has
+// received cannot move on before the former owner has released it. A key that exceeds this limit is
+// moved on its own.
 std::optional<BalanceRound::Move>
 BalanceRound::ChooseMove() const
 {
@@ -136,7 +137,7 @@
   const auto& range = ownership_.ranges_[aRange];
   KeyNumber low = range.first_;
   KeyNumber high = range.last_ + 1;
-  // The piece is [first, low); low only moves to ends that fit.
+  // The part is [first, low); low only advances to ends that fit.
   while (low < high) {
     const auto middle = low + (high - low + 1) / 2;
     if (load_.Of(range.first_, middle - 1) <= aMost) {
--- a/Libraries/LibKeys/BalanceRound.h
+++ b/Libraries/LibKeys/BalanceRound.h
@@ -10,35 +10,39 @@
 
 namespace latchslip {
 
-// How far one round of evening out may go.
+// Bounds on the changes that one rebalancing round may make.
 struct BalanceLimits
 {
-  // The busiest server may have this multiple of the mean.
+  // The most loaded server may carry up to this multiple of its fair share.
   double tolerance_ = 1;
-  // With so many ranges none is cut further.
+  // Ranges are split no further once there are this many.
   std::size_t mostRanges_ = 0;
-  // Ranges that may move.
+  // Maximum number of ranges moved in the round.
   std::size_t mostMoves_ = 0;
-  // Ranges with fences above this one have moved lately and stay.
+  // Ranges with a fence above this one moved recently and are in their cooldown; they are not
+  // moved.
   FenceNumber restedFence_ = 0;
 };
 
-// One round of evening out: moves ranges, or pieces of them, from the busiest servers
-// to the least busy ones until the load is even enough or a limit is reached.
+// One rebalancing round: greedily moves ranges, or parts of them, from the most loaded servers to
+// the least loaded ones until the load is balanced within the tolerance or a limit is reached. Used
+// by KeyBalancer.
 class BalanceRound
 {
 public:
-  // aShares is the load of the servers by aOwnership and aLoad, and is not empty.
+  // aShares is the load of the servers under aOwnership and aLoad. It must not be empty. aLoad must
+  // outlive the round.
   BalanceRound(const KeyOwnership& aOwnership,
                ServerShares aShares,
                const KeyLoad& aLoad,
                BalanceLimits aLimits);
 
-  // Once only. No value when the load is even enough, or nothing can be moved.
+  // May be called once. Returns the new ownership, or no value when the load is balanced or no move
+  // is possible.
   std::optional<KeyOwnership> Run();
 
 private:
-  // A piece of one range.
+  // A contiguous part of one range.
   struct Piece
   {
     std::size_t range_ = 0;
@@ -47,7 +51,7 @@
     double load_ = 0;
   };
 
-  // A piece to be taken from the busiest server, and who gets it.
+  // A part taken from the most loaded server, with the id of the server that receives it.
   struct Move
   {
     Piece piece_;
@@ -55,31 +59,31 @@
   };
 
   bool IsEven() const;
-  // Whether there may be more ranges than there are.
+  // Whether a range may be split without exceeding the limit on the number of ranges.
   bool MayCut() const { return ownership_.ranges_.size() < limits_.mostRanges_; }
-  // Whether a range may be taken from that server for load: it owns the range, no
-  // former owner has to let go of it first, and it has not moved lately.
+  // Whether the range may be moved away from aServer to balance load: aServer owns it, no former
+  // owner has yet to release it, and it is not in its cooldown.
   bool IsMovable(const KeyRange& aRange, const std::string& aServer) const;
-  // The move from the busiest server to the least busy one that evens out best; no
-  // value when none is worth its cost.
+  // The move off the most loaded server that improves the balance most; no value when no move gains
+  // enough to justify the interruption of its keys.
   std::optional<Move> ChooseMove() const;
-  // The piece of that server whose load comes closest to aMost from below.
+  // The part of a range of aServer with the highest load of at most aMost.
   std::optional<Piece> BestPiece(const std::string& aServer, double aMost) const;
-  // The longest piece from the beginning of a range whose load is at most aMost; no
-  // value when already the first key has more.
+  // The longest prefix of a range with a load of at most aMost; no value when the first key alone
+  // exceeds it.
   std::optional<Piece> PieceUpTo(std::size_t aRange, double aMost) const;
-  // The single key of that server with the most load of those that have at most
-  // aMost, as a piece.
+  // The single key of aServer with the highest load of at most aMost, as a part of its range.
   std::optional<Piece> HottestKey(const std::string& aServer, double aMost) const;
-  // Takes the piece from a server and counts its load at the new owner.
+  // Applies the move to the ownership and to the accounted load of both servers.
   void Carry(const std::string& aFrom, const Move& aMove);
-  // Gives a piece of a range to another server; what is left keeps its owner.
+  // Assigns part of a range to another server under a new fence; the remainder keeps its owner and
+  // fence.
   void Give(const Piece& aPiece, const std::string& aTo);
-  // Makes one range of neighbours with one owner. The owner holds the keys under
-  // either fence, so nothing stops for it.
+  // Merges adjacent ranges of one owner under a new fence. The owner keeps serving the keys under
+  // either fence, so the merge does not interrupt them.
   void MergeNeighbours();
 
-  // As the round has made it so far.
+  // The ownership with the moves made so far.
   KeyOwnership ownership_;
   ServerShares shares_;
   const KeyLoad& load_;
--- a/Libraries/LibKeys/HoldBounds.h
+++ b/Libraries/LibKeys/HoldBounds.h
@@ -9,31 +9,35 @@
 
 namespace latchslip {
 
-// Until when each server may hold keys, by all orders that it may carry out. Of this
-// placer's own orders it is known which keys they name: one that was not answered
-// keeps these keys waiting for 17 s in place of 5, and not all that its server held. Of
-// four servers that fell silent together three had one such grant; requests refused for
-// want of an owner fell from 600 a second to 100 to 200 once the other grants had run out
-// (refusals in the log, one run each).
+// Tracks until when each server may hold keys under any grant that it may still execute, including
+// grants that were sent but not acknowledged (uncertain leases). OwnershipPlacer consults it before
+// it gives the keys of a silent server to another one.
+// For the commands of this placer the keys are tracked as well, so that an unacknowledged grant
+// delays only its own keys, for 17 s instead of 5 s, and not all keys of its server. When four
+// servers failed together and three of them had one such grant each, requests refused because their
+// key had no owner dropped from 600/s to 100 to 200/s once the other grants had expired.
 class HoldBounds
 {
 public:
-  // Begins anew with the servers that may hold keys by late orders, and until when.
+  // Drops all bounds and starts with the uncertain leases that other instances reported: the
+  // servers that may hold any keys under late grants, and until when.
   void Start(std::map<std::string, Instant> aDoubts);
 
-  // A server may hold these keys until then by an order of this placer.
+  // The server may hold these keys until aUntil under a grant of this placer. Expired bounds of the
+  // server are dropped.
   void Extend(Instant aNow, const std::string& aServer, KeySpan aKeys, Instant aUntil);
-  // It may hold any keys until then by orders of former placers.
+  // The server may hold any keys until aUntil under grants of former placers.
   void SetFormer(const std::string& aServer, Instant aUntil);
-  // Orders of former placers certainly bind no server after aLatest.
+  // Caps the bounds of former placers at aLatest, when it becomes known that their grants expire by
+  // then.
   void LimitFormer(Instant aLatest);
-  // The server has acknowledged fences of this placer on all that it owns and all that
-  // it was to let go of, so that earlier orders bind it no more and late ones meet a
-  // higher fence.
+  // Drops the bounds from former placers and uncertain leases. To be called once the server has
+  // acknowledged fences of this placer on all ranges that it owns and has released all others:
+  // earlier grants are then superseded, and late ones fail against the higher fence.
   void ForgetFormer(const std::string& aServer);
 
-  // The latest of all that concern any of these keys; the beginning of time when there
-  // is none.
+  // The time by which all grants of these keys to the server have expired; Instant::min() when
+  // there are none.
   Instant Of(const std::string& aServer, KeySpan aKeys) const;
 
 private:
@@ -45,11 +49,11 @@
     Instant until_{ 0 };
   };
 
-  // By orders of this placer.
+  // Grants of this placer, with their keys.
   std::map<std::string, std::vector<KeyBound>> own_;
-  // By orders of former placers.
+  // Grants of former placers, for any key.
   Bounds former_;
-  // By orders that were not answered.
+  // Uncertain leases reported at the start, for any key.
   Bounds doubts_;
 };
 
--- a/Libraries/LibKeys/KeyBalancer.cpp
+++ b/Libraries/LibKeys/KeyBalancer.cpp
@@ -10,15 +10,14 @@
 
 namespace {
 
-// Ranges that every service is cut into at the least when it is first dealt:
-// busy keys lie close together, so each server gets several distant pieces.
+// Minimum number of ranges in the initial assignment. Busy keys tend to be neighbours, so each
+// server gets several distant ranges.
 constexpr std::size_t kFirstRanges = 64;
-// Ranges beyond this multiple of the servers (and at least the number above)
-// are not cut further: each costs an order at every renewal.
+// No range is split further beyond this many ranges per server (but at least twice the number
+// above): each range costs a command at every renewal.
 constexpr std::size_t kMostRangesPerServer = 8;
-// One range may move in a round for this many servers: keys that get hot lie close
-// together, most of them at one server, and are more than the others can take in a
-// few moves.
+// One round may move one range per this many servers. Keys that become hot are neighbours, most of
+// them at one server, and their load exceeds what the other servers can absorb in a few moves.
 constexpr std::size_t kServersAMove = 2;
 
 } // namespace
@@ -68,7 +67,7 @@
   auto next = aOwnership;
   bool isChanged = false;
   for (auto& range : next.ranges_) {
-    // A range whose former owner may still hold it waits for that first.
+    // A range whose former owner may still hold it is reassigned only once that owner is cleared.
     if (FindUsable(aServers, range.owner_) != nullptr || !range.previous_.empty()) {
       continue;
     }
--- a/Libraries/LibKeys/KeyBalancer.h
+++ b/Libraries/LibKeys/KeyBalancer.h
@@ -10,34 +10,38 @@
 
 namespace latchslip {
 
-// How readily keys move.
+// How eagerly keys are moved to balance load.
 struct KeyBalancerSettings
 {
-  // The busiest server may have this multiple of the mean.
+  // The most loaded server may carry up to this multiple of its fair share.
   double tolerance_ = 1.25;
-  // Ranges that one round may move for load, however few servers there are.
+  // Ranges that one round may move to balance load, irrespective of the number of servers.
   std::size_t leastMoves_ = 8;
 };
 
-// Decides which servers own which keys.
+// Decides which servers own which keys: the initial assignment, the replacement of owners that are
+// gone, and rebalancing by load. Each function proposes a new ownership under higher fences;
+// OwnershipPlacer commits and enforces it.
 class KeyBalancer
 {
 public:
   explicit KeyBalancer(KeyBalancerSettings aSettings);
 
-  // Gives every key an owner, when none has one yet; fences above aLastFence.
+  // Assigns all keys of a service that has no owners yet, in equal ranges round-robin over the
+  // usable servers, with fences above aLastFence. The result has no ranges when no server is
+  // usable.
   static KeyOwnership DealAll(const std::string& aService,
                               FenceNumber aLastFence,
                               const std::vector<KeyServer>& aServers);
 
-  // Gives the keys of servers that are not usable to usable ones. No value when
-  // there is nothing to change, or nobody to give them to.
+  // Reassigns the ranges of unusable servers to the least loaded usable ones. No value when nothing
+  // changes or no server is usable.
   static std::optional<KeyOwnership> Replace(const KeyOwnership& aOwnership,
                                              const std::vector<KeyServer>& aServers,
                                              const KeyLoad& aLoad);
 
-  // Evens out the load. Ranges with fences above aRestedFence have moved lately and
-  // stay. No value when the load is even enough.
+  // Rebalances the load in one BalanceRound. Ranges with a fence above aRestedFence moved recently
+  // and stay. No value when the load is balanced or no move is possible.
   std::optional<KeyOwnership> EvenOut(const KeyOwnership& aOwnership,
                                       const std::vector<KeyServer>& aServers,
                                       const KeyLoad& aLoad,
--- a/Libraries/LibKeys/KeyLoad.cpp
+++ b/Libraries/LibKeys/KeyLoad.cpp
@@ -7,10 +7,10 @@
 
 namespace {
 
-// The time after which a request counts half. The hottest keys change within
-// seconds, and shorter spans hold too few requests to tell keys apart.
+// Half-life of a request's weight. The hottest keys change within seconds, and shorter windows
+// contain too few requests to tell keys apart.
 constexpr Duration kHalfLife = milliseconds(2500);
-// What every key counts without a request, so that idle keys are shared out too.
+// Base load of each key, so that idle keys are spread over the servers as well.
 constexpr double kIdleLoad = 1e-4;
 
 } // namespace
--- a/Libraries/LibKeys/KeyLoad.h
+++ b/Libraries/LibKeys/KeyLoad.h
@@ -8,7 +8,7 @@
 
 namespace latchslip {
 
-// How often a key was asked for.
+// Number of requests for one key.
 struct KeyCount
 {
   KeyNumber key_ = 0;
@@ -17,38 +17,40 @@
   bool operator==(const KeyCount&) const = default;
 };
 
-// Collects what one instance has seen since it last reported.
+// Counts the requests per key that an instance has seen since its last load report.
 class KeyCounter
 {
 public:
   void Count(KeyNumber aKey);
-  // The counts since the last call, by key.
+  // Returns and resets the counts since the last call, sorted by key.
   std::vector<KeyCount> Take();
 
 private:
   std::vector<KeyNumber> keys_;
 };
 
-// The recent load of each key of a service; older requests count less and less.
+// Estimates the recent load of each key of a service, as an exponentially decaying count of its
+// requests.
 class KeyLoad
 {
 public:
   KeyLoad();
 
   void Add(Instant aNow, const std::vector<KeyCount>& aCounts);
-  // The load of neighbouring keys, both ends included, in recent requests.
+  // The load of the keys in [aFirst, aLast], in decayed requests, as of the last Refresh.
   double Of(KeyNumber aFirst, KeyNumber aLast) const;
   double Total() const { return Of(0, kLastKey); }
-  // The requests that the loads are told from; without what idle keys count.
+  // The decayed number of requests behind the estimate, without the base load of idle keys.
   double Counted() const;
-  // To be called before a round of questions.
+  // Applies the decay up to aNow and rebuilds the prefix sums. To be called before a series of
+  // queries.
   void Refresh(Instant aNow);
 
 private:
   void Sum();
 
   std::vector<double> loads_;
-  // sums_[k] is the load of all keys below k, as of the last Refresh.
+  // Prefix sums: sums_[k] is the load of all keys below k as of the last Refresh.
   std::vector<double> sums_;
   Instant decayedAt_ = Instant::min();
 };
--- a/Libraries/LibKeys/KeyOrder.h
+++ b/Libraries/LibKeys/KeyOrder.h
@@ -9,10 +9,11 @@
 
 namespace latchslip {
 
-// Names one order within one run of a placer.
+// Identifies a command within one run of a placer.
 using OrderNumber = std::uint64_t;
 
-// An order to a server about keys: to hold them for a while, or to let go.
+// A command to a server: take a lease on a range of keys under a fence (grant), or give the range
+// up (release).
 struct KeyOrder
 {
   OrderNumber number_ = 0;
@@ -21,33 +22,35 @@
   KeyNumber first_ = 0;
   KeyNumber last_ = 0;
   FenceNumber fence_ = 0;
-  // Whether the keys are to be let go; else they are granted.
+  // Release if set, grant otherwise.
   bool isRelease_ = false;
-  // What the former owner gave back, so that the new one need not start cold.
+  // For grants: the state that the former owner returned with its release, so that the new owner
+  // does not start cold.
   std::string handover_;
-  // How long the grant holds, counted by the server from its arrival there.
+  // For grants: lease duration, counted by the server from the arrival of the command.
   Duration hold_{ 0 };
-  // The life of the server that is meant, as in KeyServer.
+  // Incarnation of the server that is addressed, as in KeyServer.
   std::uint64_t life_ = 0;
 
   KeySpan Span() const { return { first_, last_ }; }
 };
 
-// How an order ended, as far as the placer knows.
+// How a command ended, as far as the placer knows.
 enum class OrderEnd
 {
   Done,
-  // The server has seen a higher fence on some of the keys.
+  // The server has already seen a higher fence on some of the keys.
   HigherFence,
-  // Another life answered; the one that was meant has ended.
+  // A different incarnation answered, so the addressed one has ended.
   OtherLife,
-  // No byte was sent.
+  // Nothing was sent.
   NotSent,
-  // No byte was sent, since nothing listens at the address.
+  // Nothing was sent: the connection was refused.
   Refused,
-  // The order was sent; it may be carried out now or some seconds later.
+  // The command was sent but not acknowledged; the server may still execute it, up to some seconds
+  // later.
   Unanswered,
-  // The server called the order malformed.
+  // The server rejected the command as malformed.
   Malformed,
 };
 
@@ -55,13 +58,13 @@
   { "done", "higher-fence", "other-life", "not-sent", "refused", "unanswered", "malformed" }
 };
 
-// What became of an order.
+// Result of a command.
 struct OrderOutcome
 {
   OrderEnd end_ = OrderEnd::Unanswered;
-  // What the server gave back with the keys; only for releases that are done.
+  // State that the server returned with the keys; set only for completed releases.
   std::string handover_;
-  // The server, of the life that was meant, says that it is about to end.
+  // The addressed incarnation announced in its answer that it is shutting down.
   bool isLeaving_ = false;
 };
 
--- a/Libraries/LibKeys/KeyOwnership.cpp
+++ b/Libraries/LibKeys/KeyOwnership.cpp
@@ -11,11 +11,11 @@
 
 namespace {
 
-// The members of a range in the row: first, last, owner, fence, previous.
+// Members of a range in the row: first, last, owner, fence, previous.
 constexpr std::size_t kRangeMembers = 5;
 
-// The place of a server in the row's list of servers; 0 stands for none, since
-// ids are long and each server has several ranges.
+// Numbers the servers in the row's server list, to avoid repeating their long ids in each range. 0
+// stands for no server.
 class ServerNames
 {
 public:
@@ -44,7 +44,7 @@
     return std::string();
   }
   if (aNumber > aNames.size() || !aNames[aNumber - 1].is_string()) {
-    return FieldError{ "ranges", "names a server that is not in the list" };
+    return FieldError{ "ranges", "refers to a server that is not in the server list" };
   }
   return std::string(aNames[aNumber - 1].as_string());
 }
@@ -52,7 +52,7 @@
 FieldResult<KeyRange>
 ParseRange(const boost::json::value& aValue, const boost::json::array& aNames)
 {
-  const FieldError malformed{ "ranges", "must be lists of five whole numbers" };
+  const FieldError malformed{ "ranges", "must be arrays of five unsigned integers" };
   if (!aValue.is_array() || aValue.as_array().size() != kRangeMembers) {
     return malformed;
   }
@@ -66,7 +66,7 @@
   }
   const auto [first, last, owner, fence, previous] = numbers;
   if (first > last || last > kLastKey) {
-    return FieldError{ "ranges", "must lie within the keys and not end before they begin" };
+    return FieldError{ "ranges", "must be within the key space and must not end before they start" };
   }
   KeyRange range;
   range.first_ = static_cast<KeyNumber>(first);
@@ -119,7 +119,7 @@
   result.epoch_ = std::max(aOld.epoch_, aChanges.epoch_);
   result.ranges_ = aChanges.ranges_;
   for (const auto& range : aOld.ranges_) {
-    // What the changes leave of this range, piece by piece.
+    // Keep the parts of this range that no change covers.
     KeyNumber next = range.first_;
     for (const auto& change : aChanges.ranges_) {
       if (change.last_ < next || change.first_ > range.last_) {
@@ -175,7 +175,7 @@
   BOOST_OUTCOME_TRY(const auto epoch,
                     reader.NumberOr("epoch", 0, 0, static_cast<double>(kMostEpoch)));
   ownership.epoch_ = static_cast<StoreEpoch>(epoch);
-  // All whole numbers up to here are exact in a double.
+  // Whole numbers up to here are represented exactly by a double.
   constexpr double kMostFence = 9e15;
   BOOST_OUTCOME_TRY(const auto fence, reader.NumberOr("last_fence", 0, 0, kMostFence));
   ownership.lastFence_ = static_cast<FenceNumber>(fence);
@@ -184,7 +184,7 @@
   for (const auto& entry : *ranges) {
     BOOST_OUTCOME_TRY(auto range, ParseRange(entry, *names));
     if (!ownership.ranges_.empty() && range.first_ <= ownership.ranges_.back().last_) {
-      return FieldError{ "ranges", "must rise and not overlap" };
+      return FieldError{ "ranges", "must be sorted and must not overlap" };
     }
     ownership.ranges_.push_back(std::move(range));
   }
--- a/Libraries/LibKeys/KeyOwnership.h
+++ b/Libraries/LibKeys/KeyOwnership.h
@@ -10,17 +10,16 @@
 
 namespace latchslip {
 
-// A key of a service that is divided by key number.
+// A key of a sharded service, in [0, kLastKey].
 using KeyNumber = std::uint32_t;
 
-// The largest key number.
 inline constexpr KeyNumber kLastKey = 65535;
 
-// Neighbouring keys.
+// A contiguous range of keys.
 struct KeySpan
 {
   KeyNumber first_ = 0;
-  // Included.
+  // Inclusive.
   KeyNumber last_ = 0;
 
   bool Overlaps(const KeySpan& aOther) const
@@ -30,54 +29,58 @@
   bool operator==(const KeySpan&) const = default;
 };
 
-// A number that rises whenever keys pass to another server.
+// Fencing token: increases each time keys are assigned to another server, so that servers can
+// reject commands of an earlier assignment.
 using FenceNumber = std::uint64_t;
 
-// Neighbouring keys with one owner.
+// A contiguous range of keys with a single owner.
 struct KeyRange
 {
   KeyNumber first_ = 0;
-  // Included.
+  // Inclusive.
   KeyNumber last_ = 0;
-  // The id of the server life that owns the keys.
+  // Id of the owner, one incarnation of a server.
   std::string owner_;
   FenceNumber fence_ = 0;
-  // The life that owned them before and may still hold them: nobody may serve
-  // them until it certainly does not. Empty when the owner may serve.
+  // The incarnation that owned the keys before and may still hold them: the owner must not serve
+  // them before the lease of the former one has certainly ended. Empty when the owner may serve.
   std::string previous_;
 
   KeySpan Span() const { return { first_, last_ }; }
   bool operator==(const KeyRange&) const = default;
 };
 
-// Who owns the keys of one service. The ranges do not overlap and rise.
+// The owners of all keys of one service. Ranges are sorted and do not overlap.
 struct KeyOwnership
 {
   std::string service_;
-  // The highest fence that was given out for this service when it was written.
+  // The highest fence issued for the service when this ownership was written.
   FenceNumber lastFence_ = 0;
   std::vector<KeyRange> ranges_;
-  // The store's epoch in which it was written. In a later one higher fences may have been
-  // given out by writes that the store has lost.
+  // Epoch of the store in which this ownership was written. In a later epoch, higher fences may
+  // have been issued by writes that the store has since lost.
   StoreEpoch epoch_ = 0;
 
-  // Whether it was written after the other one, as far as epochs and fences tell: not each
-  // write raises a fence.
+  // Whether this ownership was written after the other one, by epoch and fence. Two writes with the
+  // same last fence compare as equal, because not every write issues a fence.
   bool IsLaterThan(const KeyOwnership& aOther) const;
-  // The range of a key; null when the key has no owner.
+  // Whether this ownership was written after the other one, by epoch and last fence. Neither is
+  // later when both are equal, because not every write issues a fence.
   const KeyRange* Find(KeyNumber aKey) const;
   bool operator==(const KeyOwnership&) const = default;
 };
 
-// The ranges of aNew that do not stand so in aOld, with the epoch and last fence of aNew.
+// The ranges of aNew that differ from aOld, with the epoch and last fence of aNew.
 KeyOwnership
 ChangesBetween(const KeyOwnership& aOld, const KeyOwnership& aNew);
 
-// What comes of aOld when the keys of aChanges get their owners from there.
+// Applies the result of ChangesBetween to aOld: keys in aChanges get their new owner, all other
+// keys keep theirs.
 KeyOwnership
 Overlay(const KeyOwnership& aOld, const KeyOwnership& aChanges);
 
-// The text that stands in the store's row.
+// Conversion from and to the JSON text stored in the ownership row. Parsing fails with the name of
+// the malformed field.
 std::string
 SerializeOwnership(const KeyOwnership& aOwnership);
 FieldResult<KeyOwnership>
--- a/Libraries/LibKeys/KeyServer.h
+++ b/Libraries/LibKeys/KeyServer.h
@@ -11,15 +11,16 @@
 {
   std::string id_;
   std::string address_;
-  // How much it can do compared with the others.
+  // Relative capacity.
   double weight_ = 1;
-  // It lives, is not leaving, and may get keys.
+  // Alive and not leaving, so it may be assigned keys.
   bool isUsable_ = false;
-  // Tells its lives apart; 0 when that is not known. Another life holds nothing.
+  // Distinguishes the incarnations that run under one id; 0 when unknown. A new incarnation holds
+  // none of the keys of the earlier one.
   std::uint64_t life_ = 0;
 };
 
-// The server of that id if it is usable, or nothing.
+// The server with that id; null when it is not listed or not usable.
 const KeyServer*
 FindUsable(const std::vector<KeyServer>& aServers, const std::string& aId);
 
--- a/Libraries/LibKeys/OrderBook.cpp
+++ b/Libraries/LibKeys/OrderBook.cpp
@@ -6,15 +6,15 @@
 
 namespace {
 
-// Orders under way at once: each has a connection of its own, and an instance must
-// keep most of its descriptors (4,100 at the least) for its clients. When many
-// servers leave together their keys have no owner until these orders are done, and
-// each lasts as long as the work that the server still does on the keys.
+// Maximum number of outstanding commands. Each uses a connection of its own, and an instance must
+// reserve most of its file descriptors (4,100 at the least) for clients. When many servers leave at
+// once, their keys have no owner until these commands complete, and each takes as long as the
+// server's remaining work on the keys.
 constexpr std::size_t kMostOrders = 384;
-// The same to one server, as many as ranges are taken from it in a round.
+// Limit per server; equals the number of ranges that one rebalancing round takes from a server.
 constexpr std::size_t kMostOrdersAServer = 64;
-// The same to one that did not answer its last order, so that many of them do not
-// hold up the orders of the others.
+// Limit for a server that did not answer its last command, so that many such servers do not use up
+// the total limit.
 constexpr std::size_t kMostOrdersUnanswered = 2;
 
 } // namespace
--- a/Libraries/LibKeys/OrderBook.h
+++ b/Libraries/LibKeys/OrderBook.h
@@ -10,29 +10,29 @@
 
 namespace latchslip {
 
-// The orders of one placer that are under way, and how many more may be.
+// Tracks the outstanding commands of one placer and limits their number, in total and per server.
 class OrderBook
 {
 public:
-  // Forgets all orders; what comes of them is not heard any more. Numbers go on.
+  // Drops all commands; their results will be ignored. Command numbers are not reused.
   void Clear();
 
-  // Gives an order that is about to be sent its number, and notes it.
+  // Registers a command that is about to be sent, and returns it with its number set.
   KeyOrder Add(KeyOrder aOrder);
-  // Takes out an order that ended so; no value when it is not under way.
+  // Removes a command that has ended and returns it; no value when it is not outstanding.
   std::optional<KeyOrder> Take(OrderNumber aOrder, OrderEnd aEnd);
 
-  // Whether one more order may go to that server now.
+  // Whether another command may be sent to the server now.
   bool HasRoomFor(const std::string& aServer) const;
   bool HasOrderTo(const std::string& aServer) const { return ordersOf_.contains(aServer); }
-  // Whether a grant of any of these keys to that server is under way.
+  // Whether a grant of any of these keys to the server is outstanding.
   bool HasGrantTo(const std::string& aServer, KeySpan aKeys) const;
 
 private:
   std::map<OrderNumber, KeyOrder> orders_;
-  // How many of them go to each server.
+  // Number of outstanding commands per server.
   std::map<std::string, std::size_t> ordersOf_;
-  // Servers that did not answer the order that ended last.
+  // Servers that did not answer their most recently ended command.
   std::set<std::string> silent_;
   OrderNumber lastOrder_ = 0;
 };
--- a/Libraries/LibKeys/OwnershipPlacer.cpp
+++ b/Libraries/LibKeys/OwnershipPlacer.cpp
@@ -6,35 +6,36 @@
 
 namespace {
 
-// Grants are renewed this many times within their hold, so that one lost placer
-// leaves the next at least half of it to take over.
+// Renewals per lease duration. After the loss of a placer, at least half of each lease is left for
+// its successor to take over.
 constexpr int kRenewalsAHold = 3;
-// The renewals of one server follow each other, so that they share a connection;
-// one that has waited for this long goes beside those under way. A small part of
-// what is left of the hold when a renewal is due.
+// Renewals for one server are sent one after the other, to share a connection. A renewal that has
+// waited this long is sent in parallel. It is a small part of the lease time left when a renewal is
+// due.
 constexpr Duration kRenewalPatience = milliseconds(500);
-// An order that failed is sent again after this time.
+// Delay before a failed command is retried.
 constexpr Duration kOrderPause = milliseconds(250);
-// Between two rounds of evening out: the load of each key is a mean over seconds.
+// Interval between rebalancing rounds. The load estimate of a key is an average over seconds.
 constexpr Duration kRebalanceInterval = milliseconds(500);
-// A new placer evens out nothing for this long: loads come with the reports of the
-// others, which also make it known to whom news of moves must go. A report interval
-// and a little.
+// A new placer does not rebalance for this long. It waits for the load reports of the other
+// instances, which also establish which instances need updates about moves: one report interval
+// plus a margin.
 constexpr Duration kLoadSettle = milliseconds(1000);
-// A range that has moved stays for this long: its move cost it an owner for about a
-// second, and the load that it brought shows only then.
+// Cooldown of a moved range: the move leaves its keys without an owner for about a second, and the
+// load that it brings becomes visible only afterwards.
 constexpr Duration kMoveRest = milliseconds(1500);
-// How often due orders are looked for.
+// Polling interval for due commands.
 constexpr Duration kStep = milliseconds(50);
-// Refusals in a row that show, with the other signs, that a server has left.
+// Consecutive refused connections that, together with the other signs, prove that a server has
+// left.
 constexpr unsigned kProvingRefusals = 3;
-// Fences that are left out when owners are written anew in a later epoch of the store: more
-// than are given out in the seconds by which a copy of the store is old. A takeover gives
-// each range one, which are some thousands, and takes two seconds.
+// Number of fences skipped when the owners are written again in a later epoch of the store. It
+// exceeds the number of fences issued in the seconds by which a copy of the store lags behind: a
+// takeover issues one per range, a few thousand, and takes two seconds.
 constexpr FenceNumber kFencesLeftOut = FenceNumber{ 1 } << 20;
-// The first deal waits until no server has come for this long, since each one
-// that comes later must be given keys of the others; but not longer than the
-// second time.
+// The initial assignment waits until the number of servers has not changed for kServersSettle,
+// because each server that joins later must be given keys of the others; it waits kMostSettle at
+// most.
 constexpr Duration kServersSettle = milliseconds(1600);
 constexpr Duration kMostSettle = seconds(5);
 
@@ -178,7 +179,7 @@
   ForgetRaised();
   Adopt(*std::exchange(writing_, std::nullopt));
   if (isRaised) {
-    // The same owners under new fences: nothing has moved.
+    // The owners are unchanged, so no range enters its cooldown.
     restedFence_ = committed_.lastFence_;
   }
   fenceTimes_.emplace_back(aNow, committed_.lastFence_);
@@ -213,7 +214,8 @@
 {
   nextTime_ = aNow + kStep;
   if (aNow < ordersFrom_) {
-    // Nothing is written either: the row's epoch tells the next placer to wait as well.
+    // Writing is also withheld: the row's old epoch tells the next placer that it has to wait as
+    // well.
     return;
   }
   for (std::size_t index = 0; index < committed_.ranges_.size(); ++index) {
@@ -264,7 +266,7 @@
   if (aNow - serversSince_ < kServersSettle && aNow - startedAt_ < kMostSettle) {
     return std::nullopt;
   }
-  // A first deal may be lost as well, and its fences with it.
+  // An earlier initial assignment and its fences may have been lost by the store.
   const auto lastFence = std::max(committed_.lastFence_, epoch_ * kFencesLeftOut);
   auto first = KeyBalancer::DealAll(service_, lastFence, servers_);
   first.epoch_ = epoch_;
@@ -274,8 +276,8 @@
 std::optional<KeyOwnership>
 OwnershipPlacer::EvenOut(Instant aNow)
 {
-  // NOTE: Ranges on their way do not hold this up: those of a silent server wait for
-  // seconds. They stay as they are, and count at their new owners.
+  // NOTE: Moves in progress do not delay rebalancing, since those of a silent server take seconds.
+  // Ranges that are moving stay where they are and count for their new owners.
   if (aNow < nextRebalance_) {
     return std::nullopt;
   }
@@ -283,7 +285,7 @@
   return balancer_.EvenOut(committed_, servers_, load_, RestedFence(aNow));
 }
 
-// Every move raises the fence, so that the fences of ranges tell when they moved.
+// Every move raises the fence, so the fence of a range shows when it last moved.
 FenceNumber
 OwnershipPlacer::RestedFence(Instant aNow)
 {
@@ -301,7 +303,7 @@
   for (std::size_t index = 0; index < committed_.ranges_.size(); ++index) {
     const auto& range = committed_.ranges_[index];
     const auto& state = states_[index];
-    // An owner that was lost meanwhile is not waited for; it is replaced next.
+    // An owner that has since been lost is not waited for; its range is reassigned next.
     const bool isOwnerLost = FindUsable(servers_, range.owner_) == nullptr;
     const bool isSettled = state.isGranted_ || (state.isCleared_ && isOwnerLost);
     if (range.previous_.empty() || !isSettled) {
@@ -315,9 +317,9 @@
   return next;
 }
 
-// Late orders of a former placer are refused by a server that has acknowledged a
-// higher fence, so that a takeover needs no long wait later. A server that has started again
-// must not get its keys under the fence of its former life.
+// A server that has acknowledged a higher fence rejects late commands of a former placer, so that
+// no long wait is needed when its keys move later. A restarted server must not be granted its keys
+// under the fence of its earlier incarnation.
 KeyOwnership
 OwnershipPlacer::RaiseFences() const
 {
@@ -345,8 +347,8 @@
     const auto& range = committed_.ranges_[index];
     const auto& state = states_[index];
     const bool isUnconfirmed = range.owner_ == aServer && !state.isGranted_;
-    // What it is to let go of it still holds by the former placer's grants. With more
-    // ranges than orders may be under way, some releases go out after all its grants.
+    // The server still holds such a range under the former placer's grant. With more ranges than
+    // commands may be outstanding, some releases are sent after all of the server's grants.
     const bool isUnreleased = range.previous_ == aServer && !state.isCleared_;
     if (isUnconfirmed || isUnreleased) {
       return;
@@ -383,7 +385,7 @@
 const char*
 OwnershipPlacer::ReasonToClear(Instant aNow, const KeyRange& aRange, const RangeState& aState) const
 {
-  // What a grant under way bounds is known when it ends.
+  // The lease of an outstanding grant is known only when the grant ends.
   if (!orders_.HasGrantTo(aRange.previous_, aRange.Span()) &&
       aNow >= holds_.Of(aRange.previous_, aRange.Span())) {
     return "expired";
@@ -395,8 +397,8 @@
   if (life->hasEnded_) {
     return "ended";
   }
-  // A cut link may refuse connections too, but not to a server that announced
-  // its end and is listed no more.
+  // A network partition may also cause refused connections, but not for a server that announced its
+  // shutdown and is no longer listed.
   const bool hasLeft = life->isLeaving_ && !life->isListed_ && aState.refusals_ >= kProvingRefusals;
   return hasLeft ? "left" : nullptr;
 }
@@ -464,8 +466,7 @@
   if (!order.isRelease_) {
     ExtendHold(aNow, order, aOutcome.end_);
   }
-  // NOTE: A range that was cut while its order was under way gave its state to
-  // each of its parts.
+  // NOTE: When a range is split while its command is outstanding, each part inherits the state.
   for (auto* state = StateOf(aOrder); state != nullptr; state = StateOf(aOrder)) {
     state->order_ = 0;
     if (order.isRelease_) {
@@ -487,7 +488,8 @@
   const auto end = aOutcome.end_;
   aState.isCleared_ = end == OrderEnd::Done || end == OrderEnd::OtherLife;
   aState.handover_ = aOutcome.handover_;
-  // A server whose machine is taken away refuses first and is then not reached.
+  // A server whose machine is being removed first refuses connections and then becomes unreachable,
+  // so an unreachable server keeps its count of refusals.
   const bool isReached = end != OrderEnd::Refused && end != OrderEnd::NotSent;
   aState.refusals_ = isReached ? 0 : aState.refusals_ + (end == OrderEnd::Refused ? 1 : 0);
   aState.nextOrder_ = aState.isCleared_ ? aNow : aNow + kOrderPause;
@@ -504,7 +506,7 @@
 void
 OwnershipPlacer::RecordOrderEnd(const KeyOrder& aOrder, OrderEnd aEnd)
 {
-  // Grants are renewed all the time; those that went well are not worth a line.
+  // Successful grants are not logged, because they are renewed all the time.
   if (aEnd == OrderEnd::Done && !aOrder.isRelease_) {
     return;
   }
--- a/Libraries/LibKeys/OwnershipPlacer.h
+++ b/Libraries/LibKeys/OwnershipPlacer.h
@@ -20,27 +20,30 @@
 
 namespace latchslip {
 
-// The times that the placement of keys counts with.
+// Timing of the key placement.
 struct OwnershipPlacerSettings
 {
-  // How long a grant holds: twice the time in which a lost placer is replaced, and
-  // not much longer than a lost server stays listed, since the keys of a silent
-  // server wait for it.
+  // Lease duration of a grant: twice the time in which a lost placer is replaced, and not much
+  // longer than a lost server stays listed, since the keys of a silent server stay without an owner
+  // until its lease expires.
   Duration hold_ = seconds(5);
-  // How much slower than ours a server's clock may run, as a factor.
+  // Clock drift bound: how much slower than the placer's clock a server's clock may run, as a
+  // factor.
   double clockRate_ = 1.02;
-  // How late an order without an answer may be carried out.
+  // Maximum delay after which a server may still execute an unacknowledged command.
   Duration lateOrders_ = seconds(12);
-  // How long a placer that hears neither the store nor most instances renews on;
-  // the next placer counts on it.
+  // How long a placer that reaches neither the store nor most instances keeps renewing grants. Its
+  // successor relies on this bound.
   Duration renewalAlone_ = seconds(6);
   KeyBalancerSettings balancer_;
 };
 
-// Places the keys of one service: writes who owns what, and then gives orders to
-// make it so. A change stands in the store before any order of it is sent. Keys
-// that change owners name the former one until it has let go, has ended, or its
-// grants have certainly run out. It does no I/O.
+// Places the keys of one sharded service: commits the owners of all ranges to the store and then
+// sends the commands that put them into effect. Owned and driven by FleetMember. Performs no I/O
+// itself; it acts through PlacerActions.
+// Safety: a change is committed before any command for it is sent, and every change of owner raises
+// the fence of the range. A reassigned range names its former owner until that server has released
+// it, has ended, or its lease has certainly expired, so that no key has two holders at any time.
 class OwnershipPlacer
 {
 public:
@@ -49,72 +52,78 @@
                   PlacerActions& aActions,
                   EventSink& aEvents);
 
-  // Becomes the placer. aOwnership is what stands in the store, if anything;
-  // aDoubts are the servers that may hold keys by late orders, and until when.
+  // Takes over as placer. aOwnership is the content of the store's row, if there is one; aDoubts
+  // maps the servers with uncertain leases to the time until which they may hold keys.
   void Start(Instant aNow,
              std::optional<KeyOwnership> aOwnership,
              const std::map<std::string, Instant>& aDoubts);
-  // The store is in that epoch. What was written in an earlier one is written again, under
-  // fences above all that the store may have forgotten.
+  // Sets the current epoch of the store. An ownership written in an earlier epoch is written again,
+  // with fences above all those that the store may have lost.
   void SetEpoch(StoreEpoch aEpoch) { epoch_ = aEpoch; }
-  // The owners are known from a copy only, and others than these may hold keys by writes
-  // that the store has lost: nothing is ordered or written before all such grants have
-  // run out.
+  // The ownership was read from an old copy of the store, so servers that it does not name may hold
+  // keys under lost writes. No command is sent and nothing is written before all such grants have
+  // expired.
   void WaitForLostGrants(Instant aNow);
-  // The former placer certainly gives no orders any more.
+  // The former placer is known to send no more commands, so its grants expire within one lease
+  // duration.
   void OnFormerPlacerStopped(Instant aNow);
   void SetServers(Instant aNow, std::vector<KeyServer> aServers);
   void OnLoad(Instant aNow, const std::vector<KeyCount>& aCounts) { load_.Add(aNow, aCounts); }
   void OnWritten(Instant aNow);
-  // The write did not take effect, or nobody knows; the row was read again.
+  // The write failed or its outcome is unknown; aStored is the row as read afterwards.
   void OnWriteFailed(Instant aNow, KeyOwnership aStored);
   void OnOrderEnded(Instant aNow, OrderNumber aOrder, const OrderOutcome& aOutcome);
-  // Sends what is due. aMayWrite: the store answers.
+  // Sends the commands and writes that are due. aMayWrite is false while the store is unavailable.
   void OnTime(Instant aNow, bool aMayWrite);
-  // When OnTime has something to do next.
+  // Time of the next call of OnTime that has work to do.
   Instant NextTime() const { return nextTime_; }
 
 private:
-  // What this placer knows of one range beside what stands in the store.
+  // Volatile state of one range, in addition to what is stored.
   struct RangeState
   {
-    // The former owner certainly holds the range no more.
+    // The former owner certainly no longer holds the range.
     bool isCleared_ = false;
-    // The owner has acknowledged a grant under the present fence.
+    // The owner has acknowledged a grant under the current fence.
     bool isGranted_ = false;
-    // What the former owner gave back, for the owner.
+    // State returned by the former owner, to be passed to the owner.
     std::string handover_;
-    // The order under way; 0 when there is none.
+    // Outstanding command; 0 for none.
     OrderNumber order_ = 0;
-    // Releases that found nobody listening, one after the other.
+    // Consecutive releases for which the former owner's address refused the connection.
     unsigned refusals_ = 0;
     Instant nextOrder_ = Instant::min();
   };
 
-  // Takes what stands in the store; ranges that go on keep their state.
+  // Makes aOwnership the committed one; ranges whose owner and fence are unchanged keep their
+  // state.
   void Adopt(KeyOwnership aOwnership);
   static bool IsContinuation(const KeyRange& aOld, const KeyRange& aNew);
-  // What to write next; no value for nothing.
+  // The ownership to write next; no value when nothing changes.
   std::optional<KeyOwnership> Plan(Instant aNow);
   std::optional<KeyOwnership> DealFirst(Instant aNow) const;
   std::optional<KeyOwnership> EvenOut(Instant aNow);
-  // Ranges with higher fences have moved lately.
+  // The highest fence whose range may be moved again; ranges with higher fences are in their
+  // cooldown.
   FenceNumber RestedFence(Instant aNow);
-  // Notes the servers that have started again under their ids.
+  // Detects servers that have restarted under the same id.
   void NoteLives(const std::vector<KeyServer>& aServers);
-  // Drops the servers all of whose keys have higher fences with what was written.
+  // Removes from restarted_ the servers all of whose ranges get a higher fence in the ownership
+  // just written.
   void ForgetRaised();
-  // Drops the former owners that need not be waited for any more.
+  // The committed ownership without former owners that have been cleared; no value when there are
+  // none.
   std::optional<KeyOwnership> ClearSettled() const;
-  // The same owners under new fences: of all ranges that stand under fences of a former
-  // placer or epoch, else of those of servers that have started again.
+  // The committed owners under new fences: all ranges when the fences are from a former placer or
+  // epoch, otherwise the ranges of restarted servers.
   KeyOwnership RaiseFences() const;
-  // Once a server has acknowledged fences of this placer on all that it owns and all
-  // that it was to let go of.
+  // Drops the bounds that former placers' grants put on the server, once it has acknowledged fences
+  // of this placer on all ranges that it owns and has released all others.
   void ForgetFormerHold(const std::string& aServer);
-  // Sends the next order of a range when it is due.
+  // Sends the next command for a range when it is due.
   void Advance(Instant aNow, const KeyRange& aRange, RangeState& aState);
-  // Why the former owner of a range certainly does not hold it; null if it may.
+  // Why the former owner certainly no longer holds the range, as logged; null when it may still
+  // hold it.
   const char* ReasonToClear(Instant aNow, const KeyRange& aRange, const RangeState& aState) const;
   void ClearFormerOwner(Instant aNow, const KeyRange& aRange, RangeState& aState);
   void SendGrant(Instant aNow, const KeyRange& aRange, RangeState& aState);
@@ -122,9 +131,10 @@
   static void OnReleaseEnded(Instant aNow, RangeState& aState, const OrderOutcome& aOutcome);
   void OnGrantEnded(Instant aNow, RangeState& aState, OrderEnd aEnd) const;
   void RecordOrderEnd(const KeyOrder& aOrder, OrderEnd aEnd);
-  // Notes until when a grant that ended so may hold.
+  // Records until when the server may hold the keys after a grant that ended in aEnd.
   void ExtendHold(Instant aNow, const KeyOrder& aGrant, OrderEnd aEnd);
-  // A range that waits for that order, or nothing.
+  // The state of a range that waits for this command; null when there is none. A range that was
+  // split has several.
   RangeState* StateOf(OrderNumber aOrder);
 
   std::string service_;
@@ -134,30 +144,30 @@
   KeyBalancer balancer_;
   KeyLoad load_;
   std::vector<KeyServer> servers_;
-  // By id; of servers that are listed no more, too, as they may come back.
+  // Last known incarnation by server id. Includes unlisted servers, since they may return.
   std::map<std::string, std::uint64_t> lives_;
-  // Servers whose keys wait for higher fences, by id.
+  // Restarted servers whose ranges still need a higher fence, by id.
   std::set<std::string> restarted_;
-  // What stands in the store.
+  // The ownership in the store.
   KeyOwnership committed_;
-  // One for each range of committed_, in the same order.
+  // Parallel to committed_.ranges_.
   std::vector<RangeState> states_;
-  // What is being written.
+  // The outstanding write.
   std::optional<KeyOwnership> writing_;
   OrderBook orders_;
   HoldBounds holds_;
   StoreEpoch epoch_ = 0;
-  // Nothing is ordered or written before.
+  // No command is sent and nothing is written before this time.
   Instant ordersFrom_ = Instant::min();
   Instant startedAt_{ 0 };
-  // Since when the count of servers is what it is.
+  // Time of the last change in the number of servers.
   Instant serversSince_{ 0 };
   Instant nextRebalance_ = Instant::min();
-  // The last fence of each write that may still be a recent one.
+  // Time and last fence of each write within the move cooldown.
   std::deque<std::pair<Instant, FenceNumber>> fenceTimes_;
   FenceNumber restedFence_ = 0;
   Instant nextTime_ = Instant::min();
-  // Whether the ranges still stand under fences of a former placer.
+  // Whether the ranges still have fences issued by a former placer.
   bool hasFormerFences_ = false;
 };
 
--- a/Libraries/LibKeys/PlacerActions.h
+++ b/Libraries/LibKeys/PlacerActions.h
@@ -8,32 +8,33 @@
 
 namespace latchslip {
 
-// What is known of a server life, also of one that is listed no more.
+// What is known about one incarnation of a server, including incarnations that are no longer
+// listed.
 struct ServerLife
 {
   std::string address_;
   bool isListed_ = false;
-  // It said that it was about to end.
+  // It announced its shutdown.
   bool isLeaving_ = false;
-  // A later life has its address.
+  // A later incarnation listens on its address.
   bool hasEnded_ = false;
 };
 
-// Carries out what the placement decides, and tells it about servers.
+// Interface through which an OwnershipPlacer sends commands, writes to the store and looks up
+// servers.
 class PlacerActions
 {
 public:
   virtual ~PlacerActions() = default;
 
   virtual void Order(const KeyOrder& aOrder) = 0;
-  // A grant to that server was not answered and may be carried out late: until
-  // aHolds from now it may hold keys. Other instances should know, lest this one
-  // is lost.
+  // Records that a grant to the server was sent but not acknowledged, so that it may hold keys
+  // until aNow + aHolds. To be shared with the other instances in case this one is lost.
   virtual void Doubt(Instant aNow, const std::string& aServer, Duration aHolds) = 0;
-  // Writes the row of the ownership, provided that it still has the version this
-  // placer knows and that this instance is still the placer.
+  // Writes the ownership row, conditional on the row version known to this placer and on this
+  // instance still being the placer. Completes in OnWritten or OnWriteFailed.
   virtual void Write(const KeyOwnership& aOwnership) = 0;
-  // No value for lives that were never listed here.
+  // No value for incarnations that were never listed on this instance.
   virtual std::optional<ServerLife> LifeOf(const std::string& aServer) const = 0;
 };
 
--- a/Libraries/LibKeys/ServerShares.cpp
+++ b/Libraries/LibKeys/ServerShares.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-// A key that has more than this part of its server's load and cannot be shared
-// goes to the strongest server, if that is stronger by this factor at least.
+// A key with more than this share of its server's load, which cannot be split further, is moved to
+// the server with the highest weight if that weight is higher by this factor at least.
 constexpr double kDominantPart = 0.5;
 constexpr double kStrongerFactor = 1.25;
 
@@ -75,7 +75,7 @@
 double
 ServerShares::Noise(const std::string& aServer) const
 {
-  // Of counts that halve with time, the variance is half of the mean.
+  // The variance of a count with exponential decay is half of its mean.
   const double mean = counted_ * shares_.at(aServer).weight_ / totalWeight_;
   return std::sqrt(mean / 2);
 }
--- a/Libraries/LibKeys/ServerShares.h
+++ b/Libraries/LibKeys/ServerShares.h
@@ -11,8 +11,8 @@
 
 namespace latchslip {
 
-// The load of each usable server, in units of its weight. Unless IsEmpty, there is
-// a least, a most and a strongest one.
+// The load of each usable server relative to its weight. The level of a server is its load per unit
+// of weight. Except for IsEmpty, all queries require at least one usable server.
 class ServerShares
 {
 public:
@@ -20,38 +20,38 @@
                const std::vector<KeyServer>& aServers,
                const KeyLoad& aLoad);
 
-  // Counts load that a server gets; load it loses is negative.
+  // Adds load to a server; negative when load is taken away.
   void Add(const std::string& aServer, double aLoad);
 
   bool IsEmpty() const { return shares_.empty(); }
   // The server with the lowest level.
   std::string Least() const;
-  // The server with the highest level of those that are not left out.
+  // The server with the highest level among those not excluded.
   std::string Most() const;
   // The server with the highest weight.
   std::string Strongest() const;
   double LoadOf(const std::string& aServer) const { return shares_.at(aServer).load_; }
-  // The load of a server at the mean level.
+  // The fair share of the server: its load if the total were spread evenly by weight.
   double PartOf(const std::string& aServer) const
   {
     return MeanLevel() * shares_.at(aServer).weight_;
   }
   // The level of every server if the load were spread evenly.
   double MeanLevel() const { return totalLoad_ / totalWeight_; }
-  // The load that a server can get before it is at that multiple of the mean level;
-  // negative when it is beyond.
+  // The load that the server can take before it reaches aMultiple of its fair share; negative when
+  // it is beyond that.
   double Room(const std::string& aServer, double aMultiple) const;
-  // By how much the load of a server is uncertain, since it is told from few
-  // requests: one standard deviation at the mean level.
+  // Sampling error of the server's load: one standard deviation at the mean level. The load is
+  // estimated from few requests.
   double Noise(const std::string& aServer) const;
-  // Leaves a server out of Most from now on: nothing can be taken from it.
+  // Excludes a server from Most, because no load can be taken from it.
   void LeaveOut(const std::string& aServer) { leftOut_.insert(aServer); }
-  // Whether Most has a server left.
+  // Whether any server is left for Most.
   bool HasMost() const { return leftOut_.size() < shares_.size(); }
-  // The load that must pass from one to the other to bring both to one level.
+  // The load to transfer from aFrom to aTo that brings both to the same level.
   double Difference(const std::string& aFrom, const std::string& aTo) const;
-  // Whether a key too hot to be shared is better off at another server, which is
-  // then relieved of its other keys.
+  // Whether a single key with load aLoad that is too hot to share its server fits better on aTo,
+  // which is then relieved of its other keys.
   bool IsBetterPlace(const std::string& aFrom, const std::string& aTo, double aLoad) const;
 
 private:
@@ -60,7 +60,7 @@
     double load_ = 0;
     double weight_ = 1;
 
-    // The load for each unit of the weight.
+    // Load per unit of weight.
     double Level() const { return load_ / weight_; }
   };
 
@@ -68,7 +68,7 @@
   std::set<std::string> leftOut_;
   double totalLoad_ = 0;
   double totalWeight_ = 0;
-  // The requests that the loads are told from.
+  // Number of requests that the load is estimated from.
   double counted_ = 0;
 };
 
--- a/Tests/LibKeys/PlacerWorld.h
+++ b/Tests/LibKeys/PlacerWorld.h
@@ -11,9 +11,9 @@
 
 namespace latchslip {
 
-// Servers that hold keys, a row in a store, and placers, on a hand-turned clock.
-// It checks after each step that no key is held by two servers that are up, and
-// that fences rise with each change of the holder.
+// Simulates servers that hold keys, a row in a store and placers, on a simulated clock. After each
+// step it checks that no key is held by two running servers, and that the fence rises with each
+// change of the holder.
 class PlacerWorld : public EventSink
 {
 public:
@@ -33,13 +33,14 @@
     bool isUp_ = true;
     bool isListed_ = true;
     bool isLeaving_ = false;
-    // Nobody reaches it, and it reaches nobody.
+    // Partitioned from all placers.
     bool isCut_ = false;
-    // Orders are taken late and not answered.
+    // Commands are executed late and not acknowledged.
     bool isLate_ = false;
-    // Tells its starts under one id apart.
+    // Distinguishes the incarnations that run under one id.
     std::uint64_t life_ = 1;
-    // How long its work goes on after a release, whose answer waits for it.
+    // How long the work in progress continues after a release, which is acknowledged only after
+    // that.
     Duration workTime_{ 0 };
     std::map<KeyNumber, Holding> held_;
     std::map<KeyNumber, FenceNumber> seen_;
@@ -87,7 +88,7 @@
     return server;
   }
 
-  // The server starts again under its id, and knows nothing of before.
+  // Restarts the server under its id with empty state.
   static void Restart(Server& aServer)
   {
     aServer.held_.clear();
@@ -96,8 +97,8 @@
     ++aServer.life_;
   }
 
-  // Makes a new placer the one that the row names; the former is told nothing. It knows
-  // what stands in the store.
+  // Makes a new placer the one named in the row, without notice to the former one. The new placer
+  // knows only what is in the store.
   Placer& TakeOver()
   {
     auto& placer = TakeOverKnowing(stored_);
@@ -107,11 +108,11 @@
     return placer;
   }
 
-  // The same of an instance that has heard of all writes.
+  // Like TakeOver, for an instance that has received all writes.
   Placer& TakeOverRemembering() { return TakeOverKnowing(latest_); }
 
   void TakeCopy() { copy_ = stored_; }
-  // The store goes on from the copy.
+  // Restores the store from the copy, in a new epoch.
   void ReturnFromCopy()
   {
     stored_ = copy_;
@@ -137,7 +138,7 @@
     }
   }
 
-  // How many keys a server that is up holds under the row's fence.
+  // Number of keys that a running server holds as the owner in the row.
   std::size_t ServedKeys() const
   {
     std::size_t served = 0;
@@ -151,7 +152,7 @@
     return served;
   }
 
-  // Keys stand for blocks of this many, so that a step is quick.
+  // Each simulated key stands for a block of this many, to keep a step cheap.
   static constexpr KeyNumber kBlock = 256;
   static constexpr std::size_t kBlocks = (kLastKey + 1) / kBlock;
 
@@ -166,11 +167,11 @@
   OwnershipPlacerSettings settings_;
   std::vector<std::unique_ptr<Placer>> placers_;
   std::size_t changes_ = 0;
-  // Orders that were, or will be, taken late.
+  // Number of commands sent to servers that execute them late.
   std::size_t lateOrders_ = 0;
-  // Until when releases find no way to their servers.
+  // Releases fail as not sent until then.
   Instant releasesUnsentUntil_ = Instant::min();
-  // Orders that were under way to one server at once, at the most.
+  // Maximum number of events (commands or answers) outstanding at once for one server.
   std::size_t mostTogether_ = 0;
   std::minstd_rand random_;
 
@@ -190,7 +191,7 @@
     Instant at_{ 0 };
     Placer* placer_ = nullptr;
     KeyOrder order_;
-    // The server takes the order; else its answer arrives.
+    // Arrival of the command at the server; otherwise arrival of its answer.
     bool isArrival_ = true;
     bool isAnswered_ = true;
     OrderOutcome outcome_;
@@ -322,7 +323,7 @@
         holders_[key] = holder;
       }
       fences_[key] = std::max(fences_[key], aOrder.fence_);
-      // A server's clock may run slow.
+      // Clock drift of the server.
       constexpr double kSlow = 1.02;
       aServer.held_[key] = { aOrder.fence_,
                              now_ + Duration(static_cast<Duration::rep>(
--- a/Tests/LibKeys/TestKeyBalancer.cpp
+++ b/Tests/LibKeys/TestKeyBalancer.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr Instant kNow = seconds(100);
-// No range has moved lately.
+// No range is in its cooldown.
 constexpr FenceNumber kAnyFence = std::numeric_limits<FenceNumber>::max();
 
 std::vector<KeyServer>
@@ -46,7 +46,7 @@
     EXPECT_EQ(next, kLastKey + 1);
   }
 
-  // As if all moves had ended.
+  // Completes all moves.
   static KeyOwnership Settle(KeyOwnership aOwnership)
   {
     for (auto& range : aOwnership.ranges_) {
@@ -186,14 +186,14 @@
     }
   }
   EXPECT_EQ(ownership.Find(77)->owner_, "c");
-  // Its own part, with the tolerance; with the key alone it has most of that.
+  // Its fair share plus the tolerance; the hot key alone is most of that.
   constexpr double kWeights = 4.5;
   EXPECT_LT(LoadByServer(ownership)["c"], 1.25 * load_.Total() * servers_[2].weight_ / kWeights);
 }
 
 TEST_F(KeysOfFourServers, OneServerCannotBeRelieved_TheOthersAreEvenedOutAllTheSame)
 {
-  // All of c is one key that nobody else could take; a has two busy ranges.
+  // The whole load of c is one key that no other server could take; a has two busy ranges.
   std::vector<KeyCount> counts{ { dealt_.ranges_[2].first_, 1000 } };
   for (const std::size_t index : { 0U, 4U }) {
     for (KeyNumber key = 0; key < 100; ++key) {
@@ -239,7 +239,7 @@
   for (KeyNumber key = 0; key < kLastKey; key += 32) {
     counts.push_back({ key, 10 });
   }
-  // As much as a tenth of all the others together, at one server.
+  // A tenth of the load of all other keys, concentrated on one server.
   for (KeyNumber key = 0; key < 200; ++key) {
     counts.push_back({ dealt_.ranges_[70].first_ + key, 10 });
   }
@@ -252,7 +252,7 @@
     loads[range.owner_] += load_.Of(range.first_, range.last_);
   }
   const double mean = load_.Total() / kServers;
-  // The busiest had 16 times the mean.
+  // The most loaded server had 16 times the mean.
   for (const auto& [server, share] : loads) {
     EXPECT_LT(share, 1.5 * mean) << server;
   }
@@ -261,7 +261,7 @@
 TEST_F(KeysOfManyServers, LoadsDifferByChance_NothingMoves)
 {
   std::minstd_rand random(7);
-  // Six requests a second to each server on average, over twenty seconds.
+  // On average six requests a second to each server, over twenty seconds.
   for (int step = 0; step < 200; ++step) {
     for (std::size_t request = 0; request < 6 * kServers / 10; ++request) {
       load_.Add(kNow, { { std::uniform_int_distribution<KeyNumber>(0, kLastKey)(random), 1 } });
--- a/Tests/LibKeys/TestOrderBook.cpp
+++ b/Tests/LibKeys/TestOrderBook.cpp
@@ -15,7 +15,7 @@
   return order;
 }
 
-// Adds grants until there is room for no more; how many.
+// Adds grants until the limit is reached, and returns their number.
 std::size_t
 Fill(OrderBook& aBook, const std::string& aServer)
 {
--- a/Tests/LibKeys/TestOwnershipPlacer.cpp
+++ b/Tests/LibKeys/TestOwnershipPlacer.cpp
@@ -18,7 +18,7 @@
     world_.Pass(seconds(4));
   }
 
-  // The store comes back from a copy, and the placer is lost with it.
+  // Restores the store from a copy and replaces the placer.
   PlacerWorld::Placer& TakeOverFromACopy()
   {
     world_.TakeCopy();
@@ -31,8 +31,7 @@
 
   void ExpectAllServed() const { EXPECT_EQ(world_.ServedKeys(), PlacerWorld::kBlocks); }
 
-  // How long until all keys are served again, up to a minute. The world stands still
-  // after a failure.
+  // Time until all keys are served again, one minute at most. The simulation stops after a failure.
   Duration TimeUntilServed()
   {
     const auto begin = world_.now_;
@@ -153,7 +152,8 @@
   }
 }
 
-// A grant under the former fence would give the keys to another life.
+// Guards against granting the keys to a restarted server under the fence of its earlier
+// incarnation.
 TEST_F(PlacedKeysOfThreeServers, ServerStartsAgainWhileTheStoreIsDown_GetsItsKeysAfterItsReturn)
 {
   world_.isStoreDown_ = true;
@@ -232,7 +232,7 @@
   server.isCut_ = true;
   server.isListed_ = false;
   world_.Pass(seconds(6));
-  // A service is first dealt in 64 ranges.
+  // The initial assignment has 64 ranges.
   EXPECT_EQ(world_.ServedKeys(), PlacerWorld::kBlocks - late * PlacerWorld::kBlocks / 64);
   EXPECT_GT(TimeUntilServed(), seconds(6));
 }
@@ -262,7 +262,7 @@
   for (int number = 0; number < kServers; number += 2) {
     world_.servers_.at(IdOf(number)).isLeaving_ = true;
   }
-  // The work, and the steps before and after it.
+  // The work in progress, plus the steps before and after it.
   world_.Pass(milliseconds(1100));
   EXPECT_EQ(world_.ServedKeys(), PlacerWorld::kBlocks);
 }
@@ -284,12 +284,12 @@
 {
   PlacerWorld world;
   world.AddServer("s1", "s1:80").isLate_ = true;
-  // So many that its orders do not fill the placer's allowance.
+  // Enough servers that the commands to s1 do not use up the limit of the placer.
   for (const auto* id : { "s2", "s3", "s4", "s5", "s6", "s7", "s8" }) {
     world.AddServer(id, std::string(id) + ":80");
   }
   world.TakeOver();
-  // Long enough to be dealt, too short for the first answers to be missed.
+  // Long enough for the initial assignment, too short for the first grants to time out.
   world.Pass(milliseconds(2200));
   world.servers_.at("s1").isLeaving_ = true;
   world.Pass(seconds(40));
@@ -329,8 +329,9 @@
   ExpectAllServed();
 }
 
-// A server acknowledges what it still owns while the keys that it is to let go of wait
-// for their first order: so many orders are due at a takeover that not all go out at once.
+// Guards against dropping the bounds of a former placer's grants too early: a server acknowledges
+// the ranges that it still owns while those that it must release wait for their first command,
+// because a takeover has more commands due than may be outstanding.
 TEST_F(PlacedKeysOfThreeServers, PlacerIsLostWithinAMoveAndReleasesMustWait_KeysWaitForThem)
 {
   auto ownership = *world_.stored_;
@@ -342,7 +343,8 @@
   }
   world_.Stop(*placer_);
   world_.stored_ = ownership;
-  // The first releases are not sent; by the time of the next its grants have been answered.
+  // The first releases are not sent; by the time of the next ones, the grants of s1 are
+  // acknowledged.
   world_.releasesUnsentUntil_ = world_.now_ + milliseconds(100);
   world_.TakeOver();
   world_.Pass(seconds(2));
@@ -386,7 +388,7 @@
   ExpectAllServed();
 }
 
-// Faults in random order; the world checks the owners at each step.
+// Injects faults in random order; PlacerWorld checks the holders at each step.
 class WalkOfFaults : public testing::TestWithParam<std::uint32_t>
 {
 protected:
@@ -446,7 +448,7 @@
 
   void Join(const std::string& aAddress)
   {
-    // Ids rise, so that of two lives at one address the later is known.
+    // Ids increase, which identifies the later of two incarnations at one address.
     world_.AddServer("t" + std::to_string(1000 + ++joined_), aAddress);
   }
 
@@ -475,12 +477,12 @@
     Strike();
     world_.Pass(milliseconds(50 + world_.random_() % 1500));
   }
-  // When the faults end, all keys are served again.
+  // All keys are served again after the faults end.
   world_.isStoreDown_ = false;
   for (auto& [id, server] : world_.servers_) {
     server.isCut_ = false;
     server.isLate_ = false;
-    // Records of servers that are down lapse.
+    // Records of stopped servers expire.
     server.isListed_ = server.isListed_ && server.isUp_;
   }
   Join("last:80");
@@ -488,8 +490,6 @@
   EXPECT_EQ(world_.ServedKeys(), PlacerWorld::kBlocks);
 }
 
-// Placers lost one after the other, each with moves under way that its successor finds half
-// done: hot keys that wander cause them, neighbours merge, and servers take a while to let go.
 TEST_F(PlacedKeysOfThreeServers,
        StoreComesBackFromAnOlderCopy_OwnersAreWrittenAgainUnderHigherFences)
 {
@@ -524,6 +524,9 @@
   EXPECT_EQ(world_.ServedKeys(), PlacerWorld::kBlocks);
 }
 
+// Replaces placers one after the other while moves are in progress, which each successor has to
+// finish. Hot key ranges that change cause the moves, adjacent ranges are merged, and servers take
+// a while to release keys.
 class WalkOfLostPlacers : public testing::TestWithParam<std::uint32_t>
 {
 protected:
@@ -540,7 +543,7 @@
     world_.Pass(seconds(4));
   }
 
-  // Some neighbouring keys get most of the load.
+  // Gives most of the load to a range of neighbouring keys.
   void HeatUp()
   {
     std::vector<KeyCount> counts;
@@ -580,9 +583,9 @@
 
 using WalkOfStoreReturns = WalkOfLostPlacers;
 
-// The store comes back from copies that lack the last moves, and placers are lost with it:
-// sometimes for one that remembers what was written, sometimes for one that has just started.
-// A lost placer still renews for as long as it may without the store.
+// The store is restored from copies that lack the last moves, and placers are lost with it. The
+// successor has either received all writes or has just started, and a lost placer still renews
+// grants for as long as it may without the store.
 TEST_P(WalkOfStoreReturns, WritesAreLost_NoKeyHasTwoHoldersAndFencesRise)
 {
   for (int step = 0; step < 12 && !HasFailure(); ++step) {
