--- a/Benchmarks/BenchGateway.cpp
+++ b/Benchmarks/BenchGateway.cpp
@@ -75,7 +75,7 @@
   RequestDesk desk({ "hall", {}, 1 }, directory, actions, permits, events);
   desk.SetInstances(10);
   desk.SetRoutes(now, MakeRoutes(aIsKeyed));
-  desk.SetOwnership(now, KeyBalancer::DealAll("rates", 0, servers));
+  desk.SetOwnership(now, KeyBalancer::AssignAll("rates", 0, servers));
   RequestNumber number = 0;
   for (auto _ : aState) {
     ++number;
@@ -157,7 +157,7 @@
 BM_EvenOutKeys(benchmark::State& aState)
 {
   const auto servers = MakeServers(static_cast<std::size_t>(aState.range(0)));
-  const auto ownership = KeyBalancer::DealAll("rates", 0, servers);
+  const auto ownership = KeyBalancer::AssignAll("rates", 0, servers);
   KeyLoad load;
   std::vector<KeyCount> counts;
   for (KeyNumber key = 1000; key < 1200; ++key) {
--- a/Libraries/LibDaemon/GatewayCodec.h
+++ b/Libraries/LibDaemon/GatewayCodec.h
@@ -30,8 +30,9 @@
   // The header by which an answer names the request it belongs to.
   virtual std::string EchoHeader() const = 0;
 
-  virtual HttpRequest EncodeOrder(const KeyOrder& aOrder) const = 0;
-  virtual OrderOutcome DecodeOrder(const KeyOrder& aOrder, const HttpExchange& aExchange) const = 0;
+  virtual HttpRequest EncodeCommand(const KeyCommand& aCommand) const = 0;
+  virtual CommandOutcome DecodeCommand(const KeyCommand& aCommand,
+                                       const HttpExchange& aExchange) const = 0;
 };
 
 } // namespace latchslip
--- a/Libraries/LibDaemon/GatewayHost.cpp
+++ b/Libraries/LibDaemon/GatewayHost.cpp
@@ -235,21 +235,21 @@
     };
   }
 
-  void Order(const std::string& aService, const KeyOrder& aOrder) override
+  void SendCommand(const std::string& aService, const KeyCommand& aCommand) override
   {
     ExchangeOptions options;
     options.timeout_ = kOrderTimeout;
     options.connectTimeout_ = kOrderConnectTimeout;
     options.mostIdle_ = kOrderIdle;
-    orders_->Send(aOrder.address_,
-                  codec_.EncodeOrder(aOrder),
+    orders_->Send(aCommand.address_,
+                  codec_.EncodeCommand(aCommand),
                   std::move(options),
-                  [this, aService, aOrder](const HttpExchange& aExchange) {
-                    const auto outcome = codec_.DecodeOrder(aOrder, aExchange);
+                  [this, aService, aCommand](const HttpExchange& aExchange) {
+                    const auto outcome = codec_.DecodeCommand(aCommand, aExchange);
                     if (outcome.isLeaving_) {
-                      member_.OnToldLeaving(MonotonicNow(), aOrder.server_, aOrder.life_);
+                      member_.OnToldLeaving(MonotonicNow(), aCommand.server_, aCommand.life_);
                     }
-                    member_.OnOrderEnded(MonotonicNow(), aService, aOrder.number_, outcome);
+                    member_.OnCommandEnded(MonotonicNow(), aService, aCommand.number_, outcome);
                   });
   }
 
--- a/Libraries/LibFleet/FleetMember.h
+++ b/Libraries/LibFleet/FleetMember.h
@@ -33,8 +33,8 @@
   virtual void Transact(const Transaction& aTransaction) = 0;
   // How the store is to be followed from now on.
   virtual void Follow(Following aHow, const TableVersions& aKnown) = 0;
-  // The answer goes to OnOrderEnded.
-  virtual void Order(const std::string& aService, const KeyOrder& aOrder) = 0;
+  // The answer goes to OnCommandEnded.
+  virtual void SendCommand(const std::string& aService, const KeyCommand& aCommand) = 0;
   // The answer goes to OnReportAnswered.
   virtual void SendReport(const std::string& aAddress, const InstanceReport& aReport) = 0;
   // Tells other instances what they have not asked for.
@@ -98,10 +98,10 @@
   void OnStoreLost(Instant aNow);
   void OnStoreRegained(Instant aNow);
   void OnTransactEnded(Instant aNow, const StoreReply& aReply);
-  void OnOrderEnded(Instant aNow,
-                    const std::string& aService,
-                    OrderNumber aOrder,
-                    const OrderOutcome& aOutcome);
+  void OnCommandEnded(Instant aNow,
+                      const std::string& aService,
+                      CommandNumber aCommand,
+                      const CommandOutcome& aOutcome);
   // An answer of that life of a server says that it is about to end.
   void OnToldLeaving(Instant aNow, const std::string& aServer, std::uint64_t aLife);
   ReportAnswer OnReport(Instant aNow, const InstanceReport& aReport);
--- a/Libraries/LibFleet/PlacerDuty.cpp
+++ b/Libraries/LibFleet/PlacerDuty.cpp
@@ -67,7 +67,7 @@
     placer->placer_.Start(
       aNow, owned == nullptr ? std::nullopt : std::optional(owned->ownership_), doubts_);
     if (owned != nullptr && owned->isFromCopyOnly_) {
-      placer->placer_.WaitForLostGrants(aNow);
+      placer->placer_.BlockUntilLostGrantsExpire(aNow);
     }
     if (formerPlacer_ == settings_.self_.instance_) {
       placer->placer_.OnFormerPlacerStopped(aNow);
@@ -110,7 +110,7 @@
 bool
 FleetMember::MayOrder(Instant aNow) const
 {
-  const auto bound = settings_.placer_.renewalAlone_;
+  const auto bound = settings_.placer_.isolatedRenewalTime_;
   if (aNow - storeHeardAt_ < bound) {
     return true;
   }
@@ -386,13 +386,13 @@
 }
 
 void
-FleetMember::OnOrderEnded(Instant aNow,
-                          const std::string& aService,
-                          OrderNumber aOrder,
-                          const OrderOutcome& aOutcome)
+FleetMember::OnCommandEnded(Instant aNow,
+                            const std::string& aService,
+                            CommandNumber aCommand,
+                            const CommandOutcome& aOutcome)
 {
   if (const auto placer = placers_.find(aService); placer != placers_.end()) {
-    placer->second->placer_.OnOrderEnded(aNow, aOrder, aOutcome);
+    placer->second->placer_.OnCommandEnded(aNow, aCommand, aOutcome);
   }
 }
 
--- a/Libraries/LibFleet/ServicePlacer.h
+++ b/Libraries/LibFleet/ServicePlacer.h
@@ -15,7 +15,10 @@
   {
   }
 
-  void Order(const KeyOrder& aOrder) override { member_.actions_.Order(service_, aOrder); }
+  void SendCommand(const KeyCommand& aCommand) override
+  {
+    member_.actions_.SendCommand(service_, aCommand);
+  }
   std::optional<ServerLife> LifeOf(const std::string& aServer) const override
   {
     const auto& directory = member_.Directory();
@@ -28,7 +31,7 @@
                        record->IsLeaving(),
                        directory.HasEnded(aServer) };
   }
-  void Doubt(Instant aNow, const std::string& aServer, Duration aHolds) override
+  void RecordUncertainLease(Instant aNow, const std::string& aServer, Duration aHolds) override
   {
     member_.SpreadDoubt(aNow, { aServer, aHolds });
   }
--- a/Libraries/LibKeys/KeyBalancer.cpp
+++ b/Libraries/LibKeys/KeyBalancer.cpp
@@ -28,9 +28,9 @@
 }
 
 KeyOwnership
-KeyBalancer::DealAll(const std::string& aService,
-                     FenceNumber aLastFence,
-                     const std::vector<KeyServer>& aServers)
+KeyBalancer::AssignAll(const std::string& aService,
+                       FenceNumber aLastFence,
+                       const std::vector<KeyServer>& aServers)
 {
   KeyOwnership ownership;
   ownership.service_ = aService;
--- a/Libraries/LibKeys/KeyBalancer.h
+++ b/Libraries/LibKeys/KeyBalancer.h
@@ -30,9 +30,9 @@
   // Assigns all keys of a service that has no owners yet, in equal ranges round-robin over the
   // usable servers, with fences above aLastFence. The result has no ranges when no server is
   // usable.
-  static KeyOwnership DealAll(const std::string& aService,
-                              FenceNumber aLastFence,
-                              const std::vector<KeyServer>& aServers);
+  static KeyOwnership AssignAll(const std::string& aService,
+                                FenceNumber aLastFence,
+                                const std::vector<KeyServer>& aServers);
 
   // Reassigns the ranges of unusable servers to the least loaded usable ones. No value when nothing
   // changes or no server is usable.
--- a/Libraries/LibKeys/KeyOrder.h
+++ b/Libraries/LibKeys/KeyCommand.h
@@ -10,13 +10,13 @@
 namespace latchslip {
 
 // Identifies a command within one run of a placer.
-using OrderNumber = std::uint64_t;
+using CommandNumber = std::uint64_t;
 
 // A command to a server: take a lease on a range of keys under a fence (grant), or give the range
 // up (release).
-struct KeyOrder
+struct KeyCommand
 {
-  OrderNumber number_ = 0;
+  CommandNumber number_ = 0;
   std::string server_;
   std::string address_;
   KeyNumber first_ = 0;
@@ -28,7 +28,7 @@
   // does not start cold.
   std::string handover_;
   // For grants: lease duration, counted by the server from the arrival of the command.
-  Duration hold_{ 0 };
+  Duration leaseDuration_{ 0 };
   // Incarnation of the server that is addressed, as in KeyServer.
   std::uint64_t life_ = 0;
 
@@ -36,7 +36,7 @@
 };
 
 // How a command ended, as far as the placer knows.
-enum class OrderEnd
+enum class CommandStatus
 {
   Done,
   // The server has already seen a higher fence on some of the keys.
@@ -54,14 +54,14 @@
   Malformed,
 };
 
-inline constexpr NameTable<OrderEnd, 7> kOrderEndNames{
+inline constexpr NameTable<CommandStatus, 7> kCommandStatusNames{
   { "done", "higher-fence", "other-life", "not-sent", "refused", "unanswered", "malformed" }
 };
 
 // Result of a command.
-struct OrderOutcome
+struct CommandOutcome
 {
-  OrderEnd end_ = OrderEnd::Unanswered;
+  CommandStatus end_ = CommandStatus::Unanswered;
   // State that the server returned with the keys; set only for completed releases.
   std::string handover_;
   // The addressed incarnation announced in its answer that it is shutting down.
--- a/Libraries/LibKeys/OrderBook.cpp
+++ b/Libraries/LibKeys/OrderBook.cpp
@@ -27,8 +27,8 @@
   silent_.clear();
 }
 
-KeyOrder
-OrderBook::Add(KeyOrder aOrder)
+KeyCommand
+OrderBook::Add(KeyCommand aOrder)
 {
   aOrder.number_ = ++lastOrder_;
   ++ordersOf_[aOrder.server_];
@@ -36,8 +36,8 @@
   return aOrder;
 }
 
-std::optional<KeyOrder>
-OrderBook::Take(OrderNumber aOrder, OrderEnd aEnd)
+std::optional<KeyCommand>
+OrderBook::Take(CommandNumber aOrder, CommandStatus aEnd)
 {
   const auto found = orders_.find(aOrder);
   if (found == orders_.end()) {
@@ -48,7 +48,7 @@
   if (--ordersOf_.at(order.server_) == 0) {
     ordersOf_.erase(order.server_);
   }
-  if (aEnd == OrderEnd::Unanswered || aEnd == OrderEnd::NotSent) {
+  if (aEnd == CommandStatus::Unanswered || aEnd == CommandStatus::NotSent) {
     silent_.insert(order.server_);
   } else {
     silent_.erase(order.server_);
--- a/Libraries/LibKeys/OrderBook.h
+++ b/Libraries/LibKeys/OrderBook.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "LibKeys/KeyOrder.h"
+#include "LibKeys/KeyCommand.h"
 
 #include <cstddef>
 #include <map>
@@ -18,9 +18,9 @@
   void Clear();
 
   // Registers a command that is about to be sent, and returns it with its number set.
-  KeyOrder Add(KeyOrder aOrder);
+  KeyCommand Add(KeyCommand aOrder);
   // Removes a command that has ended and returns it; no value when it is not outstanding.
-  std::optional<KeyOrder> Take(OrderNumber aOrder, OrderEnd aEnd);
+  std::optional<KeyCommand> Take(CommandNumber aOrder, CommandStatus aEnd);
 
   // Whether another command may be sent to the server now.
   bool HasRoomFor(const std::string& aServer) const;
@@ -29,12 +29,12 @@
   bool HasGrantTo(const std::string& aServer, KeySpan aKeys) const;
 
 private:
-  std::map<OrderNumber, KeyOrder> orders_;
+  std::map<CommandNumber, KeyCommand> orders_;
   // Number of outstanding commands per server.
   std::map<std::string, std::size_t> ordersOf_;
   // Servers that did not answer their most recently ended command.
   std::set<std::string> silent_;
-  OrderNumber lastOrder_ = 0;
+  CommandNumber lastOrder_ = 0;
 };
 
 } // namespace latchslip
--- a/Libraries/LibKeys/OwnershipPlacer.cpp
+++ b/Libraries/LibKeys/OwnershipPlacer.cpp
@@ -47,10 +47,10 @@
          " previous=" + (aRange.previous_.empty() ? "-" : aRange.previous_);
 }
 
-KeyOrder
+KeyCommand
 MakeOrder(const KeyRange& aRange, const std::string& aServer, const std::string& aAddress)
 {
-  KeyOrder order;
+  KeyCommand order;
   order.server_ = aServer;
   order.address_ = aAddress;
   order.first_ = aRange.first_;
@@ -94,7 +94,8 @@
   if (!aOwnership) {
     return;
   }
-  const auto until = aNow + settings_.renewalAlone_ + Scale(settings_.hold_, settings_.clockRate_);
+  const auto until = aNow + settings_.isolatedRenewalTime_ +
+                     Scale(settings_.leaseDuration_, settings_.clockDriftFactor_);
   for (const auto& range : aOwnership->ranges_) {
     holds_.SetFormer(range.owner_, until);
     if (!range.previous_.empty()) {
@@ -107,15 +108,16 @@
 void
 OwnershipPlacer::OnFormerPlacerStopped(Instant aNow)
 {
-  const auto latest = aNow + Scale(settings_.hold_, settings_.clockRate_);
+  const auto latest = aNow + Scale(settings_.leaseDuration_, settings_.clockDriftFactor_);
   holds_.LimitFormer(latest);
   ordersFrom_ = std::min(ordersFrom_, latest);
 }
 
 void
-OwnershipPlacer::WaitForLostGrants(Instant aNow)
+OwnershipPlacer::BlockUntilLostGrantsExpire(Instant aNow)
 {
-  ordersFrom_ = aNow + settings_.renewalAlone_ + Scale(settings_.hold_, settings_.clockRate_);
+  ordersFrom_ = aNow + settings_.isolatedRenewalTime_ +
+                Scale(settings_.leaseDuration_, settings_.clockDriftFactor_);
 }
 
 void
@@ -268,7 +270,7 @@
   }
   // An earlier initial assignment and its fences may have been lost by the store.
   const auto lastFence = std::max(committed_.lastFence_, epoch_ * kFencesLeftOut);
-  auto first = KeyBalancer::DealAll(service_, lastFence, servers_);
+  auto first = KeyBalancer::AssignAll(service_, lastFence, servers_);
   first.epoch_ = epoch_;
   return first.ranges_.empty() ? std::nullopt : std::optional(std::move(first));
 }
@@ -431,23 +433,23 @@
   }
   auto order = MakeOrder(aRange, aRange.owner_, server->address_);
   order.handover_ = aState.handover_;
-  order.hold_ = settings_.hold_;
+  order.leaseDuration_ = settings_.leaseDuration_;
   SendOrder(aState, std::move(order));
 }
 
 void
-OwnershipPlacer::SendOrder(RangeState& aState, KeyOrder aOrder)
+OwnershipPlacer::SendOrder(RangeState& aState, KeyCommand aOrder)
 {
   if (const auto life = lives_.find(aOrder.server_); life != lives_.end()) {
     aOrder.life_ = life->second;
   }
   const auto order = orders_.Add(std::move(aOrder));
   aState.order_ = order.number_;
-  actions_.Order(order);
+  actions_.SendCommand(order);
 }
 
 OwnershipPlacer::RangeState*
-OwnershipPlacer::StateOf(OrderNumber aOrder)
+OwnershipPlacer::StateOf(CommandNumber aOrder)
 {
   const auto state = std::find_if(states_.begin(), states_.end(), [&](const RangeState& aState) {
     return aState.order_ == aOrder;
@@ -456,7 +458,7 @@
 }
 
 void
-OwnershipPlacer::OnOrderEnded(Instant aNow, OrderNumber aOrder, const OrderOutcome& aOutcome)
+OwnershipPlacer::OnCommandEnded(Instant aNow, CommandNumber aOrder, const CommandOutcome& aOutcome)
 {
   const auto found = orders_.Take(aOrder, aOutcome.end_);
   if (!found) {
@@ -475,7 +477,7 @@
       OnGrantEnded(aNow, *state, aOutcome.end_);
     }
   }
-  if (!order.isRelease_ && aOutcome.end_ == OrderEnd::Done) {
+  if (!order.isRelease_ && aOutcome.end_ == CommandStatus::Done) {
     ForgetFormerHold(order.server_);
   }
   RecordOrderEnd(order, aOutcome.end_);
@@ -483,50 +485,50 @@
 }
 
 void
-OwnershipPlacer::OnReleaseEnded(Instant aNow, RangeState& aState, const OrderOutcome& aOutcome)
+OwnershipPlacer::OnReleaseEnded(Instant aNow, RangeState& aState, const CommandOutcome& aOutcome)
 {
   const auto end = aOutcome.end_;
-  aState.isCleared_ = end == OrderEnd::Done || end == OrderEnd::OtherLife;
+  aState.isCleared_ = end == CommandStatus::Done || end == CommandStatus::OtherLife;
   aState.handover_ = aOutcome.handover_;
   // A server whose machine is being removed first refuses connections and then becomes unreachable,
   // so an unreachable server keeps its count of refusals.
-  const bool isReached = end != OrderEnd::Refused && end != OrderEnd::NotSent;
-  aState.refusals_ = isReached ? 0 : aState.refusals_ + (end == OrderEnd::Refused ? 1 : 0);
+  const bool isReached = end != CommandStatus::Refused && end != CommandStatus::NotSent;
+  aState.refusals_ = isReached ? 0 : aState.refusals_ + (end == CommandStatus::Refused ? 1 : 0);
   aState.nextOrder_ = aState.isCleared_ ? aNow : aNow + kOrderPause;
 }
 
 void
-OwnershipPlacer::OnGrantEnded(Instant aNow, RangeState& aState, OrderEnd aEnd) const
+OwnershipPlacer::OnGrantEnded(Instant aNow, RangeState& aState, CommandStatus aEnd) const
 {
-  const bool isDone = aEnd == OrderEnd::Done;
+  const bool isDone = aEnd == CommandStatus::Done;
   aState.isGranted_ = aState.isGranted_ || isDone;
-  aState.nextOrder_ = aNow + (isDone ? settings_.hold_ / kRenewalsAHold : kOrderPause);
+  aState.nextOrder_ = aNow + (isDone ? settings_.leaseDuration_ / kRenewalsAHold : kOrderPause);
 }
 
 void
-OwnershipPlacer::RecordOrderEnd(const KeyOrder& aOrder, OrderEnd aEnd)
+OwnershipPlacer::RecordOrderEnd(const KeyCommand& aOrder, CommandStatus aEnd)
 {
   // Successful grants are not logged, because they are renewed all the time.
-  if (aEnd == OrderEnd::Done && !aOrder.isRelease_) {
+  if (aEnd == CommandStatus::Done && !aOrder.isRelease_) {
     return;
   }
   events_.Record(Event::KeyOrderEnded,
                  "server=" + aOrder.server_ + " keys=" + std::to_string(aOrder.first_) + ".." +
                    std::to_string(aOrder.last_) + " fence=" + std::to_string(aOrder.fence_) +
                    " order=" + (aOrder.isRelease_ ? "release" : "grant") +
-                   " end=" + std::string(kOrderEndNames.NameOf(aEnd)));
+                   " end=" + std::string(kCommandStatusNames.NameOf(aEnd)));
 }
 
 void
-OwnershipPlacer::ExtendHold(Instant aNow, const KeyOrder& aGrant, OrderEnd aEnd)
+OwnershipPlacer::ExtendHold(Instant aNow, const KeyCommand& aGrant, CommandStatus aEnd)
 {
-  const auto hold = Scale(settings_.hold_, settings_.clockRate_);
-  if (aEnd == OrderEnd::Done || aEnd == OrderEnd::HigherFence) {
+  const auto hold = Scale(settings_.leaseDuration_, settings_.clockDriftFactor_);
+  if (aEnd == CommandStatus::Done || aEnd == CommandStatus::HigherFence) {
     holds_.Extend(aNow, aGrant.server_, aGrant.Span(), aNow + hold);
-  } else if (aEnd == OrderEnd::Unanswered) {
+  } else if (aEnd == CommandStatus::Unanswered) {
     const auto latest = settings_.lateOrders_ + hold;
     holds_.Extend(aNow, aGrant.server_, aGrant.Span(), aNow + latest);
-    actions_.Doubt(aNow, aGrant.server_, latest);
+    actions_.RecordUncertainLease(aNow, aGrant.server_, latest);
   }
 }
 
--- a/Libraries/LibKeys/OwnershipPlacer.h
+++ b/Libraries/LibKeys/OwnershipPlacer.h
@@ -4,8 +4,8 @@
 #include "LibBase/Time.h"
 #include "LibKeys/HoldBounds.h"
 #include "LibKeys/KeyBalancer.h"
+#include "LibKeys/KeyCommand.h"
 #include "LibKeys/KeyLoad.h"
-#include "LibKeys/KeyOrder.h"
 #include "LibKeys/KeyOwnership.h"
 #include "LibKeys/KeyServer.h"
 #include "LibKeys/OrderBook.h"
@@ -26,15 +26,15 @@
   // Lease duration of a grant: twice the time in which a lost placer is replaced, and not much
   // longer than a lost server stays listed, since the keys of a silent server stay without an owner
   // until its lease expires.
-  Duration hold_ = seconds(5);
+  Duration leaseDuration_ = seconds(5);
   // Clock drift bound: how much slower than the placer's clock a server's clock may run, as a
   // factor.
-  double clockRate_ = 1.02;
+  double clockDriftFactor_ = 1.02;
   // Maximum delay after which a server may still execute an unacknowledged command.
   Duration lateOrders_ = seconds(12);
   // How long a placer that reaches neither the store nor most instances keeps renewing grants. Its
   // successor relies on this bound.
-  Duration renewalAlone_ = seconds(6);
+  Duration isolatedRenewalTime_ = seconds(6);
   KeyBalancerSettings balancer_;
 };
 
@@ -63,7 +63,7 @@
   // The ownership was read from an old copy of the store, so servers that it does not name may hold
   // keys under lost writes. No command is sent and nothing is written before all such grants have
   // expired.
-  void WaitForLostGrants(Instant aNow);
+  void BlockUntilLostGrantsExpire(Instant aNow);
   // The former placer is known to send no more commands, so its grants expire within one lease
   // duration.
   void OnFormerPlacerStopped(Instant aNow);
@@ -72,7 +72,7 @@
   void OnWritten(Instant aNow);
   // The write failed or its outcome is unknown; aStored is the row as read afterwards.
   void OnWriteFailed(Instant aNow, KeyOwnership aStored);
-  void OnOrderEnded(Instant aNow, OrderNumber aOrder, const OrderOutcome& aOutcome);
+  void OnCommandEnded(Instant aNow, CommandNumber aOrder, const CommandOutcome& aOutcome);
   // Sends the commands and writes that are due. aMayWrite is false while the store is unavailable.
   void OnTime(Instant aNow, bool aMayWrite);
   // Time of the next call of OnTime that has work to do.
@@ -89,7 +89,7 @@
     // State returned by the former owner, to be passed to the owner.
     std::string handover_;
     // Outstanding command; 0 for none.
-    OrderNumber order_ = 0;
+    CommandNumber order_ = 0;
     // Consecutive releases for which the former owner's address refused the connection.
     unsigned refusals_ = 0;
     Instant nextOrder_ = Instant::min();
@@ -127,15 +127,15 @@
   const char* ReasonToClear(Instant aNow, const KeyRange& aRange, const RangeState& aState) const;
   void ClearFormerOwner(Instant aNow, const KeyRange& aRange, RangeState& aState);
   void SendGrant(Instant aNow, const KeyRange& aRange, RangeState& aState);
-  void SendOrder(RangeState& aState, KeyOrder aOrder);
-  static void OnReleaseEnded(Instant aNow, RangeState& aState, const OrderOutcome& aOutcome);
-  void OnGrantEnded(Instant aNow, RangeState& aState, OrderEnd aEnd) const;
-  void RecordOrderEnd(const KeyOrder& aOrder, OrderEnd aEnd);
+  void SendOrder(RangeState& aState, KeyCommand aOrder);
+  static void OnReleaseEnded(Instant aNow, RangeState& aState, const CommandOutcome& aOutcome);
+  void OnGrantEnded(Instant aNow, RangeState& aState, CommandStatus aEnd) const;
+  void RecordOrderEnd(const KeyCommand& aOrder, CommandStatus aEnd);
   // Records until when the server may hold the keys after a grant that ended in aEnd.
-  void ExtendHold(Instant aNow, const KeyOrder& aGrant, OrderEnd aEnd);
+  void ExtendHold(Instant aNow, const KeyCommand& aGrant, CommandStatus aEnd);
   // The state of a range that waits for this command; null when there is none. A range that was
   // split has several.
-  RangeState* StateOf(OrderNumber aOrder);
+  RangeState* StateOf(CommandNumber aOrder);
 
   std::string service_;
   OwnershipPlacerSettings settings_;
--- a/Libraries/LibKeys/PlacerActions.h
+++ b/Libraries/LibKeys/PlacerActions.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "LibKeys/KeyOrder.h"
+#include "LibKeys/KeyCommand.h"
 #include "LibKeys/KeyOwnership.h"
 
 #include <optional>
@@ -27,10 +27,10 @@
 public:
   virtual ~PlacerActions() = default;
 
-  virtual void Order(const KeyOrder& aOrder) = 0;
+  virtual void SendCommand(const KeyCommand& aCommand) = 0;
   // Records that a grant to the server was sent but not acknowledged, so that it may hold keys
   // until aNow + aHolds. To be shared with the other instances in case this one is lost.
-  virtual void Doubt(Instant aNow, const std::string& aServer, Duration aHolds) = 0;
+  virtual void RecordUncertainLease(Instant aNow, const std::string& aServer, Duration aHolds) = 0;
   // Writes the ownership row, conditional on the row version known to this placer and on this
   // instance still being the placer. Completes in OnWritten or OnWriteFailed.
   virtual void Write(const KeyOwnership& aOwnership) = 0;
--- a/Tests/LibFleet/FleetMemberFixture.h
+++ b/Tests/LibFleet/FleetMemberFixture.h
@@ -64,7 +64,10 @@
     hasFollowedAlone_ = hasFollowedAlone_ || aHow == Following::Alone;
     followFrom_ = aKnown;
   }
-  void Order(const std::string&, const KeyOrder& aOrder) override { orders_.push_back(aOrder); }
+  void SendCommand(const std::string&, const KeyCommand& aCommand) override
+  {
+    orders_.push_back(aCommand);
+  }
   void SendReport(const std::string& aAddress, const InstanceReport& aReport) override
   {
     reports_.push_back(aAddress);
@@ -105,7 +108,7 @@
   std::vector<Transaction> transactions_;
   Following following_ = Following::Alone;
   TableVersions followFrom_{};
-  std::vector<KeyOrder> orders_;
+  std::vector<KeyCommand> orders_;
   std::vector<std::string> reports_;
   InstanceReport lastReport_;
   bool hasFollowed_ = false;
--- a/Tests/LibFleet/TestFleetMember.cpp
+++ b/Tests/LibFleet/TestFleetMember.cpp
@@ -92,7 +92,7 @@
       }
       const auto orders = fleet_.orders_;
       for (const auto& order : orders) {
-        member_.OnOrderEnded(now_, "rates", order.number_, { OrderEnd::Done });
+        member_.OnCommandEnded(now_, "rates", order.number_, { CommandStatus::Done });
       }
     }
   }
@@ -256,8 +256,8 @@
     while (now_ < end) {
       Pass(milliseconds(50));
       for (; answered < fleet_.orders_.size(); ++answered) {
-        member_.OnOrderEnded(
-          now_, "rates", fleet_.orders_[answered].number_, { OrderEnd::Done, "" });
+        member_.OnCommandEnded(
+          now_, "rates", fleet_.orders_[answered].number_, { CommandStatus::Done, "" });
       }
     }
   };
@@ -279,7 +279,8 @@
     member_.OnReport(now_, ReportOf("i2", kOther));
     Pass(milliseconds(50));
     for (; answered < fleet_.orders_.size(); ++answered) {
-      member_.OnOrderEnded(now_, "rates", fleet_.orders_[answered].number_, { OrderEnd::Done, "" });
+      member_.OnCommandEnded(
+        now_, "rates", fleet_.orders_[answered].number_, { CommandStatus::Done, "" });
     }
   }
   // Sixty-four ranges, renewed every five thirds of a second for twenty.
--- a/Tests/LibFleet/TestStoreReturn.cpp
+++ b/Tests/LibFleet/TestStoreReturn.cpp
@@ -191,18 +191,18 @@
 TEST_F(MemberWhoseStoreReturned, ClaimWasLostAfterAGrantWithoutAnswer_ItsKeysWaitForThatGrant)
 {
   PlaceKeys();
-  const auto isOfS1 = [](const KeyOrder& aOrder) { return aOrder.server_ == "s1"; };
+  const auto isOfS1 = [](const KeyCommand& aCommand) { return aCommand.server_ == "s1"; };
   const auto grant = std::find_if(fleet_.orders_.begin(), fleet_.orders_.end(), isOfS1);
   ASSERT_NE(grant, fleet_.orders_.end());
   const auto keys = grant->Span();
-  member_.OnOrderEnded(now_, "rates", grant->number_, { OrderEnd::Unanswered, "" });
+  member_.OnCommandEnded(now_, "rates", grant->number_, { CommandStatus::Unanswered, "" });
   const auto latest = now_ + seconds(12) + milliseconds(5100);
   Show(FleetTable::Fleet, After(9), {});
   Show(FleetTable::Servers, After(9), { { "s2", After(3), "ready" } });
   auto answered = fleet_.orders_.size();
   auto version = std::uint64_t{ 10 };
-  const auto isPassedOn = [&](const KeyOrder& aOrder) {
-    return !aOrder.isRelease_ && aOrder.server_ == "s2" && aOrder.Span().Overlaps(keys);
+  const auto isPassedOn = [&](const KeyCommand& aCommand) {
+    return !aCommand.isRelease_ && aCommand.server_ == "s2" && aCommand.Span().Overlaps(keys);
   };
   bool isServed = false;
   while (!isServed && now_ < latest + seconds(5)) {
@@ -214,8 +214,8 @@
     for (; answered < fleet_.orders_.size(); ++answered) {
       const auto order = fleet_.orders_[answered];
       isServed = isServed || isPassedOn(order);
-      const auto end = isOfS1(order) ? OrderEnd::NotSent : OrderEnd::Done;
-      member_.OnOrderEnded(now_, "rates", order.number_, { end, "" });
+      const auto end = isOfS1(order) ? CommandStatus::NotSent : CommandStatus::Done;
+      member_.OnCommandEnded(now_, "rates", order.number_, { end, "" });
     }
   }
   EXPECT_TRUE(isServed);
--- a/Tests/LibKeys/PlacerWorld.h
+++ b/Tests/LibKeys/PlacerWorld.h
@@ -54,8 +54,8 @@
       , world_(aWorld)
     {
     }
-    void Order(const KeyOrder& aOrder) override { world_.Deliver(*this, aOrder); }
-    void Doubt(Instant, const std::string& aServer, Duration aHolds) override
+    void SendCommand(const KeyCommand& aCommand) override { world_.Deliver(*this, aCommand); }
+    void RecordUncertainLease(Instant, const std::string& aServer, Duration aHolds) override
     {
       world_.doubts_[aServer] = world_.now_ + aHolds;
     }
@@ -103,7 +103,7 @@
   {
     auto& placer = TakeOverKnowing(stored_);
     if (stored_ && stored_->epoch_ < epoch_) {
-      placer.placer_.WaitForLostGrants(now_);
+      placer.placer_.BlockUntilLostGrantsExpire(now_);
     }
     return placer;
   }
@@ -190,11 +190,11 @@
   {
     Instant at_{ 0 };
     Placer* placer_ = nullptr;
-    KeyOrder order_;
+    KeyCommand order_;
     // Arrival of the command at the server; otherwise arrival of its answer.
     bool isArrival_ = true;
     bool isAnswered_ = true;
-    OrderOutcome outcome_;
+    CommandOutcome outcome_;
   };
 
   std::optional<ServerLife> LifeOf(const std::string& aServer) const
@@ -243,7 +243,7 @@
     aPlacer.placer_.OnWritten(now_);
   }
 
-  void Deliver(Placer& aPlacer, const KeyOrder& aOrder)
+  void Deliver(Placer& aPlacer, const KeyCommand& aOrder)
   {
     const auto found = servers_.find(aOrder.server_);
     const bool isReached = found != servers_.end() && !found->second.isCut_;
@@ -251,16 +251,16 @@
     const bool isUnsent = aOrder.isRelease_ && now_ < releasesUnsentUntil_;
     if (!isReached || isUnsent) {
       pending.isArrival_ = false;
-      pending.outcome_.end_ = OrderEnd::NotSent;
+      pending.outcome_.end_ = CommandStatus::NotSent;
     } else if (!found->second.isUp_) {
       pending.isArrival_ = false;
-      pending.outcome_.end_ = OrderEnd::Refused;
+      pending.outcome_.end_ = CommandStatus::Refused;
     } else if (found->second.isLate_) {
       ++lateOrders_;
       pending.isAnswered_ = false;
       pending.at_ = now_ + seconds(2) + milliseconds(random_() % 10000);
       Pending lost{ now_ + milliseconds(1500), &aPlacer, aOrder, false, true, {} };
-      lost.outcome_.end_ = OrderEnd::Unanswered;
+      lost.outcome_.end_ = CommandStatus::Unanswered;
       pending_.push_back(lost);
     }
     pending_.push_back(pending);
@@ -293,20 +293,20 @@
         }
       }
       if (entry.isAnswered_ && entry.placer_->isRunning_) {
-        entry.placer_->placer_.OnOrderEnded(now_, entry.order_.number_, entry.outcome_);
+        entry.placer_->placer_.OnCommandEnded(now_, entry.order_.number_, entry.outcome_);
       }
     }
   }
 
-  OrderOutcome Take(Server& aServer, const KeyOrder& aOrder)
+  CommandOutcome Take(Server& aServer, const KeyCommand& aOrder)
   {
     if (!aServer.isUp_) {
-      return { OrderEnd::Refused, "" };
+      return { CommandStatus::Refused, "" };
     }
     const auto first = (aOrder.first_ + kBlock - 1) / kBlock * kBlock;
     for (KeyNumber key = first; !aOrder.isRelease_ && key <= aOrder.last_; key += kBlock) {
       if (aServer.seen_[key] > aOrder.fence_) {
-        return { OrderEnd::HigherFence, "" };
+        return { CommandStatus::HigherFence, "" };
       }
     }
     for (KeyNumber key = first; key <= aOrder.last_; key += kBlock) {
@@ -326,10 +326,11 @@
       // Clock drift of the server.
       constexpr double kSlow = 1.02;
       aServer.held_[key] = { aOrder.fence_,
-                             now_ + Duration(static_cast<Duration::rep>(
-                                      static_cast<double>(aOrder.hold_.count()) * kSlow)) };
+                             now_ +
+                               Duration(static_cast<Duration::rep>(
+                                 static_cast<double>(aOrder.leaseDuration_.count()) * kSlow)) };
     }
-    return { OrderEnd::Done, aOrder.isRelease_ ? "warm" : "" };
+    return { CommandStatus::Done, aOrder.isRelease_ ? "warm" : "" };
   }
 
   void Check()
--- a/Tests/LibKeys/TestKeyBalancer.cpp
+++ b/Tests/LibKeys/TestKeyBalancer.cpp
@@ -58,7 +58,7 @@
   std::vector<KeyServer> servers_ = MakeServers({ "a", "b", "c", "d" });
   KeyLoad load_;
   KeyBalancer balancer_{ {} };
-  KeyOwnership dealt_ = KeyBalancer::DealAll("rates", 10, servers_);
+  KeyOwnership dealt_ = KeyBalancer::AssignAll("rates", 10, servers_);
 };
 
 TEST_F(KeysOfFourServers, Dealt_EveryKeyHasAnOwnerAndFencesRise)
@@ -76,7 +76,7 @@
   for (auto& server : servers_) {
     server.isUsable_ = false;
   }
-  EXPECT_TRUE(KeyBalancer::DealAll("rates", 0, servers_).ranges_.empty());
+  EXPECT_TRUE(KeyBalancer::AssignAll("rates", 0, servers_).ranges_.empty());
   EXPECT_FALSE(KeyBalancer::Replace(dealt_, servers_, load_));
 }
 
@@ -229,7 +229,7 @@
   }
 
   std::vector<KeyServer> servers_ = MakeMany();
-  KeyOwnership dealt_ = KeyBalancer::DealAll("rates", 10, servers_);
+  KeyOwnership dealt_ = KeyBalancer::AssignAll("rates", 10, servers_);
   KeyLoad load_;
 };
 
--- a/Tests/LibKeys/TestOrderBook.cpp
+++ b/Tests/LibKeys/TestOrderBook.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-KeyOrder
+KeyCommand
 OrderTo(const std::string& aServer, bool aIsRelease = false)
 {
-  KeyOrder order;
+  KeyCommand order;
   order.server_ = aServer;
   order.isRelease_ = aIsRelease;
   return order;
@@ -32,8 +32,8 @@
   const auto first = book.Add(OrderTo("s1"));
   const auto second = book.Add(OrderTo("s2"));
   EXPECT_NE(first.number_, second.number_);
-  EXPECT_EQ(book.Take(second.number_, OrderEnd::Done)->server_, "s2");
-  EXPECT_FALSE(book.Take(second.number_, OrderEnd::Done));
+  EXPECT_EQ(book.Take(second.number_, CommandStatus::Done)->server_, "s2");
+  EXPECT_FALSE(book.Take(second.number_, CommandStatus::Done));
   EXPECT_TRUE(book.HasOrderTo("s1"));
   EXPECT_FALSE(book.HasOrderTo("s2"));
 }
@@ -82,10 +82,10 @@
 {
   OrderBook book;
   const auto unanswered = book.Add(OrderTo("s1"));
-  book.Take(unanswered.number_, OrderEnd::Unanswered);
+  book.Take(unanswered.number_, CommandStatus::Unanswered);
   EXPECT_EQ(Fill(book, "s1"), 2U);
   const auto other = book.Add(OrderTo("s1"));
-  book.Take(other.number_, OrderEnd::Refused);
+  book.Take(other.number_, CommandStatus::Refused);
   EXPECT_TRUE(book.HasRoomFor("s1"));
 }
 
@@ -97,7 +97,7 @@
   EXPECT_FALSE(book.HasOrderTo("s1"));
   const auto next = book.Add(OrderTo("s1"));
   EXPECT_NE(next.number_, old.number_);
-  EXPECT_FALSE(book.Take(old.number_, OrderEnd::Done));
+  EXPECT_FALSE(book.Take(old.number_, CommandStatus::Done));
 }
 
 } // namespace
--- a/Tests/Platform/TestPlatformCodec.cpp
+++ b/Tests/Platform/TestPlatformCodec.cpp
@@ -237,71 +237,71 @@
   EXPECT_TRUE(passed.contentType_.empty());
 }
 
-class CodecOfOneOrder : public testing::Test
+class CodecOfOneCommand : public testing::Test
 {
 protected:
-  OrderEnd Decode(unsigned aStatus, std::vector<HttpHeader> aHeaders = {}) const
+  CommandStatus Decode(unsigned aStatus, std::vector<HttpHeader> aHeaders = {}) const
   {
     HttpExchange exchange;
     exchange.end_ = ExchangeEnd::Complete;
     exchange.response_.status_ = aStatus;
     exchange.response_.headers_ = std::move(aHeaders);
-    return codec_.DecodeOrder(order_, exchange).end_;
+    return codec_.DecodeCommand(command_, exchange).end_;
   }
 
   const PlatformCodec codec_;
-  KeyOrder order_{ 1, "i-1", "10.0.0.1:80", 4096, 8191, 12, false, "warm", milliseconds(4000) };
+  KeyCommand command_{ 1, "i-1", "10.0.0.1:80", 4096, 8191, 12, false, "warm", milliseconds(4000) };
 };
 
-TEST_F(CodecOfOneOrder, Grant_NamesKeysFenceHoldAndHandover)
+TEST_F(CodecOfOneCommand, Grant_NamesKeysFenceHoldAndHandover)
 {
-  const auto request = codec_.EncodeOrder(order_);
+  const auto request = codec_.EncodeCommand(command_);
   EXPECT_EQ(request.target_, "/api/grant");
   EXPECT_EQ(*request.body_,
             R"({"from":4096,"targetVersion":8191,"fence":12,"holdMs":4000,"handover":"warm"})");
 }
 
-TEST_F(CodecOfOneOrder, Release_NamesKeysAndFence)
+TEST_F(CodecOfOneCommand, Release_NamesKeysAndFence)
 {
-  order_.isRelease_ = true;
-  const auto request = codec_.EncodeOrder(order_);
+  command_.isRelease_ = true;
+  const auto request = codec_.EncodeCommand(command_);
   EXPECT_EQ(request.target_, "/api/release");
   EXPECT_EQ(*request.body_, R"({"from":4096,"targetVersion":8191,"fence":12})");
 }
 
-TEST_F(CodecOfOneOrder, Answers_TellWhatBecameOfTheOrder)
+TEST_F(CodecOfOneCommand, Answers_TellWhatBecameOfTheOrder)
 {
-  EXPECT_EQ(Decode(200), OrderEnd::Done);
-  EXPECT_EQ(Decode(409), OrderEnd::HigherFence);
-  EXPECT_EQ(Decode(421, { { "X-Instance-Id", "i-2" } }), OrderEnd::OtherLife);
+  EXPECT_EQ(Decode(200), CommandStatus::Done);
+  EXPECT_EQ(Decode(409), CommandStatus::HigherFence);
+  EXPECT_EQ(Decode(421, { { "X-Instance-Id", "i-2" } }), CommandStatus::OtherLife);
   // The life that was meant is there, so it may hold keys.
-  EXPECT_EQ(Decode(421, { { "X-Instance-Id", "i-1" } }), OrderEnd::Unanswered);
-  EXPECT_EQ(Decode(421), OrderEnd::Unanswered);
-  EXPECT_EQ(Decode(200, { { "X-Instance-Id", "i-2" } }), OrderEnd::OtherLife);
-  EXPECT_EQ(Decode(500), OrderEnd::Unanswered);
-  EXPECT_EQ(Decode(503, { { "X-Not-Executed", "1" } }), OrderEnd::NotSent);
+  EXPECT_EQ(Decode(421, { { "X-Instance-Id", "i-1" } }), CommandStatus::Unanswered);
+  EXPECT_EQ(Decode(421), CommandStatus::Unanswered);
+  EXPECT_EQ(Decode(200, { { "X-Instance-Id", "i-2" } }), CommandStatus::OtherLife);
+  EXPECT_EQ(Decode(500), CommandStatus::Unanswered);
+  EXPECT_EQ(Decode(503, { { "X-Not-Executed", "1" } }), CommandStatus::NotSent);
 }
 
-TEST_F(CodecOfOneOrder, ServerSaysThatItLeaves_IsReadUnlessAnotherLifeSaysSo)
+TEST_F(CodecOfOneCommand, ServerSaysThatItLeaves_IsReadUnlessAnotherLifeSaysSo)
 {
   HttpExchange exchange;
   exchange.end_ = ExchangeEnd::Complete;
   exchange.response_.status_ = 200;
   exchange.response_.headers_ = { { "Server-Leaving", "1" } };
-  EXPECT_TRUE(codec_.DecodeOrder(order_, exchange).isLeaving_);
+  EXPECT_TRUE(codec_.DecodeCommand(command_, exchange).isLeaving_);
   exchange.response_.headers_.emplace_back("X-Instance-Id", "i-2");
-  EXPECT_FALSE(codec_.DecodeOrder(order_, exchange).isLeaving_);
+  EXPECT_FALSE(codec_.DecodeCommand(command_, exchange).isLeaving_);
 }
 
-TEST_F(CodecOfOneOrder, NoAnswer_OnlyASentOrderMayComeLate)
+TEST_F(CodecOfOneCommand, NoAnswer_OnlyASentOrderMayComeLate)
 {
   HttpExchange exchange;
   exchange.end_ = ExchangeEnd::Broken;
-  EXPECT_EQ(codec_.DecodeOrder(order_, exchange).end_, OrderEnd::Unanswered);
+  EXPECT_EQ(codec_.DecodeCommand(command_, exchange).end_, CommandStatus::Unanswered);
   exchange.end_ = ExchangeEnd::NotSent;
-  EXPECT_EQ(codec_.DecodeOrder(order_, exchange).end_, OrderEnd::NotSent);
+  EXPECT_EQ(codec_.DecodeCommand(command_, exchange).end_, CommandStatus::NotSent);
   exchange.isRefused_ = true;
-  EXPECT_EQ(codec_.DecodeOrder(order_, exchange).end_, OrderEnd::Refused);
+  EXPECT_EQ(codec_.DecodeCommand(command_, exchange).end_, CommandStatus::Refused);
 }
 
 TEST_F(CodecOfOneAttempt, ServerTellsItsLoad_IsReadWithOrWithoutThePace)
--- a/Tests/Platform/TestPlatformDocuments.cpp
+++ b/Tests/Platform/TestPlatformDocuments.cpp
@@ -199,7 +199,7 @@
 
 TEST(PlatformSettings, HoldsAreBounded_TheBoundIsKept)
 {
-  EXPECT_EQ(ParseSettings(kSettings).value().host_.member_.placer_.hold_, seconds(3));
+  EXPECT_EQ(ParseSettings(kSettings).value().host_.member_.placer_.leaseDuration_, seconds(3));
 }
 
 TEST(PlatformSettings, FieldIsMissingOrWrong_ErrorNamesIt)
