--- a/Libraries/LibDaemon/GatewayFront.h
+++ b/Libraries/LibDaemon/GatewayFront.h
@@ -71,9 +71,9 @@
   {
     return client_->HasIdle(aAddress);
   }
-  void NoteLeaving(const std::string& aServer, std::uint64_t aLife) override
+  void NoteLeaving(const std::string& aServer, std::uint64_t aIncarnation) override
   {
-    leavingObserver_(aServer, aLife);
+    leavingObserver_(aServer, aIncarnation);
   }
   void CountKey(const std::string& aService, KeyNumber aKey) override { observer_(aService, aKey); }
   void OnExchangeEnded(AttemptNumber aAttempt, HttpExchange aExchange);
--- a/Libraries/LibDaemon/GatewayHost.cpp
+++ b/Libraries/LibDaemon/GatewayHost.cpp
@@ -230,8 +230,8 @@
 
   LeavingObserver NoteLeaving()
   {
-    return [this](const std::string& aServer, std::uint64_t aLife) {
-      member_.OnToldLeaving(MonotonicNow(), aServer, aLife);
+    return [this](const std::string& aServer, std::uint64_t aIncarnation) {
+      member_.OnToldLeaving(MonotonicNow(), aServer, aIncarnation);
     };
   }
 
@@ -247,7 +247,8 @@
                   [this, aService, aCommand](const HttpExchange& aExchange) {
                     const auto outcome = codec_.DecodeCommand(aCommand, aExchange);
                     if (outcome.isLeaving_) {
-                      member_.OnToldLeaving(MonotonicNow(), aCommand.server_, aCommand.life_);
+                      member_.OnToldLeaving(
+                        MonotonicNow(), aCommand.server_, aCommand.incarnation_);
                     }
                     member_.OnCommandEnded(MonotonicNow(), aService, aCommand.number_, outcome);
                   });
--- a/Libraries/LibDaemon/LeavingObserver.h
+++ b/Libraries/LibDaemon/LeavingObserver.h
@@ -7,6 +7,6 @@
 namespace latchslip {
 
 // Told when that life of a server is heard to say that it is about to end.
-using LeavingObserver = std::function<void(const std::string& aServer, std::uint64_t aLife)>;
+using LeavingObserver = std::function<void(const std::string& aServer, std::uint64_t aIncarnation)>;
 
 } // namespace latchslip
--- a/Libraries/LibDaemon/PermitLinks.h
+++ b/Libraries/LibDaemon/PermitLinks.h
@@ -56,9 +56,9 @@
   void Dial(const std::string& aDispatcher) override;
   void HangUp(const std::string& aDispatcher) override;
   void Answer(CallerId aCaller, const MessageFromDispatcher& aMessage) override;
-  void NoteLeaving(const std::string& aServer, std::uint64_t aLife) override
+  void NoteLeaving(const std::string& aServer, std::uint64_t aIncarnation) override
   {
-    leavingObserver_(aServer, aLife);
+    leavingObserver_(aServer, aIncarnation);
   }
 
   void Accept();
--- a/Libraries/LibFleet/FleetMember.cpp
+++ b/Libraries/LibFleet/FleetMember.cpp
@@ -199,9 +199,9 @@
 }
 
 void
-FleetMember::OnToldLeaving(Instant aNow, const std::string& aServer, std::uint64_t aLife)
+FleetMember::OnToldLeaving(Instant aNow, const std::string& aServer, std::uint64_t aIncarnation)
 {
-  if (!view_.Directory().NoteLeaving(aNow, aServer, aLife)) {
+  if (!view_.Directory().NoteLeaving(aNow, aServer, aIncarnation)) {
     return;
   }
   const bool isListedSo = view_.Directory().Find(aServer)->isLeaving_;
--- a/Libraries/LibFleet/FleetMember.h
+++ b/Libraries/LibFleet/FleetMember.h
@@ -103,7 +103,7 @@
                       CommandNumber aCommand,
                       const CommandOutcome& aOutcome);
   // An answer of that life of a server says that it is about to end.
-  void OnToldLeaving(Instant aNow, const std::string& aServer, std::uint64_t aLife);
+  void OnToldLeaving(Instant aNow, const std::string& aServer, std::uint64_t aIncarnation);
   ReportAnswer OnReport(Instant aNow, const InstanceReport& aReport);
   // No value when no answer came. aRoundTrip is how long it took.
   void OnReportAnswered(Instant aNow,
--- a/Libraries/LibFleet/FleetView.cpp
+++ b/Libraries/LibFleet/FleetView.cpp
@@ -253,7 +253,7 @@
 {
   BOOST_OUTCOME_TRY(auto record, decoder_.DecodeServer(aRow));
   const auto* known = directory_.FindAny(record.id_);
-  if (known != nullptr && record.life_ < known->life_) {
+  if (known != nullptr && record.incarnation_ < known->incarnation_) {
     return FieldError{ "life", "is earlier than one that is known" };
   }
   return record;
--- a/Libraries/LibFleet/PlacerDuty.cpp
+++ b/Libraries/LibFleet/PlacerDuty.cpp
@@ -134,7 +134,7 @@
     KeyServer server;
     server.id_ = id;
     server.address_ = record.address_;
-    server.life_ = record.life_;
+    server.incarnation_ = record.incarnation_;
     server.isUsable_ = record.TakesWork() && !view_.Directory().HasEnded(id);
     if (typical) {
       const double atLimit = kCountedOnLimit * speeds_.RateLimitOf(aNow, id) * ToSeconds(*typical);
--- a/Libraries/LibFleet/ServicePlacer.h
+++ b/Libraries/LibFleet/ServicePlacer.h
@@ -19,17 +19,17 @@
   {
     member_.actions_.SendCommand(service_, aCommand);
   }
-  std::optional<ServerLife> LifeOf(const std::string& aServer) const override
+  std::optional<ServerIncarnation> FindIncarnation(const std::string& aServer) const override
   {
     const auto& directory = member_.Directory();
     const auto* record = directory.FindAny(aServer);
     if (record == nullptr) {
       return std::nullopt;
     }
-    return ServerLife{ record->address_,
-                       directory.Find(aServer) != nullptr,
-                       record->IsLeaving(),
-                       directory.HasEnded(aServer) };
+    return ServerIncarnation{ record->address_,
+                              directory.Find(aServer) != nullptr,
+                              record->IsLeaving(),
+                              directory.HasEnded(aServer) };
   }
   void RecordUncertainLease(Instant aNow, const std::string& aServer, Duration aHolds) override
   {
--- a/Libraries/LibGateway/Messages.h
+++ b/Libraries/LibGateway/Messages.h
@@ -84,7 +84,7 @@
   AttemptEnd end_ = AttemptEnd::Broken;
   unsigned status_ = 0;
   // A WrongServer that names another life: the one that was meant has ended.
-  bool isOtherLife_ = false;
+  bool isOtherIncarnation_ = false;
   // No value when the server told nothing, or nothing that makes sense.
   std::optional<ServerStatus> server_;
   // The server, of the life that was meant, says that it is about to end.
@@ -150,7 +150,7 @@
   // open for a single request.
   virtual bool HasConnection(const std::string& aAddress) const = 0;
   // An answer of that life of a server says that it is about to end.
-  virtual void NoteLeaving(const std::string& aServer, std::uint64_t aLife) = 0;
+  virtual void NoteLeaving(const std::string& aServer, std::uint64_t aIncarnation) = 0;
   // A client wants this key, whether or not its owner can take the request: keys
   // whose owner is full or not known are the ones that must be spread.
   virtual void CountKey(const std::string& aService, KeyNumber aKey) = 0;
--- a/Libraries/LibGateway/PendingRequest.h
+++ b/Libraries/LibGateway/PendingRequest.h
@@ -43,7 +43,7 @@
   std::optional<Duration> toldWait_;
   // The server of the last send.
   std::string server_;
-  std::uint64_t serverLife_ = 0;
+  std::uint64_t serverIncarnation_ = 0;
   unsigned sends_ = 0;
   // Sends after which the request may have run.
   unsigned runs_ = 0;
--- a/Libraries/LibGateway/PermitAsks.cpp
+++ b/Libraries/LibGateway/PermitAsks.cpp
@@ -106,7 +106,7 @@
   }
   const auto* record = directory_.Find(aServer);
   if (record != nullptr && record->hasToldLeaving_) {
-    end.leavingLife_ = record->life_;
+    end.leavingIncarnation_ = record->incarnation_;
   }
   return end;
 }
--- a/Libraries/LibGateway/PermitMessages.h
+++ b/Libraries/LibGateway/PermitMessages.h
@@ -69,7 +69,7 @@
   // ask for that.
   Duration rest_{ 0 };
   // The life of the server, as in ServerRecord, when that life said that it is about to end.
-  std::optional<std::uint64_t> leavingLife_{};
+  std::optional<std::uint64_t> leavingIncarnation_{};
   // As in AttemptOutcome.
   std::optional<double> rateLimit_{};
 
--- a/Libraries/LibGateway/RequestDesk.cpp
+++ b/Libraries/LibGateway/RequestDesk.cpp
@@ -45,7 +45,7 @@
 constexpr Duration kWrongOwnerPause = milliseconds(30);
 // How long the address of a life that has ended is left alone; the directory
 // has caught up by then.
-constexpr Duration kOtherLifePause = seconds(3);
+constexpr Duration kOtherIncarnationPause = seconds(3);
 
 // Whether the server said that the request failed there.
 bool
@@ -164,7 +164,7 @@
   attempts_.erase(attempt);
   auto& pending = pending_.at(number);
   if (aOutcome.isLeaving_) {
-    actions_.NoteLeaving(pending.server_, pending.serverLife_);
+    actions_.NoteLeaving(pending.server_, pending.serverIncarnation_);
   }
   const auto service = pending.service_->name_;
   const auto result = ToSendResult(aOutcome);
@@ -173,12 +173,12 @@
                      aNow - pending.sentAt_,
                      aOutcome.server_,
                      aOutcome.rest_.value_or(Duration(0)),
-                     aOutcome.isLeaving_ ? std::optional(pending.serverLife_) : std::nullopt,
+                     aOutcome.isLeaving_ ? std::optional(pending.serverIncarnation_) : std::nullopt,
                      aOutcome.rateLimit_ });
   if (const auto load = loads_.find(pending.server_); load != loads_.end()) {
     load->second.OnEnded(aNow, aAttempt, result);
-    if (aOutcome.isOtherLife_) {
-      load->second.Suspend(aNow, kOtherLifePause);
+    if (aOutcome.isOtherIncarnation_) {
+      load->second.Suspend(aNow, kOtherIncarnationPause);
     }
     NoteRest(aNow, pending, aOutcome, load->second);
     NoteRateLimit(aNow, pending, aOutcome, load->second);
@@ -262,7 +262,7 @@
                    std::to_string(aOutcome.status_) + " sends=" + std::to_string(aPending.sends_) +
                    " rest_us=" + std::to_string(aOutcome.rest_.value_or(Duration(0)).count()));
   aPending.tried_.push_back(aPending.server_);
-  if (aOutcome.end_ == AttemptEnd::WrongServer && !aOutcome.isOtherLife_) {
+  if (aOutcome.end_ == AttemptEnd::WrongServer && !aOutcome.isOtherIncarnation_) {
     aPending.notBefore_ = aNow + kWrongOwnerPause;
   }
   if (!TrySend(aNow, aPending)) {
@@ -503,7 +503,7 @@
   aPending.attempt_ = aAttempt;
   aPending.lastAttempt_ = aAttempt;
   aPending.server_ = aServer.record_->id_;
-  aPending.serverLife_ = aServer.record_->life_;
+  aPending.serverIncarnation_ = aServer.record_->incarnation_;
   ++aPending.sends_;
   aPending.sentAt_ = aNow;
   attempts_[aAttempt] = number;
--- a/Libraries/LibGateway/ServerChoice.cpp
+++ b/Libraries/LibGateway/ServerChoice.cpp
@@ -91,7 +91,7 @@
     (slots * kFirstLimitPerSlot * kUnevenness + instances - 1) / instances, 1, most);
   auto& load = loads_.try_emplace(aRecord.id_, first, most).first->second;
   load.SetMostLimit(most);
-  load.SetLife(aRecord.life_);
+  load.SetIncarnation(aRecord.incarnation_);
   return load;
 }
 
--- a/Libraries/LibGateway/ServerDirectory.cpp
+++ b/Libraries/LibGateway/ServerDirectory.cpp
@@ -54,10 +54,10 @@
 {
   aRecord.isHallDrained_ = drainedHalls_.contains(aRecord.hall_);
   const auto* known = FindAny(aRecord.id_);
-  const bool isSameLife = known != nullptr && known->life_ == aRecord.life_;
-  aRecord.hasToldLeaving_ = isSameLife && known->hasToldLeaving_;
+  const bool isSameIncarnation = known != nullptr && known->incarnation_ == aRecord.incarnation_;
+  aRecord.hasToldLeaving_ = isSameIncarnation && known->hasToldLeaving_;
   if (aRecord.IsLeaving()) {
-    aRecord.leavingSince_ = isSameLife ? std::min(known->leavingSince_, aNow) : aNow;
+    aRecord.leavingSince_ = isSameIncarnation ? std::min(known->leavingSince_, aNow) : aNow;
   }
   if (aRecord.slowStartLeft_ > Duration(0)) {
     aRecord.slowStartUntil_ = aNow + aRecord.slowStartLeft_;
@@ -68,18 +68,18 @@
 }
 
 bool
-ServerDirectory::NoteLeaving(Instant aNow, const std::string& aId, std::uint64_t aLife)
+ServerDirectory::NoteLeaving(Instant aNow, const std::string& aId, std::uint64_t aIncarnation)
 {
   const auto listed = records_.find(aId);
   const auto former = former_.find(aId);
   if (listed == records_.end()) {
-    if (former != former_.end() && former->second.life_ == aLife) {
+    if (former != former_.end() && former->second.incarnation_ == aIncarnation) {
       former->second.hasToldLeaving_ = true;
     }
     return false;
   }
   auto& record = listed->second;
-  if (record.life_ != aLife || record.hasToldLeaving_) {
+  if (record.incarnation_ != aIncarnation || record.hasToldLeaving_) {
     return false;
   }
   record.hasToldLeaving_ = true;
--- a/Libraries/LibGateway/ServerDirectory.h
+++ b/Libraries/LibGateway/ServerDirectory.h
@@ -43,7 +43,7 @@
   // Since when it is known to leave; set by the directory.
   Instant leavingSince_ = Instant::max();
   // Tells the lives under one id apart, the later the higher; 0 when it is not told.
-  std::uint64_t life_ = 0;
+  std::uint64_t incarnation_ = 0;
 
   bool IsLeaving() const { return isLeaving_ || hasToldLeaving_; }
   // Whether it may get new work.
@@ -67,7 +67,7 @@
 
   // An answer of that life of a server says that it is about to end. No record of the same
   // life takes that back. Whether it is news of a server that is listed.
-  bool NoteLeaving(Instant aNow, const std::string& aId, std::uint64_t aLife);
+  bool NoteLeaving(Instant aNow, const std::string& aId, std::uint64_t aIncarnation);
 
   // Nothing may be sent to the servers of that hall until it is restored.
   void DrainHall(const std::string& aHall);
--- a/Libraries/LibGateway/ServerLoad.cpp
+++ b/Libraries/LibGateway/ServerLoad.cpp
@@ -46,10 +46,10 @@
 }
 
 void
-ServerLoad::SetLife(std::uint64_t aLife)
+ServerLoad::SetIncarnation(std::uint64_t aIncarnation)
 {
-  const bool isOther = life_ != 0 && aLife != 0 && aLife != life_;
-  life_ = aLife;
+  const bool isOther = incarnation_ != 0 && aIncarnation != 0 && aIncarnation != incarnation_;
+  incarnation_ = aIncarnation;
   if (!isOther) {
     return;
   }
--- a/Libraries/LibGateway/ServerLoad.h
+++ b/Libraries/LibGateway/ServerLoad.h
@@ -38,7 +38,7 @@
   void SetMostLimit(std::size_t aMostLimit);
   // The server's present life, 0 when it is not told: what was learnt of an earlier one is
   // forgotten.
-  void SetLife(std::uint64_t aLife);
+  void SetIncarnation(std::uint64_t aIncarnation);
 
   SlowStartShare& SlowStart() { return slowStart_; }
   // The limit of requests a second that the server names.
@@ -92,7 +92,7 @@
   double limit_;
   double mostLimit_;
   Instant restUntil_ = Instant::min();
-  std::uint64_t life_ = 0;
+  std::uint64_t incarnation_ = 0;
   SlowStartShare slowStart_;
   RateLimit rateLimit_;
   Instant shrunkAt_ = Instant::min();
--- a/Libraries/LibKeys/KeyCommand.h
+++ b/Libraries/LibKeys/KeyCommand.h
@@ -30,7 +30,7 @@
   // For grants: lease duration, counted by the server from the arrival of the command.
   Duration leaseDuration_{ 0 };
   // Incarnation of the server that is addressed, as in KeyServer.
-  std::uint64_t life_ = 0;
+  std::uint64_t incarnation_ = 0;
 
   KeySpan Span() const { return { first_, last_ }; }
 };
@@ -42,7 +42,7 @@
   // The server has already seen a higher fence on some of the keys.
   HigherFence,
   // A different incarnation answered, so the addressed one has ended.
-  OtherLife,
+  OtherIncarnation,
   // Nothing was sent.
   NotSent,
   // Nothing was sent: the connection was refused.
--- a/Libraries/LibKeys/KeyServer.h
+++ b/Libraries/LibKeys/KeyServer.h
@@ -17,7 +17,7 @@
   bool isUsable_ = false;
   // Distinguishes the incarnations that run under one id; 0 when unknown. A new incarnation holds
   // none of the keys of the earlier one.
-  std::uint64_t life_ = 0;
+  std::uint64_t incarnation_ = 0;
 };
 
 // The server with that id; null when it is not listed or not usable.
--- a/Libraries/LibKeys/OwnershipPlacer.cpp
+++ b/Libraries/LibKeys/OwnershipPlacer.cpp
@@ -134,12 +134,12 @@
 OwnershipPlacer::NoteLives(const std::vector<KeyServer>& aServers)
 {
   for (const auto& server : aServers) {
-    if (server.life_ == 0) {
+    if (server.incarnation_ == 0) {
       continue;
     }
-    const auto [known, isNew] = lives_.try_emplace(server.id_, server.life_);
-    if (!isNew && known->second != server.life_) {
-      known->second = server.life_;
+    const auto [known, isNew] = incarnations_.try_emplace(server.id_, server.incarnation_);
+    if (!isNew && known->second != server.incarnation_) {
+      known->second = server.incarnation_;
       restarted_.insert(server.id_);
     }
   }
@@ -392,16 +392,17 @@
       aNow >= holds_.Of(aRange.previous_, aRange.Span())) {
     return "expired";
   }
-  const auto life = actions_.LifeOf(aRange.previous_);
-  if (!life) {
+  const auto incarnation = actions_.FindIncarnation(aRange.previous_);
+  if (!incarnation) {
     return nullptr;
   }
-  if (life->hasEnded_) {
+  if (incarnation->hasEnded_) {
     return "ended";
   }
   // A network partition may also cause refused connections, but not for a server that announced its
   // shutdown and is no longer listed.
-  const bool hasLeft = life->isLeaving_ && !life->isListed_ && aState.refusals_ >= kProvingRefusals;
+  const bool hasLeft =
+    incarnation->isLeaving_ && !incarnation->isListed_ && aState.refusals_ >= kProvingRefusals;
   return hasLeft ? "left" : nullptr;
 }
 
@@ -414,11 +415,11 @@
     SendGrant(aNow, aRange, aState);
     return;
   }
-  const auto life = actions_.LifeOf(aRange.previous_);
-  if (!life) {
+  const auto incarnation = actions_.FindIncarnation(aRange.previous_);
+  if (!incarnation) {
     return;
   }
-  auto order = MakeOrder(aRange, aRange.previous_, life->address_);
+  auto order = MakeOrder(aRange, aRange.previous_, incarnation->address_);
   order.isRelease_ = true;
   SendOrder(aState, std::move(order));
 }
@@ -440,8 +441,9 @@
 void
 OwnershipPlacer::SendOrder(RangeState& aState, KeyCommand aOrder)
 {
-  if (const auto life = lives_.find(aOrder.server_); life != lives_.end()) {
-    aOrder.life_ = life->second;
+  if (const auto incarnation = incarnations_.find(aOrder.server_);
+      incarnation != incarnations_.end()) {
+    aOrder.incarnation_ = incarnation->second;
   }
   const auto order = orders_.Add(std::move(aOrder));
   aState.order_ = order.number_;
@@ -488,7 +490,7 @@
 OwnershipPlacer::OnReleaseEnded(Instant aNow, RangeState& aState, const CommandOutcome& aOutcome)
 {
   const auto end = aOutcome.end_;
-  aState.isCleared_ = end == CommandStatus::Done || end == CommandStatus::OtherLife;
+  aState.isCleared_ = end == CommandStatus::Done || end == CommandStatus::OtherIncarnation;
   aState.handover_ = aOutcome.handover_;
   // A server whose machine is being removed first refuses connections and then becomes unreachable,
   // so an unreachable server keeps its count of refusals.
--- a/Libraries/LibKeys/OwnershipPlacer.h
+++ b/Libraries/LibKeys/OwnershipPlacer.h
@@ -145,7 +145,7 @@
   KeyLoad load_;
   std::vector<KeyServer> servers_;
   // Last known incarnation by server id. Includes unlisted servers, since they may return.
-  std::map<std::string, std::uint64_t> lives_;
+  std::map<std::string, std::uint64_t> incarnations_;
   // Restarted servers whose ranges still need a higher fence, by id.
   std::set<std::string> restarted_;
   // The ownership in the store.
--- a/Libraries/LibKeys/PlacerActions.h
+++ b/Libraries/LibKeys/PlacerActions.h
@@ -10,7 +10,7 @@
 
 // What is known about one incarnation of a server, including incarnations that are no longer
 // listed.
-struct ServerLife
+struct ServerIncarnation
 {
   std::string address_;
   bool isListed_ = false;
@@ -35,7 +35,7 @@
   // instance still being the placer. Completes in OnWritten or OnWriteFailed.
   virtual void Write(const KeyOwnership& aOwnership) = 0;
   // No value for incarnations that were never listed on this instance.
-  virtual std::optional<ServerLife> LifeOf(const std::string& aServer) const = 0;
+  virtual std::optional<ServerIncarnation> FindIncarnation(const std::string& aServer) const = 0;
 };
 
 } // namespace latchslip
--- a/Libraries/LibNet/PermitCodec.cpp
+++ b/Libraries/LibNet/PermitCodec.cpp
@@ -54,8 +54,8 @@
   out.setResult(static_cast<std::uint8_t>(aEnd.result_));
   out.setLatencyMicros(aEnd.latency_.count());
   out.setRestMicros(aEnd.rest_.count());
-  out.setIsLeaving(aEnd.leavingLife_.has_value());
-  out.setLife(aEnd.leavingLife_.value_or(0));
+  out.setIsLeaving(aEnd.leavingIncarnation_.has_value());
+  out.setLife(aEnd.leavingIncarnation_.value_or(0));
   out.setHasRateLimit(aEnd.rateLimit_.has_value());
   out.setRateLimit(aEnd.rateLimit_.value_or(kNoRateLimit));
   out.setHasStatus(aEnd.status_.has_value());
@@ -140,7 +140,7 @@
   end.latency_ = Duration(aIn.getLatencyMicros());
   end.rest_ = Duration(aIn.getRestMicros());
   if (aIn.getIsLeaving()) {
-    end.leavingLife_ = aIn.getLife();
+    end.leavingIncarnation_ = aIn.getLife();
   }
   if (aIn.getHasRateLimit() && aIn.getRateLimit() >= 0) {
     end.rateLimit_ = aIn.getRateLimit();
--- a/Libraries/LibPermit/DispatchedServer.cpp
+++ b/Libraries/LibPermit/DispatchedServer.cpp
@@ -30,10 +30,10 @@
 void
 DispatchedServer::SetRecord(const ServerRecord& aRecord, double aSlowStartRate)
 {
-  if (life_ != 0 && aRecord.life_ != 0 && life_ != aRecord.life_) {
-    BeginLife();
+  if (incarnation_ != 0 && aRecord.incarnation_ != 0 && incarnation_ != aRecord.incarnation_) {
+    BeginIncarnation();
   }
-  life_ = aRecord.life_;
+  incarnation_ = aRecord.incarnation_;
   hall_ = aRecord.hall_;
   slots_ = std::max(1U, aRecord.slots_);
   takesWork_ = aRecord.TakesWork();
@@ -42,7 +42,7 @@
 }
 
 void
-DispatchedServer::BeginLife()
+DispatchedServer::BeginIncarnation()
 {
   health_ = {};
   rateLimit_ = {};
--- a/Libraries/LibPermit/DispatchedServer.h
+++ b/Libraries/LibPermit/DispatchedServer.h
@@ -64,7 +64,7 @@
 
 private:
   // Resets all that was learned about an earlier incarnation.
-  void BeginLife();
+  void BeginIncarnation();
   bool MayStart(Instant aNow) const;
   // Number of requests at the server: those sent under this dispatcher, plus those of others that
   // the server has recently reported.
@@ -78,7 +78,7 @@
   void Learn(Instant aNow, std::size_t aFound, const SendEnd& aEnd);
 
   std::string hall_;
-  std::uint64_t life_ = 0;
+  std::uint64_t incarnation_ = 0;
   std::size_t slots_ = 1;
   bool takesWork_ = false;
   Instant slowStartUntil_ = Instant::min();
--- a/Libraries/LibPermit/PermitDispatcher.cpp
+++ b/Libraries/LibPermit/PermitDispatcher.cpp
@@ -177,8 +177,8 @@
   }
   const auto send = std::move(permit->second);
   permits_.erase(permit);
-  if (aEnd.leavingLife_) {
-    actions_.NoteLeaving(send.server_, *aEnd.leavingLife_);
+  if (aEnd.leavingIncarnation_) {
+    actions_.NoteLeaving(send.server_, *aEnd.leavingIncarnation_);
   }
   auto& service = services_.at(send.service_);
   if (const auto server = service.servers_.find(send.server_); server != service.servers_.end()) {
--- a/Tests/LibFleet/FleetMemberFixture.h
+++ b/Tests/LibFleet/FleetMemberFixture.h
@@ -36,8 +36,8 @@
     ServerRecord record{ aRow.key_,    "rates", aRow.key_ + ":80",
                          "hall",       4,       aRow.value_ == "leaving",
                          aRow.version_ };
-    const bool hasLife = aRow.value_.find_first_not_of("0123456789") == std::string::npos;
-    record.life_ = hasLife ? std::stoull(aRow.value_) : 0;
+    const bool hasIncarnation = aRow.value_.find_first_not_of("0123456789") == std::string::npos;
+    record.incarnation_ = hasIncarnation ? std::stoull(aRow.value_) : 0;
     return record;
   }
 
--- a/Tests/LibFleet/TestFleetMember.cpp
+++ b/Tests/LibFleet/TestFleetMember.cpp
@@ -31,7 +31,7 @@
   Show(FleetTable::Servers, 12, { { "s1", 12, "200" } });
   ASSERT_NE(member_.Directory().Find("s1"), nullptr);
   Show(FleetTable::Servers, 13, { { "s1", 13, "300" } });
-  EXPECT_EQ(member_.Directory().Find("s1")->life_, 300U);
+  EXPECT_EQ(member_.Directory().Find("s1")->incarnation_, 300U);
 }
 
 TEST_F(MemberOfAFleet, AnswersSayThatAServerLeaves_IsLoggedOnceALife)
--- a/Tests/LibGateway/RecordedActions.h
+++ b/Tests/LibGateway/RecordedActions.h
@@ -26,9 +26,9 @@
   {
     return connected_.contains(aAddress);
   }
-  void NoteLeaving(const std::string& aServer, std::uint64_t aLife) override
+  void NoteLeaving(const std::string& aServer, std::uint64_t aIncarnation) override
   {
-    leaving_.emplace(aServer, aLife);
+    leaving_.emplace(aServer, aIncarnation);
   }
   void CountKey(const std::string& aService, KeyNumber aKey) override
   {
--- a/Tests/LibGateway/TestPermitAsks.cpp
+++ b/Tests/LibGateway/TestPermitAsks.cpp
@@ -179,7 +179,7 @@
   Permit("p1");
   EXPECT_TRUE(actions_.sent_.empty());
   ASSERT_EQ(permits_.ends_.size(), 1U);
-  EXPECT_EQ(permits_.ends_[0].leavingLife_, 0U);
+  EXPECT_EQ(permits_.ends_[0].leavingIncarnation_, 0U);
 }
 
 TEST_F(DeskWithADispatcher, AnswerSaysThatItsServerLeaves_DispatcherIsTold)
@@ -192,7 +192,7 @@
   outcome.isLeaving_ = true;
   desk_.OnAttemptEnded(now_, actions_.sent_.back().number_, outcome);
   ASSERT_EQ(permits_.ends_.size(), 1U);
-  EXPECT_EQ(permits_.ends_[0].leavingLife_, 0U);
+  EXPECT_EQ(permits_.ends_[0].leavingIncarnation_, 0U);
 }
 
 TEST_F(DeskWithADispatcher, PermitIsDenied_IsRefusedAtOnceAsNotRun)
--- a/Tests/LibGateway/TestRequestDesk.cpp
+++ b/Tests/LibGateway/TestRequestDesk.cpp
@@ -98,10 +98,13 @@
       }));
   }
 
-  void End(RequestNumber aRequest, AttemptEnd aEnd, unsigned aStatus = 0, bool aIsOtherLife = false)
+  void End(RequestNumber aRequest,
+           AttemptEnd aEnd,
+           unsigned aStatus = 0,
+           bool aIsOtherIncarnation = false)
   {
     desk_.OnAttemptEnded(
-      now_, SendOf(aRequest).number_, { aEnd, aStatus, aIsOtherLife, std::nullopt });
+      now_, SendOf(aRequest).number_, { aEnd, aStatus, aIsOtherIncarnation, std::nullopt });
   }
 
   // The server turns the request away and asks for rest.
--- a/Tests/LibGateway/TestServerDirectory.cpp
+++ b/Tests/LibGateway/TestServerDirectory.cpp
@@ -233,9 +233,9 @@
   EXPECT_FALSE(IsListedAt("s1", seconds(1)));
   Put("s1", "10.0.0.1:80", 12);
   EXPECT_FALSE(directory_.Find("s1")->TakesWork());
-  ServerRecord nextLife{ "s1", "rates", "10.0.0.1:80", "hall", 4, false, 13 };
-  nextLife.life_ = 200;
-  directory_.Put(kNow, nextLife);
+  ServerRecord nextIncarnation{ "s1", "rates", "10.0.0.1:80", "hall", 4, false, 13 };
+  nextIncarnation.incarnation_ = 200;
+  directory_.Put(kNow, nextIncarnation);
   EXPECT_TRUE(directory_.Find("s1")->TakesWork());
 }
 
--- a/Tests/LibGateway/TestServerLoad.cpp
+++ b/Tests/LibGateway/TestServerLoad.cpp
@@ -51,13 +51,13 @@
 
 TEST_F(LoadOfAServer, ServerStartsAgainUnderItsId_WhatWasLearntOfItIsForgotten)
 {
-  load_.SetLife(100);
+  load_.SetIncarnation(100);
   AnswerWhileFull(100, milliseconds(5));
   Answer(20, milliseconds(5), SendResult::Failed);
-  load_.SetLife(100);
+  load_.SetIncarnation(100);
   ASSERT_EQ(load_.Limit(), 8U);
   ASSERT_GT(load_.FailureShare(), 0.5);
-  load_.SetLife(200);
+  load_.SetIncarnation(200);
   EXPECT_EQ(load_.Limit(), 2U);
   EXPECT_EQ(load_.FailureShare(), 0);
   EXPECT_EQ(load_.MeanLatency(), Duration(0));
--- a/Tests/LibKeys/PlacerWorld.h
+++ b/Tests/LibKeys/PlacerWorld.h
@@ -38,7 +38,7 @@
     // Commands are executed late and not acknowledged.
     bool isLate_ = false;
     // Distinguishes the incarnations that run under one id.
-    std::uint64_t life_ = 1;
+    std::uint64_t incarnation_ = 1;
     // How long the work in progress continues after a release, which is acknowledged only after
     // that.
     Duration workTime_{ 0 };
@@ -60,9 +60,9 @@
       world_.doubts_[aServer] = world_.now_ + aHolds;
     }
     void Write(const KeyOwnership& aOwnership) override { written_ = aOwnership; }
-    std::optional<ServerLife> LifeOf(const std::string& aServer) const override
+    std::optional<ServerIncarnation> FindIncarnation(const std::string& aServer) const override
     {
-      return world_.LifeOf(aServer);
+      return world_.FindIncarnation(aServer);
     }
 
     OwnershipPlacer placer_;
@@ -94,7 +94,7 @@
     aServer.held_.clear();
     aServer.seen_.clear();
     aServer.isUp_ = true;
-    ++aServer.life_;
+    ++aServer.incarnation_;
   }
 
   // Makes a new placer the one named in the row, without notice to the former one. The new placer
@@ -197,20 +197,21 @@
     CommandOutcome outcome_;
   };
 
-  std::optional<ServerLife> LifeOf(const std::string& aServer) const
+  std::optional<ServerIncarnation> FindIncarnation(const std::string& aServer) const
   {
     const auto found = servers_.find(aServer);
     if (found == servers_.end()) {
       return std::nullopt;
     }
-    ServerLife life{
+    ServerIncarnation incarnation{
       found->second.address_, found->second.isListed_, found->second.isLeaving_, false
     };
     for (const auto& [id, other] : servers_) {
-      life.hasEnded_ =
-        life.hasEnded_ || (id > aServer && other.address_ == life.address_ && other.isListed_);
+      incarnation.hasEnded_ =
+        incarnation.hasEnded_ ||
+        (id > aServer && other.address_ == incarnation.address_ && other.isListed_);
     }
-    return life;
+    return incarnation;
   }
 
   void Run(Placer& aPlacer)
@@ -221,8 +222,8 @@
     std::vector<KeyServer> listed;
     for (const auto& [id, server] : servers_) {
       if (server.isListed_) {
-        const bool isUsable = !server.isLeaving_ && !LifeOf(id)->hasEnded_;
-        listed.push_back({ id, server.address_, 1, isUsable, server.life_ });
+        const bool isUsable = !server.isLeaving_ && !FindIncarnation(id)->hasEnded_;
+        listed.push_back({ id, server.address_, 1, isUsable, server.incarnation_ });
       }
     }
     aPlacer.placer_.SetEpoch(epoch_);
@@ -317,7 +318,7 @@
       }
       const auto held = aServer.held_.find(key);
       const bool isNew = held == aServer.held_.end() || held->second.until_ <= now_;
-      const auto holder = aServer.id_ + " life " + std::to_string(aServer.life_);
+      const auto holder = aServer.id_ + " incarnation " + std::to_string(aServer.incarnation_);
       if (isNew && holders_[key] != holder) {
         EXPECT_GT(aOrder.fence_, fences_[key]) << "key " << key << " at " << holder;
         holders_[key] = holder;
--- a/Tests/LibPermit/DispatcherFixture.h
+++ b/Tests/LibPermit/DispatcherFixture.h
@@ -21,9 +21,9 @@
     answers_.emplace_back(aCaller, aMessage);
   }
 
-  void NoteLeaving(const std::string& aServer, std::uint64_t aLife) override
+  void NoteLeaving(const std::string& aServer, std::uint64_t aIncarnation) override
   {
-    leaving_.emplace(aServer, aLife);
+    leaving_.emplace(aServer, aIncarnation);
   }
 
   std::vector<std::pair<CallerId, MessageFromDispatcher>> answers_;
--- a/Tests/LibPermit/TestPermitDispatcher.cpp
+++ b/Tests/LibPermit/TestPermitDispatcher.cpp
@@ -161,7 +161,7 @@
 {
   Put("s1");
   auto end = CancelledSend(Ask());
-  end.leavingLife_ = 1700;
+  end.leavingIncarnation_ = 1700;
   dispatcher_.OnMessage(now_, kCaller, end);
   EXPECT_TRUE(actions_.leaving_.contains({ "s1", 1700 }));
 }
--- a/Tests/Platform/Soak/FaultPlan.cpp
+++ b/Tests/Platform/Soak/FaultPlan.cpp
@@ -329,7 +329,7 @@
       aServer.backend_->Unlist();
     }
   });
-  world_.After(aDown, [this, &aServer] { BeginLife(aServer); });
+  world_.After(aDown, [this, &aServer] { BeginIncarnation(aServer); });
 }
 
 void
@@ -340,7 +340,7 @@
 }
 
 void
-FaultPlan::BeginLife(SoakWorld::Server& aServer)
+FaultPlan::BeginIncarnation(SoakWorld::Server& aServer)
 {
   if (aServer.backend_->IsUp()) {
     return;
@@ -348,7 +348,8 @@
   const auto id = aServer.backend_->Id();
   aServer.backend_->Unlist();
   aServer.link_->SetFault(LinkFault::None);
-  aServer.backend_->BeginLife(id.substr(0, id.find('-') + 1) + std::to_string(++aServer.lives_));
+  aServer.backend_->BeginIncarnation(id.substr(0, id.find('-') + 1) +
+                                     std::to_string(++aServer.incarnations_));
 }
 
 void
@@ -371,7 +372,7 @@
   }
   Crash(aServer);
   aServer.backend_->Unlist();
-  world_.After(kServesOn, [this, &aServer] { BeginLife(aServer); });
+  world_.After(kServesOn, [this, &aServer] { BeginIncarnation(aServer); });
 }
 
 void
@@ -523,7 +524,7 @@
   if (backend.IsUp()) {
     backend.Relist();
   } else {
-    BeginLife(aServer);
+    BeginIncarnation(aServer);
   }
 }
 
--- a/Tests/Platform/Soak/FaultPlan.h
+++ b/Tests/Platform/Soak/FaultPlan.h
@@ -129,7 +129,7 @@
   // Ends a leaving server, unless it has ended meanwhile, and starts it again some time later.
   void EndLeaving(SoakWorld::Server& aServer, const std::string& aId);
   // Starts the server again under the next name, unless it runs.
-  void BeginLife(SoakWorld::Server& aServer);
+  void BeginIncarnation(SoakWorld::Server& aServer);
   void HealStore();
   void Heal(SoakWorld::Instance& aInstance);
   void Heal(SoakWorld::Server& aServer);
--- a/Tests/Platform/Soak/SoakWorld.cpp
+++ b/Tests/Platform/Soak/SoakWorld.cpp
@@ -184,13 +184,13 @@
 SoakWorld::WriteAgain()
 {
   WriteConfiguration();
-  std::set<std::string> lives;
+  std::set<std::string> incarnations;
   for (const auto& server : servers_) {
-    lives.insert(server.backend_->Id());
+    incarnations.insert(server.backend_->Id());
     server.backend_->WriteAgain();
   }
   for (const auto& id : store_->KeysOf("servers")) {
-    if (!lives.contains(id)) {
+    if (!incarnations.contains(id)) {
       store_->Remove("servers", id);
     }
   }
--- a/Tests/Platform/Soak/SoakWorld.h
+++ b/Tests/Platform/Soak/SoakWorld.h
@@ -58,7 +58,7 @@
   {
     std::unique_ptr<LoopbackProxy> link_;
     std::unique_ptr<StandInBackend> backend_;
-    std::size_t lives_ = 1;
+    std::size_t incarnations_ = 1;
   };
 
   explicit SoakWorld(SoakSettings aSettings);
--- a/Tests/Platform/TestPlatformCodec.cpp
+++ b/Tests/Platform/TestPlatformCodec.cpp
@@ -193,8 +193,8 @@
 {
   const auto owner = Decode(421, { { "X-Instance-Id", "i-1" }, { "X-Not-Executed", "1" } });
   EXPECT_EQ(owner.end_, AttemptEnd::WrongServer);
-  EXPECT_FALSE(owner.isOtherLife_);
-  EXPECT_TRUE(Decode(421, { { "X-Instance-Id", "i-2" } }).isOtherLife_);
+  EXPECT_FALSE(owner.isOtherIncarnation_);
+  EXPECT_TRUE(Decode(421, { { "X-Instance-Id", "i-2" } }).isOtherIncarnation_);
 }
 
 TEST_F(CodecOfOneAttempt, ExchangeFails_SentAndNotSentAreToldApart)
@@ -273,11 +273,11 @@
 {
   EXPECT_EQ(Decode(200), CommandStatus::Done);
   EXPECT_EQ(Decode(409), CommandStatus::HigherFence);
-  EXPECT_EQ(Decode(421, { { "X-Instance-Id", "i-2" } }), CommandStatus::OtherLife);
+  EXPECT_EQ(Decode(421, { { "X-Instance-Id", "i-2" } }), CommandStatus::OtherIncarnation);
   // The life that was meant is there, so it may hold keys.
   EXPECT_EQ(Decode(421, { { "X-Instance-Id", "i-1" } }), CommandStatus::Unanswered);
   EXPECT_EQ(Decode(421), CommandStatus::Unanswered);
-  EXPECT_EQ(Decode(200, { { "X-Instance-Id", "i-2" } }), CommandStatus::OtherLife);
+  EXPECT_EQ(Decode(200, { { "X-Instance-Id", "i-2" } }), CommandStatus::OtherIncarnation);
   EXPECT_EQ(Decode(500), CommandStatus::Unanswered);
   EXPECT_EQ(Decode(503, { { "X-Not-Executed", "1" } }), CommandStatus::NotSent);
 }
--- a/Tests/Platform/TestPlatformDocuments.cpp
+++ b/Tests/Platform/TestPlatformDocuments.cpp
@@ -148,7 +148,7 @@
   EXPECT_FALSE(decoder_.DecodeServer({ "i-7f", 42, R"({"service":"rate"})" }));
   constexpr std::string_view kRecord = R"({"service":"rate","address":"10.0.0.9:80","zone":"a",)"
                                        R"("slots":4,"state":"ready","born":1764743654123})";
-  EXPECT_EQ(decoder_.DecodeServer({ "i-7f", 42, std::string(kRecord) }).value().life_,
+  EXPECT_EQ(decoder_.DecodeServer({ "i-7f", 42, std::string(kRecord) }).value().incarnation_,
             1764743654123U);
   EXPECT_FALSE(decoder_.DecodeServer({ "i-7f", 42, Replace(kRecord, "ready", "resting") }));
   EXPECT_FALSE(decoder_.DecodeServer({ "i-7f", 42, Replace(kRecord, "1764743654123", "\"x\"") }));
