--- a/Libraries/LibKeys/BalanceRound.cpp
+++ b/Libraries/LibKeys/BalanceRound.cpp
@@ -26,7 +26,7 @@
 } // namespace
 
 BalanceRound::BalanceRound(const KeyOwnership& aOwnership,
-                           ServerShares aShares,
+                           LoadDistribution aShares,
                            const KeyLoad& aLoad,
                            BalanceLimits aLimits)
   : ownership_(aOwnership)
--- a/Libraries/LibKeys/BalanceRound.h
+++ b/Libraries/LibKeys/BalanceRound.h
@@ -2,7 +2,7 @@
 
 #include "LibKeys/KeyLoad.h"
 #include "LibKeys/KeyOwnership.h"
-#include "LibKeys/ServerShares.h"
+#include "LibKeys/LoadDistribution.h"
 
 #include <cstddef>
 #include <optional>
@@ -33,7 +33,7 @@
   // aShares is the load of the servers under aOwnership and aLoad. It must not be empty. aLoad must
   // outlive the round.
   BalanceRound(const KeyOwnership& aOwnership,
-               ServerShares aShares,
+               LoadDistribution aShares,
                const KeyLoad& aLoad,
                BalanceLimits aLimits);
 
@@ -85,7 +85,7 @@
 
   // The ownership with the moves made so far.
   KeyOwnership ownership_;
-  ServerShares shares_;
+  LoadDistribution shares_;
   const KeyLoad& load_;
   BalanceLimits limits_;
 };
--- a/Libraries/LibKeys/KeyBalancer.cpp
+++ b/Libraries/LibKeys/KeyBalancer.cpp
@@ -1,7 +1,7 @@
 #include "LibKeys/KeyBalancer.h"
 
 #include "LibKeys/BalanceRound.h"
-#include "LibKeys/ServerShares.h"
+#include "LibKeys/LoadDistribution.h"
 
 #include <algorithm>
 #include <utility>
@@ -60,7 +60,7 @@
                      const std::vector<KeyServer>& aServers,
                      const KeyLoad& aLoad)
 {
-  ServerShares shares(aOwnership, aServers, aLoad);
+  LoadDistribution shares(aOwnership, aServers, aLoad);
   if (shares.IsEmpty()) {
     return std::nullopt;
   }
@@ -87,7 +87,7 @@
                      const KeyLoad& aLoad,
                      FenceNumber aRestedFence) const
 {
-  ServerShares shares(aOwnership, aServers, aLoad);
+  LoadDistribution shares(aOwnership, aServers, aLoad);
   if (shares.IsEmpty()) {
     return std::nullopt;
   }
--- a/Libraries/LibKeys/HoldBounds.cpp
+++ b/Libraries/LibKeys/LeaseBounds.cpp
@@ -1,11 +1,11 @@
-#include "LibKeys/HoldBounds.h"
+#include "LibKeys/LeaseBounds.h"
 
 #include <algorithm>
 
 namespace latchslip {
 
 void
-HoldBounds::Start(std::map<std::string, Instant> aDoubts)
+LeaseBounds::Start(std::map<std::string, Instant> aDoubts)
 {
   own_.clear();
   former_.clear();
@@ -13,7 +13,7 @@
 }
 
 void
-HoldBounds::Extend(Instant aNow, const std::string& aServer, KeySpan aKeys, Instant aUntil)
+LeaseBounds::Extend(Instant aNow, const std::string& aServer, KeySpan aKeys, Instant aUntil)
 {
   auto& bounds = own_[aServer];
   std::erase_if(bounds, [&](const KeyBound& aBound) { return aBound.until_ <= aNow; });
@@ -27,13 +27,13 @@
 }
 
 void
-HoldBounds::SetFormer(const std::string& aServer, Instant aUntil)
+LeaseBounds::SetFormer(const std::string& aServer, Instant aUntil)
 {
   former_[aServer] = aUntil;
 }
 
 void
-HoldBounds::LimitFormer(Instant aLatest)
+LeaseBounds::LimitFormer(Instant aLatest)
 {
   for (auto& [server, until] : former_) {
     until = std::min(until, aLatest);
@@ -41,14 +41,14 @@
 }
 
 void
-HoldBounds::ForgetFormer(const std::string& aServer)
+LeaseBounds::ForgetFormer(const std::string& aServer)
 {
   former_.erase(aServer);
   doubts_.erase(aServer);
 }
 
 Instant
-HoldBounds::Of(const std::string& aServer, KeySpan aKeys) const
+LeaseBounds::Of(const std::string& aServer, KeySpan aKeys) const
 {
   auto until = Instant::min();
   for (const auto* bounds : { &former_, &doubts_ }) {
--- a/Libraries/LibKeys/HoldBounds.h
+++ b/Libraries/LibKeys/LeaseBounds.h
@@ -16,7 +16,7 @@
 // delays only its own keys, for 17 s instead of 5 s, and not all keys of its server. When four
 // servers failed together and three of them had one such grant each, requests refused because their
 // key had no owner dropped from 600/s to 100 to 200/s once the other grants had expired.
-class HoldBounds
+class LeaseBounds
 {
 public:
   // Drops all bounds and starts with the uncertain leases that other instances reported: the
--- a/Libraries/LibKeys/ServerShares.cpp
+++ b/Libraries/LibKeys/LoadDistribution.cpp
@@ -1,4 +1,4 @@
-#include "LibKeys/ServerShares.h"
+#include "LibKeys/LoadDistribution.h"
 
 #include <algorithm>
 #include <cmath>
@@ -14,9 +14,9 @@
 
 } // namespace
 
-ServerShares::ServerShares(const KeyOwnership& aOwnership,
-                           const std::vector<KeyServer>& aServers,
-                           const KeyLoad& aLoad)
+LoadDistribution::LoadDistribution(const KeyOwnership& aOwnership,
+                                   const std::vector<KeyServer>& aServers,
+                                   const KeyLoad& aLoad)
   : counted_(aLoad.Counted())
 {
   for (const auto& server : aServers) {
@@ -31,7 +31,7 @@
 }
 
 void
-ServerShares::Add(const std::string& aServer, double aLoad)
+LoadDistribution::Add(const std::string& aServer, double aLoad)
 {
   if (const auto share = shares_.find(aServer); share != shares_.end()) {
     share->second.load_ += aLoad;
@@ -40,7 +40,7 @@
 }
 
 std::string
-ServerShares::Strongest() const
+LoadDistribution::Strongest() const
 {
   const auto weaker = [](const auto& aLeft, const auto& aRight) {
     return aLeft.second.weight_ < aRight.second.weight_;
@@ -49,7 +49,7 @@
 }
 
 double
-ServerShares::Difference(const std::string& aFrom, const std::string& aTo) const
+LoadDistribution::Difference(const std::string& aFrom, const std::string& aTo) const
 {
   const auto& from = shares_.at(aFrom);
   const auto& to = shares_.at(aTo);
@@ -57,7 +57,9 @@
 }
 
 bool
-ServerShares::IsBetterPlace(const std::string& aFrom, const std::string& aTo, double aLoad) const
+LoadDistribution::IsBetterPlace(const std::string& aFrom,
+                                const std::string& aTo,
+                                double aLoad) const
 {
   const auto& from = shares_.at(aFrom);
   const auto& to = shares_.at(aTo);
@@ -67,13 +69,13 @@
 }
 
 double
-ServerShares::Room(const std::string& aServer, double aMultiple) const
+LoadDistribution::Room(const std::string& aServer, double aMultiple) const
 {
   return aMultiple * PartOf(aServer) - LoadOf(aServer);
 }
 
 double
-ServerShares::Noise(const std::string& aServer) const
+LoadDistribution::Noise(const std::string& aServer) const
 {
   // The variance of a count with exponential decay is half of its mean.
   const double mean = counted_ * shares_.at(aServer).weight_ / totalWeight_;
@@ -81,7 +83,7 @@
 }
 
 std::string
-ServerShares::Least() const
+LoadDistribution::Least() const
 {
   const auto lower = [](const auto& aLeft, const auto& aRight) {
     return aLeft.second.Level() < aRight.second.Level();
@@ -90,7 +92,7 @@
 }
 
 std::string
-ServerShares::Most() const
+LoadDistribution::Most() const
 {
   const std::string* most = nullptr;
   double highest = 0;
--- a/Libraries/LibKeys/ServerShares.h
+++ b/Libraries/LibKeys/LoadDistribution.h
@@ -13,12 +13,12 @@
 
 // The load of each usable server relative to its weight. The level of a server is its load per unit
 // of weight. Except for IsEmpty, all queries require at least one usable server.
-class ServerShares
+class LoadDistribution
 {
 public:
-  ServerShares(const KeyOwnership& aOwnership,
-               const std::vector<KeyServer>& aServers,
-               const KeyLoad& aLoad);
+  LoadDistribution(const KeyOwnership& aOwnership,
+                   const std::vector<KeyServer>& aServers,
+                   const KeyLoad& aLoad);
 
   // Adds load to a server; negative when load is taken away.
   void Add(const std::string& aServer, double aLoad);
--- a/Libraries/LibKeys/OrderBook.cpp
+++ b/Libraries/LibKeys/OutstandingCommands.cpp
@@ -1,4 +1,4 @@
-#include "LibKeys/OrderBook.h"
+#include "LibKeys/OutstandingCommands.h"
 
 #include <algorithm>
 
@@ -20,7 +20,7 @@
 } // namespace
 
 void
-OrderBook::Clear()
+OutstandingCommands::Clear()
 {
   orders_.clear();
   ordersOf_.clear();
@@ -28,7 +28,7 @@
 }
 
 KeyCommand
-OrderBook::Add(KeyCommand aOrder)
+OutstandingCommands::Add(KeyCommand aOrder)
 {
   aOrder.number_ = ++lastOrder_;
   ++ordersOf_[aOrder.server_];
@@ -37,7 +37,7 @@
 }
 
 std::optional<KeyCommand>
-OrderBook::Take(CommandNumber aOrder, CommandStatus aEnd)
+OutstandingCommands::Take(CommandNumber aOrder, CommandStatus aEnd)
 {
   const auto found = orders_.find(aOrder);
   if (found == orders_.end()) {
@@ -57,7 +57,7 @@
 }
 
 bool
-OrderBook::HasRoomFor(const std::string& aServer) const
+OutstandingCommands::HasRoomFor(const std::string& aServer) const
 {
   if (orders_.size() >= kMostOrders) {
     return false;
@@ -68,7 +68,7 @@
 }
 
 bool
-OrderBook::HasGrantTo(const std::string& aServer, KeySpan aKeys) const
+OutstandingCommands::HasGrantTo(const std::string& aServer, KeySpan aKeys) const
 {
   return std::any_of(orders_.begin(), orders_.end(), [&](const auto& aEntry) {
     const auto& order = aEntry.second;
--- a/Libraries/LibKeys/OrderBook.h
+++ b/Libraries/LibKeys/OutstandingCommands.h
@@ -11,7 +11,7 @@
 namespace latchslip {
 
 // Tracks the outstanding commands of one placer and limits their number, in total and per server.
-class OrderBook
+class OutstandingCommands
 {
 public:
   // Drops all commands; their results will be ignored. Command numbers are not reused.
--- a/Libraries/LibKeys/OwnershipPlacer.h
+++ b/Libraries/LibKeys/OwnershipPlacer.h
@@ -2,13 +2,13 @@
 
 #include "LibBase/Event.h"
 #include "LibBase/Time.h"
-#include "LibKeys/HoldBounds.h"
 #include "LibKeys/KeyBalancer.h"
 #include "LibKeys/KeyCommand.h"
 #include "LibKeys/KeyLoad.h"
 #include "LibKeys/KeyOwnership.h"
 #include "LibKeys/KeyServer.h"
-#include "LibKeys/OrderBook.h"
+#include "LibKeys/LeaseBounds.h"
+#include "LibKeys/OutstandingCommands.h"
 #include "LibKeys/PlacerActions.h"
 
 #include <deque>
@@ -154,8 +154,8 @@
   std::vector<RangeState> states_;
   // The outstanding write.
   std::optional<KeyOwnership> writing_;
-  OrderBook orders_;
-  HoldBounds holds_;
+  OutstandingCommands orders_;
+  LeaseBounds holds_;
   StoreEpoch epoch_ = 0;
   // No command is sent and nothing is written before this time.
   Instant ordersFrom_ = Instant::min();
--- a/Tests/LibKeys/TestHoldBounds.cpp
+++ b/Tests/LibKeys/TestLeaseBounds.cpp
@@ -1,4 +1,4 @@
-#include "LibKeys/HoldBounds.h"
+#include "LibKeys/LeaseBounds.h"
 
 #include <gtest/gtest.h>
 
@@ -8,14 +8,14 @@
 
 constexpr KeySpan kKeys{ 100, 199 };
 
-TEST(HoldBounds, ServerWithoutAny_HasNone)
+TEST(LeaseBounds, ServerWithoutAny_HasNone)
 {
-  EXPECT_EQ(HoldBounds().Of("s1", kKeys), Instant::min());
+  EXPECT_EQ(LeaseBounds().Of("s1", kKeys), Instant::min());
 }
 
-TEST(HoldBounds, SeveralBounds_TheLatestHolds)
+TEST(LeaseBounds, SeveralBounds_TheLatestHolds)
 {
-  HoldBounds holds;
+  LeaseBounds holds;
   holds.Start({ { "s1", seconds(2) } });
   EXPECT_EQ(holds.Of("s1", kKeys), seconds(2));
   holds.SetFormer("s1", seconds(5));
@@ -26,9 +26,9 @@
   EXPECT_EQ(holds.Of("s2", kKeys), Instant::min());
 }
 
-TEST(HoldBounds, FormerPlacerStops_OnlyItsBoundsAreLimited)
+TEST(LeaseBounds, FormerPlacerStops_OnlyItsBoundsAreLimited)
 {
-  HoldBounds holds;
+  LeaseBounds holds;
   holds.Start({ { "s2", seconds(8) } });
   holds.SetFormer("s1", seconds(9));
   holds.SetFormer("s3", seconds(1));
@@ -38,9 +38,9 @@
   EXPECT_EQ(holds.Of("s3", kKeys), seconds(1));
 }
 
-TEST(HoldBounds, FormerOrdersAreForgotten_OwnBoundsStay)
+TEST(LeaseBounds, FormerOrdersAreForgotten_OwnBoundsStay)
 {
-  HoldBounds holds;
+  LeaseBounds holds;
   holds.Start({ { "s1", seconds(8) } });
   holds.SetFormer("s1", seconds(9));
   holds.Extend(seconds(1), "s1", kKeys, seconds(3));
@@ -48,9 +48,9 @@
   EXPECT_EQ(holds.Of("s1", kKeys), seconds(3));
 }
 
-TEST(HoldBounds, OneOrderBindsLonger_OnlyKeysThatItNamesWait)
+TEST(LeaseBounds, OneOrderBindsLonger_OnlyKeysThatItNamesWait)
 {
-  HoldBounds holds;
+  LeaseBounds holds;
   holds.Extend(seconds(1), "s1", { 0, 99 }, seconds(5));
   holds.Extend(seconds(1), "s1", { 100, 199 }, seconds(17));
   EXPECT_EQ(holds.Of("s1", { 0, 99 }), seconds(5));
@@ -59,26 +59,26 @@
   EXPECT_EQ(holds.Of("s1", { 200, 300 }), Instant::min());
 }
 
-TEST(HoldBounds, KeysAreCutAfterAnOrder_EachPieceIsBoundByIt)
+TEST(LeaseBounds, KeysAreCutAfterAnOrder_EachPieceIsBoundByIt)
 {
-  HoldBounds holds;
+  LeaseBounds holds;
   holds.Extend(seconds(1), "s1", { 0, 99 }, seconds(17));
   holds.Extend(seconds(2), "s1", { 0, 49 }, seconds(7));
   EXPECT_EQ(holds.Of("s1", { 0, 49 }), seconds(17));
   EXPECT_EQ(holds.Of("s1", { 50, 99 }), seconds(17));
 }
 
-TEST(HoldBounds, BoundsHavePassed_AreForgotten)
+TEST(LeaseBounds, BoundsHavePassed_AreForgotten)
 {
-  HoldBounds holds;
+  LeaseBounds holds;
   holds.Extend(seconds(1), "s1", { 0, 99 }, seconds(5));
   holds.Extend(seconds(6), "s1", { 100, 199 }, seconds(11));
   EXPECT_EQ(holds.Of("s1", { 0, 99 }), Instant::min());
 }
 
-TEST(HoldBounds, StartedAnew_HasNothingOfBefore)
+TEST(LeaseBounds, StartedAnew_HasNothingOfBefore)
 {
-  HoldBounds holds;
+  LeaseBounds holds;
   holds.Extend(seconds(1), "s1", kKeys, seconds(3));
   holds.SetFormer("s2", seconds(3));
   holds.Start({});
--- a/Tests/LibKeys/TestOrderBook.cpp
+++ b/Tests/LibKeys/TestOutstandingCommands.cpp
@@ -1,4 +1,4 @@
-#include "LibKeys/OrderBook.h"
+#include "LibKeys/OutstandingCommands.h"
 
 #include <gtest/gtest.h>
 
@@ -17,7 +17,7 @@
 
 // Adds grants until the limit is reached, and returns their number.
 std::size_t
-Fill(OrderBook& aBook, const std::string& aServer)
+Fill(OutstandingCommands& aBook, const std::string& aServer)
 {
   std::size_t count = 0;
   for (; aBook.HasRoomFor(aServer); ++count) {
@@ -26,9 +26,9 @@
   return count;
 }
 
-TEST(OrderBook, OrdersAreNumberedAndTakenOutOnce)
+TEST(OutstandingCommands, OrdersAreNumberedAndTakenOutOnce)
 {
-  OrderBook book;
+  OutstandingCommands book;
   const auto first = book.Add(OrderTo("s1"));
   const auto second = book.Add(OrderTo("s2"));
   EXPECT_NE(first.number_, second.number_);
@@ -38,9 +38,9 @@
   EXPECT_FALSE(book.HasOrderTo("s2"));
 }
 
-TEST(OrderBook, ReleaseUnderWay_IsNoGrant)
+TEST(OutstandingCommands, ReleaseUnderWay_IsNoGrant)
 {
-  OrderBook book;
+  OutstandingCommands book;
   book.Add(OrderTo("s1", true));
   EXPECT_TRUE(book.HasOrderTo("s1"));
   EXPECT_FALSE(book.HasGrantTo("s1", { 0, kLastKey }));
@@ -48,9 +48,9 @@
   EXPECT_TRUE(book.HasGrantTo("s1", { 0, kLastKey }));
 }
 
-TEST(OrderBook, GrantUnderWay_ConcernsOnlyItsKeys)
+TEST(OutstandingCommands, GrantUnderWay_ConcernsOnlyItsKeys)
 {
-  OrderBook book;
+  OutstandingCommands book;
   auto grant = OrderTo("s1");
   grant.first_ = 100;
   grant.last_ = 199;
@@ -60,16 +60,16 @@
   EXPECT_FALSE(book.HasGrantTo("s2", { 100, 199 }));
 }
 
-TEST(OrderBook, ServerHasAsManyAsItMay_OthersHaveRoom)
+TEST(OutstandingCommands, ServerHasAsManyAsItMay_OthersHaveRoom)
 {
-  OrderBook book;
+  OutstandingCommands book;
   EXPECT_EQ(Fill(book, "s1"), 64U);
   EXPECT_TRUE(book.HasRoomFor("s2"));
 }
 
-TEST(OrderBook, AsManyAsThereMayBeInAll_NobodyHasRoom)
+TEST(OutstandingCommands, AsManyAsThereMayBeInAll_NobodyHasRoom)
 {
-  OrderBook book;
+  OutstandingCommands book;
   std::size_t count = 0;
   for (int server = 0; server < 10; ++server) {
     count += Fill(book, "s" + std::to_string(server));
@@ -78,9 +78,9 @@
   EXPECT_FALSE(book.HasRoomFor("another"));
 }
 
-TEST(OrderBook, ServerDidNotAnswer_GetsTwoUntilItDoes)
+TEST(OutstandingCommands, ServerDidNotAnswer_GetsTwoUntilItDoes)
 {
-  OrderBook book;
+  OutstandingCommands book;
   const auto unanswered = book.Add(OrderTo("s1"));
   book.Take(unanswered.number_, CommandStatus::Unanswered);
   EXPECT_EQ(Fill(book, "s1"), 2U);
@@ -89,9 +89,9 @@
   EXPECT_TRUE(book.HasRoomFor("s1"));
 }
 
-TEST(OrderBook, Cleared_NumbersGoOn)
+TEST(OutstandingCommands, Cleared_NumbersGoOn)
 {
-  OrderBook book;
+  OutstandingCommands book;
   const auto old = book.Add(OrderTo("s1"));
   book.Clear();
   EXPECT_FALSE(book.HasOrderTo("s1"));
