--- a/Benchmarks/BenchGateway.cpp
+++ b/Benchmarks/BenchGateway.cpp
@@ -168,7 +168,7 @@
   const KeyBalancer balancer{ {} };
   std::size_t moved = 0;
   for (auto _ : aState) {
-    const auto next = balancer.EvenOut(ownership, servers, load, ownership.lastFence_);
+    const auto next = balancer.Rebalance(ownership, servers, load, ownership.lastFence_);
     moved = next ? ChangesBetween(ownership, *next).ranges_.size() : 0;
   }
   aState.counters["ranges_changed"] = static_cast<double>(moved);
--- a/Libraries/LibFleet/ServicePlacer.h
+++ b/Libraries/LibFleet/ServicePlacer.h
@@ -31,9 +31,9 @@
                               record->IsLeaving(),
                               directory.HasEnded(aServer) };
   }
-  void RecordUncertainLease(Instant aNow, const std::string& aServer, Duration aHolds) override
+  void RecordUncertainLease(Instant aNow, const std::string& aServer, Duration aDuration) override
   {
-    member_.SpreadDoubt(aNow, { aServer, aHolds });
+    member_.SpreadDoubt(aNow, { aServer, aDuration });
   }
   void Write(const KeyOwnership& aOwnership) override { member_.QueueWrite(aOwnership); }
 
--- a/Libraries/LibKeys/BalanceRound.cpp
+++ b/Libraries/LibKeys/BalanceRound.cpp
@@ -9,28 +9,28 @@
 namespace {
 
 // A move must take at least this share of the mean load off the most loaded server.
-constexpr double kLeastGain = 0.04;
+constexpr double kMinMoveGain = 0.04;
 // Maximum number of ranges that one round takes from one server. Equals the number of releases that
 // may be outstanding to one server: keys that wait for their release have no owner.
-constexpr std::size_t kMostTakenFromOne = 64;
+constexpr std::size_t kMaxMovesFromServer = 64;
 // Nothing is moved while the least loaded server has more than this share of its fair share and the
 // most loaded one is within its tolerance.
-constexpr double kLeastPart = 0.75;
+constexpr double kMinLoadShare = 0.75;
 // Load estimates come from few requests. Deviations of fewer than this many standard deviations
 // count as noise: among 200 equally loaded servers, the most and the least loaded deviate from the
 // mean by about three.
-constexpr double kChance = 3.5;
+constexpr double kNoiseDeviations = 3.5;
 // A server below this share of its fair share receives load even if the deviation could be noise.
-constexpr double kLeastPartAtAll = 0.25;
+constexpr double kStarvedLoadShare = 0.25;
 
 } // namespace
 
 BalanceRound::BalanceRound(const KeyOwnership& aOwnership,
-                           LoadDistribution aShares,
+                           LoadDistribution aDistribution,
                            const KeyLoad& aLoad,
                            BalanceLimits aLimits)
   : ownership_(aOwnership)
-  , shares_(std::move(aShares))
+  , distribution_(std::move(aDistribution))
   , load_(aLoad)
   , limits_(aLimits)
 {
@@ -41,22 +41,22 @@
 {
   std::map<std::string, std::size_t> taken;
   std::size_t moves = 0;
-  while (moves < limits_.mostMoves_ && shares_.HasMost() && !IsEven()) {
-    const auto from = shares_.Most();
+  while (moves < limits_.maxMoves_ && distribution_.HasCandidate() && !IsBalanced()) {
+    const auto from = distribution_.MostLoaded();
     const auto move = ChooseMove();
-    if (!move || ++taken[from] > kMostTakenFromOne) {
+    if (!move || ++taken[from] > kMaxMovesFromServer) {
       // Its whole load may be a single key, or its ranges may already be moving.
-      shares_.LeaveOut(from);
+      distribution_.Exclude(from);
       continue;
     }
-    Carry(from, *move);
+    ApplyMove(from, *move);
     ++moves;
   }
   if (moves == 0) {
     return std::nullopt;
   }
-  if (ownership_.ranges_.size() > limits_.mostRanges_ / 2) {
-    MergeNeighbours();
+  if (ownership_.ranges_.size() > limits_.maxRanges_ / 2) {
+    MergeAdjacentRanges();
   }
   return std::move(ownership_);
 }
@@ -64,25 +64,27 @@
 // Checks both ends: after a server has joined, it can be far below its fair share while no other
 // server is far above.
 bool
-BalanceRound::IsEven() const
+BalanceRound::IsBalanced() const
 {
-  const auto most = shares_.Most();
-  const auto least = shares_.Least();
-  const auto mostPart = shares_.PartOf(most);
-  const auto leastPart = shares_.PartOf(least);
+  const auto most = distribution_.MostLoaded();
+  const auto least = distribution_.LeastLoaded();
+  const auto mostFairShare = distribution_.FairShareOf(most);
+  const auto leastFairShare = distribution_.FairShareOf(least);
   const auto ceiling =
-    std::max(limits_.tolerance_ * mostPart, mostPart + kChance * shares_.Noise(most));
+    std::max(limits_.tolerance_ * mostFairShare,
+             mostFairShare + kNoiseDeviations * distribution_.SamplingError(most));
   const auto floor =
-    std::max(std::min(kLeastPart * leastPart, leastPart - kChance * shares_.Noise(least)),
-             kLeastPartAtAll * leastPart);
-  return shares_.LoadOf(most) < ceiling && shares_.LoadOf(least) > floor;
+    std::max(std::min(kMinLoadShare * leastFairShare,
+                      leastFairShare - kNoiseDeviations * distribution_.SamplingError(least)),
+             kStarvedLoadShare * leastFairShare);
+  return distribution_.LoadOf(most) < ceiling && distribution_.LoadOf(least) > floor;
 }
 
 bool
 BalanceRound::IsMovable(const KeyRange& aRange, const std::string& aServer) const
 {
   return aRange.owner_ == aServer && aRange.previous_.empty() &&
-         aRange.fence_ <= limits_.restedFence_;
+         aRange.fence_ <= limits_.maxMovableFence_;
 }
 
 // The receiver is filled only up to the tolerance of its fair share, because load that it has
@@ -92,47 +94,47 @@
 BalanceRound::ChooseMove() const
 {
   constexpr double kAnyLoad = std::numeric_limits<double>::infinity();
-  const auto from = shares_.Most();
-  const auto to = shares_.Least();
-  const auto difference = shares_.Difference(from, to);
-  const auto leastLoad = kLeastGain * shares_.MeanLevel();
-  const auto most = std::min(difference, shares_.Room(to, limits_.tolerance_));
-  const auto piece = BestPiece(from, most);
-  if (piece && piece->load_ >= leastLoad) {
-    return Move{ *piece, to };
+  const auto from = distribution_.MostLoaded();
+  const auto to = distribution_.LeastLoaded();
+  const auto difference = distribution_.TransferToLevel(from, to);
+  const auto minLoad = kMinMoveGain * distribution_.MeanLevel();
+  const auto most = std::min(difference, distribution_.Headroom(to, limits_.tolerance_));
+  const auto part = FindBestPart(from, most);
+  if (part && part->load_ >= minLoad) {
+    return Move{ *part, to };
   }
-  const auto single = HottestKey(from, difference);
-  if (MayCut() && single && single->load_ >= leastLoad) {
+  const auto single = FindHottestKey(from, difference);
+  if (CanSplit() && single && single->load_ >= minLoad) {
     return Move{ *single, to };
   }
-  const auto strongest = shares_.Strongest();
-  const auto hottest = HottestKey(from, kAnyLoad);
-  if (hottest && shares_.IsBetterPlace(from, strongest, hottest->load_)) {
+  const auto strongest = distribution_.HighestWeight();
+  const auto hottest = FindHottestKey(from, kAnyLoad);
+  if (hottest && distribution_.FitsBetter(from, strongest, hottest->load_)) {
     return Move{ *hottest, strongest };
   }
   return std::nullopt;
 }
 
-std::optional<BalanceRound::Piece>
-BalanceRound::BestPiece(const std::string& aServer, double aMost) const
+std::optional<BalanceRound::RangePart>
+BalanceRound::FindBestPart(const std::string& aServer, double aMaxLoad) const
 {
-  std::optional<Piece> best;
+  std::optional<RangePart> best;
   for (std::size_t index = 0; index < ownership_.ranges_.size(); ++index) {
     const auto& range = ownership_.ranges_[index];
     if (!IsMovable(range, aServer)) {
       continue;
     }
-    const auto piece = PieceUpTo(index, aMost);
-    const bool isWhole = piece && piece->last_ == range.last_;
-    if (piece && (isWhole || MayCut()) && (!best || piece->load_ > best->load_)) {
-      best = piece;
+    const auto part = LongestPrefix(index, aMaxLoad);
+    const bool isWhole = part && part->last_ == range.last_;
+    if (part && (isWhole || CanSplit()) && (!best || part->load_ > best->load_)) {
+      best = part;
     }
   }
   return best;
 }
 
-std::optional<BalanceRound::Piece>
-BalanceRound::PieceUpTo(std::size_t aRange, double aMost) const
+std::optional<BalanceRound::RangePart>
+BalanceRound::LongestPrefix(std::size_t aRange, double aMaxLoad) const
 {
   const auto& range = ownership_.ranges_[aRange];
   KeyNumber low = range.first_;
@@ -140,7 +142,7 @@
   // The part is [first, low); low only advances to ends that fit.
   while (low < high) {
     const auto middle = low + (high - low + 1) / 2;
-    if (load_.Of(range.first_, middle - 1) <= aMost) {
+    if (load_.Between(range.first_, middle - 1) <= aMaxLoad) {
       low = middle;
     } else {
       high = middle - 1;
@@ -149,22 +151,22 @@
   if (low == range.first_) {
     return std::nullopt;
   }
-  return Piece{ aRange, range.first_, low - 1, load_.Of(range.first_, low - 1) };
+  return RangePart{ aRange, range.first_, low - 1, load_.Between(range.first_, low - 1) };
 }
 
-std::optional<BalanceRound::Piece>
-BalanceRound::HottestKey(const std::string& aServer, double aMost) const
+std::optional<BalanceRound::RangePart>
+BalanceRound::FindHottestKey(const std::string& aServer, double aMaxLoad) const
 {
-  std::optional<Piece> hottest;
+  std::optional<RangePart> hottest;
   for (std::size_t index = 0; index < ownership_.ranges_.size(); ++index) {
     const auto& range = ownership_.ranges_[index];
     if (!IsMovable(range, aServer)) {
       continue;
     }
     for (KeyNumber key = range.first_; key <= range.last_; ++key) {
-      const double load = load_.Of(key, key);
-      if (load <= aMost && (!hottest || load > hottest->load_)) {
-        hottest = Piece{ index, key, key, load };
+      const double load = load_.Between(key, key);
+      if (load <= aMaxLoad && (!hottest || load > hottest->load_)) {
+        hottest = RangePart{ index, key, key, load };
       }
     }
   }
@@ -172,34 +174,34 @@
 }
 
 void
-BalanceRound::Carry(const std::string& aFrom, const Move& aMove)
+BalanceRound::ApplyMove(const std::string& aFrom, const Move& aMove)
 {
-  Give(aMove.piece_, aMove.to_);
-  shares_.Add(aFrom, -aMove.piece_.load_);
-  shares_.Add(aMove.to_, aMove.piece_.load_);
+  Reassign(aMove.part_, aMove.to_);
+  distribution_.Add(aFrom, -aMove.part_.load_);
+  distribution_.Add(aMove.to_, aMove.part_.load_);
 }
 
 void
-BalanceRound::Give(const Piece& aPiece, const std::string& aTo)
+BalanceRound::Reassign(const RangePart& aPart, const std::string& aTo)
 {
   auto& ranges = ownership_.ranges_;
-  const auto range = ranges[aPiece.range_];
+  const auto range = ranges[aPart.range_];
   std::vector<KeyRange> parts;
-  if (range.first_ < aPiece.first_) {
+  if (range.first_ < aPart.first_) {
     parts.push_back(range);
-    parts.back().last_ = aPiece.first_ - 1;
+    parts.back().last_ = aPart.first_ - 1;
   }
-  parts.push_back({ aPiece.first_, aPiece.last_, aTo, ++ownership_.lastFence_, range.owner_ });
-  if (aPiece.last_ < range.last_) {
+  parts.push_back({ aPart.first_, aPart.last_, aTo, ++ownership_.lastFence_, range.owner_ });
+  if (aPart.last_ < range.last_) {
     parts.push_back(range);
-    parts.back().first_ = aPiece.last_ + 1;
+    parts.back().first_ = aPart.last_ + 1;
   }
-  const auto at = ranges.begin() + static_cast<std::ptrdiff_t>(aPiece.range_);
+  const auto at = ranges.begin() + static_cast<std::ptrdiff_t>(aPart.range_);
   ranges.insert(ranges.erase(at), parts.begin(), parts.end());
 }
 
 void
-BalanceRound::MergeNeighbours()
+BalanceRound::MergeAdjacentRanges()
 {
   std::vector<KeyRange> merged;
   for (auto& range : ownership_.ranges_) {
--- a/Libraries/LibKeys/BalanceRound.h
+++ b/Libraries/LibKeys/BalanceRound.h
@@ -16,12 +16,12 @@
   // The most loaded server may carry up to this multiple of its fair share.
   double tolerance_ = 1;
   // Ranges are split no further once there are this many.
-  std::size_t mostRanges_ = 0;
+  std::size_t maxRanges_ = 0;
   // Maximum number of ranges moved in the round.
-  std::size_t mostMoves_ = 0;
+  std::size_t maxMoves_ = 0;
   // Ranges with a fence above this one moved recently and are in their cooldown; they are not
   // moved.
-  FenceNumber restedFence_ = 0;
+  FenceNumber maxMovableFence_ = 0;
 };
 
 // One rebalancing round: greedily moves ranges, or parts of them, from the most loaded servers to
@@ -33,7 +33,7 @@
   // aShares is the load of the servers under aOwnership and aLoad. It must not be empty. aLoad must
   // outlive the round.
   BalanceRound(const KeyOwnership& aOwnership,
-               LoadDistribution aShares,
+               LoadDistribution aDistribution,
                const KeyLoad& aLoad,
                BalanceLimits aLimits);
 
@@ -43,7 +43,7 @@
 
 private:
   // A contiguous part of one range.
-  struct Piece
+  struct RangePart
   {
     std::size_t range_ = 0;
     KeyNumber first_ = 0;
@@ -54,13 +54,13 @@
   // A part taken from the most loaded server, with the id of the server that receives it.
   struct Move
   {
-    Piece piece_;
+    RangePart part_;
     std::string to_;
   };
 
-  bool IsEven() const;
+  bool IsBalanced() const;
   // Whether a range may be split without exceeding the limit on the number of ranges.
-  bool MayCut() const { return ownership_.ranges_.size() < limits_.mostRanges_; }
+  bool CanSplit() const { return ownership_.ranges_.size() < limits_.maxRanges_; }
   // Whether the range may be moved away from aServer to balance load: aServer owns it, no former
   // owner has yet to release it, and it is not in its cooldown.
   bool IsMovable(const KeyRange& aRange, const std::string& aServer) const;
@@ -68,24 +68,24 @@
   // enough to justify the interruption of its keys.
   std::optional<Move> ChooseMove() const;
   // The part of a range of aServer with the highest load of at most aMost.
-  std::optional<Piece> BestPiece(const std::string& aServer, double aMost) const;
+  std::optional<RangePart> FindBestPart(const std::string& aServer, double aMaxLoad) const;
   // The longest prefix of a range with a load of at most aMost; no value when the first key alone
   // exceeds it.
-  std::optional<Piece> PieceUpTo(std::size_t aRange, double aMost) const;
+  std::optional<RangePart> LongestPrefix(std::size_t aRange, double aMaxLoad) const;
   // The single key of aServer with the highest load of at most aMost, as a part of its range.
-  std::optional<Piece> HottestKey(const std::string& aServer, double aMost) const;
+  std::optional<RangePart> FindHottestKey(const std::string& aServer, double aMaxLoad) const;
   // Applies the move to the ownership and to the accounted load of both servers.
-  void Carry(const std::string& aFrom, const Move& aMove);
+  void ApplyMove(const std::string& aFrom, const Move& aMove);
   // Assigns part of a range to another server under a new fence; the remainder keeps its owner and
   // fence.
-  void Give(const Piece& aPiece, const std::string& aTo);
+  void Reassign(const RangePart& aPart, const std::string& aTo);
   // Merges adjacent ranges of one owner under a new fence. The owner keeps serving the keys under
   // either fence, so the merge does not interrupt them.
-  void MergeNeighbours();
+  void MergeAdjacentRanges();
 
   // The ownership with the moves made so far.
   KeyOwnership ownership_;
-  LoadDistribution shares_;
+  LoadDistribution distribution_;
   const KeyLoad& load_;
   BalanceLimits limits_;
 };
--- a/Libraries/LibKeys/KeyBalancer.cpp
+++ b/Libraries/LibKeys/KeyBalancer.cpp
@@ -12,13 +12,13 @@
 
 // Minimum number of ranges in the initial assignment. Busy keys tend to be neighbours, so each
 // server gets several distant ranges.
-constexpr std::size_t kFirstRanges = 64;
+constexpr std::size_t kInitialRanges = 64;
 // No range is split further beyond this many ranges per server (but at least twice the number
 // above): each range costs a command at every renewal.
-constexpr std::size_t kMostRangesPerServer = 8;
+constexpr std::size_t kMaxRangesPerServer = 8;
 // One round may move one range per this many servers. Keys that become hot are neighbours, most of
 // them at one server, and their load exceeds what the other servers can absorb in a few moves.
-constexpr std::size_t kServersAMove = 2;
+constexpr std::size_t kServersPerMove = 2;
 
 } // namespace
 
@@ -44,7 +44,7 @@
   if (usable.empty()) {
     return ownership;
   }
-  const auto count = std::max(kFirstRanges, usable.size());
+  const auto count = std::max(kInitialRanges, usable.size());
   constexpr auto kKeys = static_cast<std::size_t>(kLastKey) + 1;
   for (std::size_t index = 0; index < count; ++index) {
     const auto first = static_cast<KeyNumber>(kKeys * index / count);
@@ -56,12 +56,12 @@
 }
 
 std::optional<KeyOwnership>
-KeyBalancer::Replace(const KeyOwnership& aOwnership,
-                     const std::vector<KeyServer>& aServers,
-                     const KeyLoad& aLoad)
+KeyBalancer::ReplaceOwners(const KeyOwnership& aOwnership,
+                           const std::vector<KeyServer>& aServers,
+                           const KeyLoad& aLoad)
 {
-  LoadDistribution shares(aOwnership, aServers, aLoad);
-  if (shares.IsEmpty()) {
+  LoadDistribution distribution(aOwnership, aServers, aLoad);
+  if (distribution.IsEmpty()) {
     return std::nullopt;
   }
   auto next = aOwnership;
@@ -71,8 +71,8 @@
     if (FindUsable(aServers, range.owner_) != nullptr || !range.previous_.empty()) {
       continue;
     }
-    const auto to = shares.Least();
-    shares.Add(to, aLoad.Of(range.first_, range.last_));
+    const auto to = distribution.LeastLoaded();
+    distribution.Add(to, aLoad.Between(range.first_, range.last_));
     range.previous_ = range.owner_;
     range.owner_ = to;
     range.fence_ = ++next.lastFence_;
@@ -82,21 +82,21 @@
 }
 
 std::optional<KeyOwnership>
-KeyBalancer::EvenOut(const KeyOwnership& aOwnership,
-                     const std::vector<KeyServer>& aServers,
-                     const KeyLoad& aLoad,
-                     FenceNumber aRestedFence) const
+KeyBalancer::Rebalance(const KeyOwnership& aOwnership,
+                       const std::vector<KeyServer>& aServers,
+                       const KeyLoad& aLoad,
+                       FenceNumber aMaxMovableFence) const
 {
-  LoadDistribution shares(aOwnership, aServers, aLoad);
-  if (shares.IsEmpty()) {
+  LoadDistribution distribution(aOwnership, aServers, aLoad);
+  if (distribution.IsEmpty()) {
     return std::nullopt;
   }
   BalanceLimits limits;
   limits.tolerance_ = settings_.tolerance_;
-  limits.mostRanges_ = std::max(2 * kFirstRanges, kMostRangesPerServer * aServers.size());
-  limits.mostMoves_ = std::max(settings_.leastMoves_, aServers.size() / kServersAMove);
-  limits.restedFence_ = aRestedFence;
-  return BalanceRound(aOwnership, std::move(shares), aLoad, limits).Run();
+  limits.maxRanges_ = std::max(2 * kInitialRanges, kMaxRangesPerServer * aServers.size());
+  limits.maxMoves_ = std::max(settings_.minMoves_, aServers.size() / kServersPerMove);
+  limits.maxMovableFence_ = aMaxMovableFence;
+  return BalanceRound(aOwnership, std::move(distribution), aLoad, limits).Run();
 }
 
 } // namespace latchslip
--- a/Libraries/LibKeys/KeyBalancer.h
+++ b/Libraries/LibKeys/KeyBalancer.h
@@ -16,7 +16,7 @@
   // The most loaded server may carry up to this multiple of its fair share.
   double tolerance_ = 1.25;
   // Ranges that one round may move to balance load, irrespective of the number of servers.
-  std::size_t leastMoves_ = 8;
+  std::size_t minMoves_ = 8;
 };
 
 // Decides which servers own which keys: the initial assignment, the replacement of owners that are
@@ -36,16 +36,16 @@
 
   // Reassigns the ranges of unusable servers to the least loaded usable ones. No value when nothing
   // changes or no server is usable.
-  static std::optional<KeyOwnership> Replace(const KeyOwnership& aOwnership,
-                                             const std::vector<KeyServer>& aServers,
-                                             const KeyLoad& aLoad);
-
-  // Rebalances the load in one BalanceRound. Ranges with a fence above aRestedFence moved recently
-  // and stay. No value when the load is balanced or no move is possible.
-  std::optional<KeyOwnership> EvenOut(const KeyOwnership& aOwnership,
-                                      const std::vector<KeyServer>& aServers,
-                                      const KeyLoad& aLoad,
-                                      FenceNumber aRestedFence) const;
+  static std::optional<KeyOwnership> ReplaceOwners(const KeyOwnership& aOwnership,
+                                                   const std::vector<KeyServer>& aServers,
+                                                   const KeyLoad& aLoad);
+
+  // Rebalances the load in one BalanceRound. Ranges with a fence above aMaxMovableFence moved
+  // recently and stay. No value when the load is balanced or no move is possible.
+  std::optional<KeyOwnership> Rebalance(const KeyOwnership& aOwnership,
+                                        const std::vector<KeyServer>& aServers,
+                                        const KeyLoad& aLoad,
+                                        FenceNumber aMaxMovableFence) const;
 
 private:
   KeyBalancerSettings settings_;
--- a/Libraries/LibKeys/KeyLoad.cpp
+++ b/Libraries/LibKeys/KeyLoad.cpp
@@ -40,7 +40,7 @@
   : loads_(kLastKey + 1, 0)
   , sums_(kLastKey + 2, 0)
 {
-  Sum();
+  RebuildSums();
 }
 
 void
@@ -56,18 +56,18 @@
 void
 KeyLoad::Refresh(Instant aNow)
 {
-  const auto past = decayedAt_ == Instant::min() ? Duration(0) : Duration(aNow - decayedAt_);
+  const auto elapsed = decayedAt_ == Instant::min() ? Duration(0) : Duration(aNow - decayedAt_);
   const double factor =
-    std::exp2(-static_cast<double>(past.count()) / static_cast<double>(kHalfLife.count()));
+    std::exp2(-static_cast<double>(elapsed.count()) / static_cast<double>(kHalfLife.count()));
   decayedAt_ = aNow;
   for (auto& load : loads_) {
     load *= factor;
   }
-  Sum();
+  RebuildSums();
 }
 
 void
-KeyLoad::Sum()
+KeyLoad::RebuildSums()
 {
   double sum = 0;
   for (std::size_t key = 0; key < loads_.size(); ++key) {
@@ -78,13 +78,13 @@
 }
 
 double
-KeyLoad::Counted() const
+KeyLoad::RequestCount() const
 {
   return std::max(0.0, Total() - kIdleLoad * static_cast<double>(loads_.size()));
 }
 
 double
-KeyLoad::Of(KeyNumber aFirst, KeyNumber aLast) const
+KeyLoad::Between(KeyNumber aFirst, KeyNumber aLast) const
 {
   return sums_[aLast + 1] - sums_[aFirst];
 }
--- a/Libraries/LibKeys/KeyLoad.h
+++ b/Libraries/LibKeys/KeyLoad.h
@@ -38,16 +38,16 @@
 
   void Add(Instant aNow, const std::vector<KeyCount>& aCounts);
   // The load of the keys in [aFirst, aLast], in decayed requests, as of the last Refresh.
-  double Of(KeyNumber aFirst, KeyNumber aLast) const;
-  double Total() const { return Of(0, kLastKey); }
+  double Between(KeyNumber aFirst, KeyNumber aLast) const;
+  double Total() const { return Between(0, kLastKey); }
   // The decayed number of requests behind the estimate, without the base load of idle keys.
-  double Counted() const;
+  double RequestCount() const;
   // Applies the decay up to aNow and rebuilds the prefix sums. To be called before a series of
   // queries.
   void Refresh(Instant aNow);
 
 private:
-  void Sum();
+  void RebuildSums();
 
   std::vector<double> loads_;
   // Prefix sums: sums_[k] is the load of all keys below k as of the last Refresh.
--- a/Libraries/LibKeys/KeyOwnership.cpp
+++ b/Libraries/LibKeys/KeyOwnership.cpp
@@ -16,7 +16,7 @@
 
 // Numbers the servers in the row's server list, to avoid repeating their long ids in each range. 0
 // stands for no server.
-class ServerNames
+class ServerNumbering
 {
 public:
   std::size_t NumberOf(const std::string& aId)
@@ -24,33 +24,33 @@
     if (aId.empty()) {
       return 0;
     }
-    const auto [entry, isNew] = numbers_.try_emplace(aId, names_.size() + 1);
+    const auto [entry, isNew] = numbers_.try_emplace(aId, servers_.size() + 1);
     if (isNew) {
-      names_.emplace_back(aId);
+      servers_.emplace_back(aId);
     }
     return entry->second;
   }
-  boost::json::array Take() { return std::move(names_); }
+  boost::json::array Take() { return std::move(servers_); }
 
 private:
   std::map<std::string, std::size_t> numbers_;
-  boost::json::array names_;
+  boost::json::array servers_;
 };
 
 FieldResult<std::string>
-NameAt(const boost::json::array& aNames, std::uint64_t aNumber)
+ServerAt(const boost::json::array& aServers, std::uint64_t aNumber)
 {
   if (aNumber == 0) {
     return std::string();
   }
-  if (aNumber > aNames.size() || !aNames[aNumber - 1].is_string()) {
+  if (aNumber > aServers.size() || !aServers[aNumber - 1].is_string()) {
     return FieldError{ "ranges", "refers to a server that is not in the server list" };
   }
-  return std::string(aNames[aNumber - 1].as_string());
+  return std::string(aServers[aNumber - 1].as_string());
 }
 
 FieldResult<KeyRange>
-ParseRange(const boost::json::value& aValue, const boost::json::array& aNames)
+ParseRange(const boost::json::value& aValue, const boost::json::array& aServers)
 {
   const FieldError malformed{ "ranges", "must be arrays of five unsigned integers" };
   if (!aValue.is_array() || aValue.as_array().size() != kRangeMembers) {
@@ -66,14 +66,15 @@
   }
   const auto [first, last, owner, fence, previous] = numbers;
   if (first > last || last > kLastKey) {
-    return FieldError{ "ranges", "must be within the key space and must not end before they start" };
+    return FieldError{ "ranges",
+                       "must be within the key space and must not end before they start" };
   }
   KeyRange range;
   range.first_ = static_cast<KeyNumber>(first);
   range.last_ = static_cast<KeyNumber>(last);
-  BOOST_OUTCOME_TRY(range.owner_, NameAt(aNames, owner));
+  BOOST_OUTCOME_TRY(range.owner_, ServerAt(aServers, owner));
   range.fence_ = fence;
-  BOOST_OUTCOME_TRY(range.previous_, NameAt(aNames, previous));
+  BOOST_OUTCOME_TRY(range.previous_, ServerAt(aServers, previous));
   return range;
 }
 
@@ -149,19 +150,19 @@
 std::string
 SerializeOwnership(const KeyOwnership& aOwnership)
 {
-  ServerNames names;
+  ServerNumbering servers;
   boost::json::array ranges;
   for (const auto& range : aOwnership.ranges_) {
     ranges.push_back(boost::json::array{ range.first_,
                                          range.last_,
-                                         names.NumberOf(range.owner_),
+                                         servers.NumberOf(range.owner_),
                                          range.fence_,
-                                         names.NumberOf(range.previous_) });
+                                         servers.NumberOf(range.previous_) });
   }
   return boost::json::serialize(boost::json::object{ { "service", aOwnership.service_ },
                                                      { "epoch", aOwnership.epoch_ },
                                                      { "last_fence", aOwnership.lastFence_ },
-                                                     { "servers", names.Take() },
+                                                     { "servers", servers.Take() },
                                                      { "ranges", std::move(ranges) } });
 }
 
@@ -176,13 +177,13 @@
                     reader.NumberOr("epoch", 0, 0, static_cast<double>(kMostEpoch)));
   ownership.epoch_ = static_cast<StoreEpoch>(epoch);
   // Whole numbers up to here are represented exactly by a double.
-  constexpr double kMostFence = 9e15;
-  BOOST_OUTCOME_TRY(const auto fence, reader.NumberOr("last_fence", 0, 0, kMostFence));
+  constexpr double kMaxFence = 9e15;
+  BOOST_OUTCOME_TRY(const auto fence, reader.NumberOr("last_fence", 0, 0, kMaxFence));
   ownership.lastFence_ = static_cast<FenceNumber>(fence);
-  BOOST_OUTCOME_TRY(const auto* names, reader.List("servers"));
+  BOOST_OUTCOME_TRY(const auto* servers, reader.List("servers"));
   BOOST_OUTCOME_TRY(const auto* ranges, reader.List("ranges"));
   for (const auto& entry : *ranges) {
-    BOOST_OUTCOME_TRY(auto range, ParseRange(entry, *names));
+    BOOST_OUTCOME_TRY(auto range, ParseRange(entry, *servers));
     if (!ownership.ranges_.empty() && range.first_ <= ownership.ranges_.back().last_) {
       return FieldError{ "ranges", "must be sorted and must not overlap" };
     }
--- a/Libraries/LibKeys/LeaseBounds.cpp
+++ b/Libraries/LibKeys/LeaseBounds.cpp
@@ -5,17 +5,17 @@
 namespace latchslip {
 
 void
-LeaseBounds::Start(std::map<std::string, Instant> aDoubts)
+LeaseBounds::Start(std::map<std::string, Instant> aUncertainLeases)
 {
-  own_.clear();
-  former_.clear();
-  doubts_ = std::move(aDoubts);
+  ownGrants_.clear();
+  formerGrants_.clear();
+  uncertainLeases_ = std::move(aUncertainLeases);
 }
 
 void
 LeaseBounds::Extend(Instant aNow, const std::string& aServer, KeySpan aKeys, Instant aUntil)
 {
-  auto& bounds = own_[aServer];
+  auto& bounds = ownGrants_[aServer];
   std::erase_if(bounds, [&](const KeyBound& aBound) { return aBound.until_ <= aNow; });
   const auto known = std::find_if(
     bounds.begin(), bounds.end(), [&](const KeyBound& aBound) { return aBound.keys_ == aKeys; });
@@ -29,34 +29,34 @@
 void
 LeaseBounds::SetFormer(const std::string& aServer, Instant aUntil)
 {
-  former_[aServer] = aUntil;
+  formerGrants_[aServer] = aUntil;
 }
 
 void
 LeaseBounds::LimitFormer(Instant aLatest)
 {
-  for (auto& [server, until] : former_) {
+  for (auto& [server, until] : formerGrants_) {
     until = std::min(until, aLatest);
   }
 }
 
 void
-LeaseBounds::ForgetFormer(const std::string& aServer)
+LeaseBounds::DropFormer(const std::string& aServer)
 {
-  former_.erase(aServer);
-  doubts_.erase(aServer);
+  formerGrants_.erase(aServer);
+  uncertainLeases_.erase(aServer);
 }
 
 Instant
-LeaseBounds::Of(const std::string& aServer, KeySpan aKeys) const
+LeaseBounds::LatestExpiry(const std::string& aServer, KeySpan aKeys) const
 {
   auto until = Instant::min();
-  for (const auto* bounds : { &former_, &doubts_ }) {
+  for (const auto* bounds : { &formerGrants_, &uncertainLeases_ }) {
     if (const auto bound = bounds->find(aServer); bound != bounds->end()) {
       until = std::max(until, bound->second);
     }
   }
-  if (const auto own = own_.find(aServer); own != own_.end()) {
+  if (const auto own = ownGrants_.find(aServer); own != ownGrants_.end()) {
     for (const auto& bound : own->second) {
       until = bound.keys_.Overlaps(aKeys) ? std::max(until, bound.until_) : until;
     }
--- a/Libraries/LibKeys/LeaseBounds.h
+++ b/Libraries/LibKeys/LeaseBounds.h
@@ -21,7 +21,7 @@
 public:
   // Drops all bounds and starts with the uncertain leases that other instances reported: the
   // servers that may hold any keys under late grants, and until when.
-  void Start(std::map<std::string, Instant> aDoubts);
+  void Start(std::map<std::string, Instant> aUncertainLeases);
 
   // The server may hold these keys until aUntil under a grant of this placer. Expired bounds of the
   // server are dropped.
@@ -34,11 +34,11 @@
   // Drops the bounds from former placers and uncertain leases. To be called once the server has
   // acknowledged fences of this placer on all ranges that it owns and has released all others:
   // earlier grants are then superseded, and late ones fail against the higher fence.
-  void ForgetFormer(const std::string& aServer);
+  void DropFormer(const std::string& aServer);
 
   // The time by which all grants of these keys to the server have expired; Instant::min() when
   // there are none.
-  Instant Of(const std::string& aServer, KeySpan aKeys) const;
+  Instant LatestExpiry(const std::string& aServer, KeySpan aKeys) const;
 
 private:
   using Bounds = std::map<std::string, Instant>;
@@ -50,11 +50,11 @@
   };
 
   // Grants of this placer, with their keys.
-  std::map<std::string, std::vector<KeyBound>> own_;
+  std::map<std::string, std::vector<KeyBound>> ownGrants_;
   // Grants of former placers, for any key.
-  Bounds former_;
+  Bounds formerGrants_;
   // Uncertain leases reported at the start, for any key.
-  Bounds doubts_;
+  Bounds uncertainLeases_;
 };
 
 } // namespace latchslip
--- a/Libraries/LibKeys/LoadDistribution.h
+++ b/Libraries/LibKeys/LoadDistribution.h
@@ -23,39 +23,39 @@
   // Adds load to a server; negative when load is taken away.
   void Add(const std::string& aServer, double aLoad);
 
-  bool IsEmpty() const { return shares_.empty(); }
+  bool IsEmpty() const { return servers_.empty(); }
   // The server with the lowest level.
-  std::string Least() const;
+  std::string LeastLoaded() const;
   // The server with the highest level among those not excluded.
-  std::string Most() const;
+  std::string MostLoaded() const;
   // The server with the highest weight.
-  std::string Strongest() const;
-  double LoadOf(const std::string& aServer) const { return shares_.at(aServer).load_; }
+  std::string HighestWeight() const;
+  double LoadOf(const std::string& aServer) const { return servers_.at(aServer).load_; }
   // The fair share of the server: its load if the total were spread evenly by weight.
-  double PartOf(const std::string& aServer) const
+  double FairShareOf(const std::string& aServer) const
   {
-    return MeanLevel() * shares_.at(aServer).weight_;
+    return MeanLevel() * servers_.at(aServer).weight_;
   }
   // The level of every server if the load were spread evenly.
   double MeanLevel() const { return totalLoad_ / totalWeight_; }
   // The load that the server can take before it reaches aMultiple of its fair share; negative when
   // it is beyond that.
-  double Room(const std::string& aServer, double aMultiple) const;
+  double Headroom(const std::string& aServer, double aMultiple) const;
   // Sampling error of the server's load: one standard deviation at the mean level. The load is
   // estimated from few requests.
-  double Noise(const std::string& aServer) const;
-  // Excludes a server from Most, because no load can be taken from it.
-  void LeaveOut(const std::string& aServer) { leftOut_.insert(aServer); }
-  // Whether any server is left for Most.
-  bool HasMost() const { return leftOut_.size() < shares_.size(); }
+  double SamplingError(const std::string& aServer) const;
+  // Excludes a server from MostLoaded, because no load can be taken from it.
+  void Exclude(const std::string& aServer) { excluded_.insert(aServer); }
+  // Whether any server is left for MostLoaded.
+  bool HasCandidate() const { return excluded_.size() < servers_.size(); }
   // The load to transfer from aFrom to aTo that brings both to the same level.
-  double Difference(const std::string& aFrom, const std::string& aTo) const;
+  double TransferToLevel(const std::string& aFrom, const std::string& aTo) const;
   // Whether a single key with load aLoad that is too hot to share its server fits better on aTo,
   // which is then relieved of its other keys.
-  bool IsBetterPlace(const std::string& aFrom, const std::string& aTo, double aLoad) const;
+  bool FitsBetter(const std::string& aFrom, const std::string& aTo, double aLoad) const;
 
 private:
-  struct Share
+  struct Entry
   {
     double load_ = 0;
     double weight_ = 1;
@@ -64,12 +64,12 @@
     double Level() const { return load_ / weight_; }
   };
 
-  std::map<std::string, Share> shares_;
-  std::set<std::string> leftOut_;
+  std::map<std::string, Entry> servers_;
+  std::set<std::string> excluded_;
   double totalLoad_ = 0;
   double totalWeight_ = 0;
   // Number of requests that the load is estimated from.
-  double counted_ = 0;
+  double requestCount_ = 0;
 };
 
 } // namespace latchslip
--- a/Libraries/LibKeys/OutstandingCommands.cpp
+++ b/Libraries/LibKeys/OutstandingCommands.cpp
@@ -10,69 +10,70 @@
 // reserve most of its file descriptors (4,100 at the least) for clients. When many servers leave at
 // once, their keys have no owner until these commands complete, and each takes as long as the
 // server's remaining work on the keys.
-constexpr std::size_t kMostOrders = 384;
+constexpr std::size_t kMaxCommands = 384;
 // Limit per server; equals the number of ranges that one rebalancing round takes from a server.
-constexpr std::size_t kMostOrdersAServer = 64;
+constexpr std::size_t kMaxCommandsPerServer = 64;
 // Limit for a server that did not answer its last command, so that many such servers do not use up
 // the total limit.
-constexpr std::size_t kMostOrdersUnanswered = 2;
+constexpr std::size_t kMaxCommandsUnresponsive = 2;
 
 } // namespace
 
 void
 OutstandingCommands::Clear()
 {
-  orders_.clear();
-  ordersOf_.clear();
-  silent_.clear();
+  commands_.clear();
+  commandsPerServer_.clear();
+  unresponsive_.clear();
 }
 
 KeyCommand
-OutstandingCommands::Add(KeyCommand aOrder)
+OutstandingCommands::Add(KeyCommand aCommand)
 {
-  aOrder.number_ = ++lastOrder_;
-  ++ordersOf_[aOrder.server_];
-  orders_[aOrder.number_] = aOrder;
-  return aOrder;
+  aCommand.number_ = ++lastNumber_;
+  ++commandsPerServer_[aCommand.server_];
+  commands_[aCommand.number_] = aCommand;
+  return aCommand;
 }
 
 std::optional<KeyCommand>
-OutstandingCommands::Take(CommandNumber aOrder, CommandStatus aEnd)
+OutstandingCommands::Take(CommandNumber aCommand, CommandStatus aStatus)
 {
-  const auto found = orders_.find(aOrder);
-  if (found == orders_.end()) {
+  const auto found = commands_.find(aCommand);
+  if (found == commands_.end()) {
     return std::nullopt;
   }
-  auto order = std::move(found->second);
-  orders_.erase(found);
-  if (--ordersOf_.at(order.server_) == 0) {
-    ordersOf_.erase(order.server_);
+  auto command = std::move(found->second);
+  commands_.erase(found);
+  if (--commandsPerServer_.at(command.server_) == 0) {
+    commandsPerServer_.erase(command.server_);
   }
-  if (aEnd == CommandStatus::Unanswered || aEnd == CommandStatus::NotSent) {
-    silent_.insert(order.server_);
+  if (aStatus == CommandStatus::Unanswered || aStatus == CommandStatus::NotSent) {
+    unresponsive_.insert(command.server_);
   } else {
-    silent_.erase(order.server_);
+    unresponsive_.erase(command.server_);
   }
-  return order;
+  return command;
 }
 
 bool
-OutstandingCommands::HasRoomFor(const std::string& aServer) const
+OutstandingCommands::CanSendTo(const std::string& aServer) const
 {
-  if (orders_.size() >= kMostOrders) {
+  if (commands_.size() >= kMaxCommands) {
     return false;
   }
-  const auto count = ordersOf_.find(aServer);
-  const auto most = silent_.contains(aServer) ? kMostOrdersUnanswered : kMostOrdersAServer;
-  return count == ordersOf_.end() || count->second < most;
+  const auto count = commandsPerServer_.find(aServer);
+  const auto limit =
+    unresponsive_.contains(aServer) ? kMaxCommandsUnresponsive : kMaxCommandsPerServer;
+  return count == commandsPerServer_.end() || count->second < limit;
 }
 
 bool
 OutstandingCommands::HasGrantTo(const std::string& aServer, KeySpan aKeys) const
 {
-  return std::any_of(orders_.begin(), orders_.end(), [&](const auto& aEntry) {
-    const auto& order = aEntry.second;
-    return order.server_ == aServer && !order.isRelease_ && order.Span().Overlaps(aKeys);
+  return std::any_of(commands_.begin(), commands_.end(), [&](const auto& aEntry) {
+    const auto& command = aEntry.second;
+    return command.server_ == aServer && !command.isRelease_ && command.Span().Overlaps(aKeys);
   });
 }
 
--- a/Libraries/LibKeys/OutstandingCommands.h
+++ b/Libraries/LibKeys/OutstandingCommands.h
@@ -18,23 +18,26 @@
   void Clear();
 
   // Registers a command that is about to be sent, and returns it with its number set.
-  KeyCommand Add(KeyCommand aOrder);
+  KeyCommand Add(KeyCommand aCommand);
   // Removes a command that has ended and returns it; no value when it is not outstanding.
-  std::optional<KeyCommand> Take(CommandNumber aOrder, CommandStatus aEnd);
+  std::optional<KeyCommand> Take(CommandNumber aCommand, CommandStatus aStatus);
 
   // Whether another command may be sent to the server now.
-  bool HasRoomFor(const std::string& aServer) const;
-  bool HasOrderTo(const std::string& aServer) const { return ordersOf_.contains(aServer); }
+  bool CanSendTo(const std::string& aServer) const;
+  bool HasCommandTo(const std::string& aServer) const
+  {
+    return commandsPerServer_.contains(aServer);
+  }
   // Whether a grant of any of these keys to the server is outstanding.
   bool HasGrantTo(const std::string& aServer, KeySpan aKeys) const;
 
 private:
-  std::map<CommandNumber, KeyCommand> orders_;
+  std::map<CommandNumber, KeyCommand> commands_;
   // Number of outstanding commands per server.
-  std::map<std::string, std::size_t> ordersOf_;
+  std::map<std::string, std::size_t> commandsPerServer_;
   // Servers that did not answer their most recently ended command.
-  std::set<std::string> silent_;
-  CommandNumber lastOrder_ = 0;
+  std::set<std::string> unresponsive_;
+  CommandNumber lastNumber_ = 0;
 };
 
 } // namespace latchslip
--- a/Libraries/LibKeys/OwnershipPlacer.cpp
+++ b/Libraries/LibKeys/OwnershipPlacer.cpp
@@ -8,36 +8,36 @@
 
 // Renewals per lease duration. After the loss of a placer, at least half of each lease is left for
 // its successor to take over.
-constexpr int kRenewalsAHold = 3;
+constexpr int kRenewalsPerLease = 3;
 // Renewals for one server are sent one after the other, to share a connection. A renewal that has
 // waited this long is sent in parallel. It is a small part of the lease time left when a renewal is
 // due.
-constexpr Duration kRenewalPatience = milliseconds(500);
+constexpr Duration kMaxRenewalWait = milliseconds(500);
 // Delay before a failed command is retried.
-constexpr Duration kOrderPause = milliseconds(250);
+constexpr Duration kCommandRetryDelay = milliseconds(250);
 // Interval between rebalancing rounds. The load estimate of a key is an average over seconds.
 constexpr Duration kRebalanceInterval = milliseconds(500);
 // A new placer does not rebalance for this long. It waits for the load reports of the other
 // instances, which also establish which instances need updates about moves: one report interval
 // plus a margin.
-constexpr Duration kLoadSettle = milliseconds(1000);
+constexpr Duration kLoadSettleTime = milliseconds(1000);
 // Cooldown of a moved range: the move leaves its keys without an owner for about a second, and the
 // load that it brings becomes visible only afterwards.
-constexpr Duration kMoveRest = milliseconds(1500);
+constexpr Duration kMoveCooldown = milliseconds(1500);
 // Polling interval for due commands.
-constexpr Duration kStep = milliseconds(50);
+constexpr Duration kPollInterval = milliseconds(50);
 // Consecutive refused connections that, together with the other signs, prove that a server has
 // left.
-constexpr unsigned kProvingRefusals = 3;
+constexpr unsigned kRefusalsToProveLeft = 3;
 // Number of fences skipped when the owners are written again in a later epoch of the store. It
 // exceeds the number of fences issued in the seconds by which a copy of the store lags behind: a
 // takeover issues one per range, a few thousand, and takes two seconds.
-constexpr FenceNumber kFencesLeftOut = FenceNumber{ 1 } << 20;
-// The initial assignment waits until the number of servers has not changed for kServersSettle,
-// because each server that joins later must be given keys of the others; it waits kMostSettle at
+constexpr FenceNumber kEpochFenceGap = FenceNumber{ 1 } << 20;
+// The initial assignment waits until the number of servers has not changed for kServersSettleTime,
+// because each server that joins later must be given keys of the others; it waits kMaxSettleTime at
 // most.
-constexpr Duration kServersSettle = milliseconds(1600);
-constexpr Duration kMostSettle = seconds(5);
+constexpr Duration kServersSettleTime = milliseconds(1600);
+constexpr Duration kMaxSettleTime = seconds(5);
 
 std::string
 Describe(const KeyRange& aRange)
@@ -48,15 +48,15 @@
 }
 
 KeyCommand
-MakeOrder(const KeyRange& aRange, const std::string& aServer, const std::string& aAddress)
+MakeCommand(const KeyRange& aRange, const std::string& aServer, const std::string& aAddress)
 {
-  KeyCommand order;
-  order.server_ = aServer;
-  order.address_ = aAddress;
-  order.first_ = aRange.first_;
-  order.last_ = aRange.last_;
-  order.fence_ = aRange.fence_;
-  return order;
+  KeyCommand command;
+  command.server_ = aServer;
+  command.address_ = aAddress;
+  command.first_ = aRange.first_;
+  command.last_ = aRange.last_;
+  command.fence_ = aRange.fence_;
+  return command;
 }
 
 } // namespace
@@ -76,30 +76,30 @@
 void
 OwnershipPlacer::Start(Instant aNow,
                        std::optional<KeyOwnership> aOwnership,
-                       const std::map<std::string, Instant>& aDoubts)
+                       const std::map<std::string, Instant>& aUncertainLeases)
 {
   committed_ = {};
   committed_.service_ = service_;
   states_.clear();
   writing_.reset();
-  orders_.Clear();
-  holds_.Start(aDoubts);
+  commands_.Clear();
+  leaseBounds_.Start(aUncertainLeases);
   hasFormerFences_ = aOwnership.has_value();
   nextTime_ = aNow;
   startedAt_ = aNow;
-  nextRebalance_ = aNow + kLoadSettle;
-  fenceTimes_.clear();
-  restedFence_ = aOwnership ? aOwnership->lastFence_ : 0;
-  ordersFrom_ = Instant::min();
+  nextRebalance_ = aNow + kLoadSettleTime;
+  recentFences_.clear();
+  maxMovableFence_ = aOwnership ? aOwnership->lastFence_ : 0;
+  blockedUntil_ = Instant::min();
   if (!aOwnership) {
     return;
   }
   const auto until = aNow + settings_.isolatedRenewalTime_ +
                      Scale(settings_.leaseDuration_, settings_.clockDriftFactor_);
   for (const auto& range : aOwnership->ranges_) {
-    holds_.SetFormer(range.owner_, until);
+    leaseBounds_.SetFormer(range.owner_, until);
     if (!range.previous_.empty()) {
-      holds_.SetFormer(range.previous_, until);
+      leaseBounds_.SetFormer(range.previous_, until);
     }
   }
   Adopt(std::move(*aOwnership));
@@ -109,29 +109,29 @@
 OwnershipPlacer::OnFormerPlacerStopped(Instant aNow)
 {
   const auto latest = aNow + Scale(settings_.leaseDuration_, settings_.clockDriftFactor_);
-  holds_.LimitFormer(latest);
-  ordersFrom_ = std::min(ordersFrom_, latest);
+  leaseBounds_.LimitFormer(latest);
+  blockedUntil_ = std::min(blockedUntil_, latest);
 }
 
 void
 OwnershipPlacer::BlockUntilLostGrantsExpire(Instant aNow)
 {
-  ordersFrom_ = aNow + settings_.isolatedRenewalTime_ +
-                Scale(settings_.leaseDuration_, settings_.clockDriftFactor_);
+  blockedUntil_ = aNow + settings_.isolatedRenewalTime_ +
+                  Scale(settings_.leaseDuration_, settings_.clockDriftFactor_);
 }
 
 void
 OwnershipPlacer::SetServers(Instant aNow, std::vector<KeyServer> aServers)
 {
   if (aServers.size() != servers_.size()) {
-    serversSince_ = aNow;
+    serversChangedAt_ = aNow;
   }
-  NoteLives(aServers);
+  DetectRestarts(aServers);
   servers_ = std::move(aServers);
 }
 
 void
-OwnershipPlacer::NoteLives(const std::vector<KeyServer>& aServers)
+OwnershipPlacer::DetectRestarts(const std::vector<KeyServer>& aServers)
 {
   for (const auto& server : aServers) {
     if (server.incarnation_ == 0) {
@@ -178,13 +178,13 @@
   }
   const bool isRaised = hasFormerFences_ || committed_.epoch_ < writing_->epoch_;
   hasFormerFences_ = false;
-  ForgetRaised();
+  DropRaisedServers();
   Adopt(*std::exchange(writing_, std::nullopt));
   if (isRaised) {
     // The owners are unchanged, so no range enters its cooldown.
-    restedFence_ = committed_.lastFence_;
+    maxMovableFence_ = committed_.lastFence_;
   }
-  fenceTimes_.emplace_back(aNow, committed_.lastFence_);
+  recentFences_.emplace_back(aNow, committed_.lastFence_);
   events_.Record(Event::OwnershipWritten,
                  "service=" + service_ + " ranges=" + std::to_string(committed_.ranges_.size()) +
                    " last_fence=" + std::to_string(committed_.lastFence_));
@@ -192,7 +192,7 @@
 }
 
 void
-OwnershipPlacer::ForgetRaised()
+OwnershipPlacer::DropRaisedServers()
 {
   std::erase_if(restarted_, [this](const std::string& aServer) {
     return std::all_of(
@@ -208,14 +208,14 @@
 {
   writing_.reset();
   Adopt(std::move(aStored));
-  nextTime_ = aNow + kOrderPause;
+  nextTime_ = aNow + kCommandRetryDelay;
 }
 
 void
 OwnershipPlacer::OnTime(Instant aNow, bool aMayWrite)
 {
-  nextTime_ = aNow + kStep;
-  if (aNow < ordersFrom_) {
+  nextTime_ = aNow + kPollInterval;
+  if (aNow < blockedUntil_) {
     // Writing is also withheld: the row's old epoch tells the next placer that it has to wait as
     // well.
     return;
@@ -238,7 +238,7 @@
 OwnershipPlacer::Plan(Instant aNow)
 {
   if (committed_.ranges_.empty()) {
-    return DealFirst(aNow);
+    return AssignInitially(aNow);
   }
   if (hasFormerFences_ || committed_.epoch_ < epoch_) {
     return RaiseFences();
@@ -250,33 +250,33 @@
     return RaiseFences();
   }
   restarted_.clear();
-  auto settled = ClearSettled();
+  auto settled = DropClearedOwners();
   load_.Refresh(aNow);
   const auto& base = settled ? *settled : committed_;
-  if (auto replaced = KeyBalancer::Replace(base, servers_, load_)) {
+  if (auto replaced = KeyBalancer::ReplaceOwners(base, servers_, load_)) {
     return replaced;
   }
   if (settled) {
     return settled;
   }
-  return EvenOut(aNow);
+  return Rebalance(aNow);
 }
 
 std::optional<KeyOwnership>
-OwnershipPlacer::DealFirst(Instant aNow) const
+OwnershipPlacer::AssignInitially(Instant aNow) const
 {
-  if (aNow - serversSince_ < kServersSettle && aNow - startedAt_ < kMostSettle) {
+  if (aNow - serversChangedAt_ < kServersSettleTime && aNow - startedAt_ < kMaxSettleTime) {
     return std::nullopt;
   }
   // An earlier initial assignment and its fences may have been lost by the store.
-  const auto lastFence = std::max(committed_.lastFence_, epoch_ * kFencesLeftOut);
+  const auto lastFence = std::max(committed_.lastFence_, epoch_ * kEpochFenceGap);
   auto first = KeyBalancer::AssignAll(service_, lastFence, servers_);
   first.epoch_ = epoch_;
   return first.ranges_.empty() ? std::nullopt : std::optional(std::move(first));
 }
 
 std::optional<KeyOwnership>
-OwnershipPlacer::EvenOut(Instant aNow)
+OwnershipPlacer::Rebalance(Instant aNow)
 {
   // NOTE: Moves in progress do not delay rebalancing, since those of a silent server take seconds.
   // Ranges that are moving stay where they are and count for their new owners.
@@ -284,22 +284,22 @@
     return std::nullopt;
   }
   nextRebalance_ = aNow + kRebalanceInterval;
-  return balancer_.EvenOut(committed_, servers_, load_, RestedFence(aNow));
+  return balancer_.Rebalance(committed_, servers_, load_, MaxMovableFence(aNow));
 }
 
 // Every move raises the fence, so the fence of a range shows when it last moved.
 FenceNumber
-OwnershipPlacer::RestedFence(Instant aNow)
+OwnershipPlacer::MaxMovableFence(Instant aNow)
 {
-  while (!fenceTimes_.empty() && aNow - fenceTimes_.front().first >= kMoveRest) {
-    restedFence_ = fenceTimes_.front().second;
-    fenceTimes_.pop_front();
+  while (!recentFences_.empty() && aNow - recentFences_.front().first >= kMoveCooldown) {
+    maxMovableFence_ = recentFences_.front().second;
+    recentFences_.pop_front();
   }
-  return restedFence_;
+  return maxMovableFence_;
 }
 
 std::optional<KeyOwnership>
-OwnershipPlacer::ClearSettled() const
+OwnershipPlacer::DropClearedOwners() const
 {
   std::optional<KeyOwnership> next;
   for (std::size_t index = 0; index < committed_.ranges_.size(); ++index) {
@@ -329,7 +329,7 @@
   const bool isOfAllRanges = hasFormerFences_ || committed_.epoch_ < epoch_;
   if (next.epoch_ < epoch_) {
     next.epoch_ = epoch_;
-    next.lastFence_ += kFencesLeftOut;
+    next.lastFence_ += kEpochFenceGap;
   }
   for (auto& range : next.ranges_) {
     if (isOfAllRanges || restarted_.contains(range.owner_)) {
@@ -340,7 +340,7 @@
 }
 
 void
-OwnershipPlacer::ForgetFormerHold(const std::string& aServer)
+OwnershipPlacer::DropFormerBounds(const std::string& aServer)
 {
   if (hasFormerFences_) {
     return;
@@ -356,25 +356,25 @@
       return;
     }
   }
-  holds_.ForgetFormer(aServer);
+  leaseBounds_.DropFormer(aServer);
 }
 
 void
 OwnershipPlacer::Advance(Instant aNow, const KeyRange& aRange, RangeState& aState)
 {
-  if (aState.order_ != 0 || aNow < aState.nextOrder_) {
+  if (aState.command_ != 0 || aNow < aState.nextCommandAt_) {
     return;
   }
   const bool isWaiting = !aRange.previous_.empty() && !aState.isCleared_;
-  if (!orders_.HasRoomFor(isWaiting ? aRange.previous_ : aRange.owner_)) {
+  if (!commands_.CanSendTo(isWaiting ? aRange.previous_ : aRange.owner_)) {
     return;
   }
   if (!isWaiting && restarted_.contains(aRange.owner_)) {
     return;
   }
   const bool isRenewal = aState.isGranted_ && aRange.previous_.empty();
-  if (isRenewal && orders_.HasOrderTo(aRange.owner_) &&
-      aNow < aState.nextOrder_ + kRenewalPatience) {
+  if (isRenewal && commands_.HasCommandTo(aRange.owner_) &&
+      aNow < aState.nextCommandAt_ + kMaxRenewalWait) {
     return;
   }
   if (isWaiting) {
@@ -388,8 +388,8 @@
 OwnershipPlacer::ReasonToClear(Instant aNow, const KeyRange& aRange, const RangeState& aState) const
 {
   // The lease of an outstanding grant is known only when the grant ends.
-  if (!orders_.HasGrantTo(aRange.previous_, aRange.Span()) &&
-      aNow >= holds_.Of(aRange.previous_, aRange.Span())) {
+  if (!commands_.HasGrantTo(aRange.previous_, aRange.Span()) &&
+      aNow >= leaseBounds_.LatestExpiry(aRange.previous_, aRange.Span())) {
     return "expired";
   }
   const auto incarnation = actions_.FindIncarnation(aRange.previous_);
@@ -401,8 +401,8 @@
   }
   // A network partition may also cause refused connections, but not for a server that announced its
   // shutdown and is no longer listed.
-  const bool hasLeft =
-    incarnation->isLeaving_ && !incarnation->isListed_ && aState.refusals_ >= kProvingRefusals;
+  const bool hasLeft = incarnation->isLeaving_ && !incarnation->isListed_ &&
+                       aState.connectionRefusals_ >= kRefusalsToProveLeft;
   return hasLeft ? "left" : nullptr;
 }
 
@@ -419,9 +419,9 @@
   if (!incarnation) {
     return;
   }
-  auto order = MakeOrder(aRange, aRange.previous_, incarnation->address_);
-  order.isRelease_ = true;
-  SendOrder(aState, std::move(order));
+  auto command = MakeCommand(aRange, aRange.previous_, incarnation->address_);
+  command.isRelease_ = true;
+  StartCommand(aState, std::move(command));
 }
 
 void
@@ -429,60 +429,62 @@
 {
   const auto* server = FindUsable(servers_, aRange.owner_);
   if (server == nullptr) {
-    aState.nextOrder_ = aNow + kOrderPause;
+    aState.nextCommandAt_ = aNow + kCommandRetryDelay;
     return;
   }
-  auto order = MakeOrder(aRange, aRange.owner_, server->address_);
-  order.handover_ = aState.handover_;
-  order.leaseDuration_ = settings_.leaseDuration_;
-  SendOrder(aState, std::move(order));
+  auto command = MakeCommand(aRange, aRange.owner_, server->address_);
+  command.handover_ = aState.handover_;
+  command.leaseDuration_ = settings_.leaseDuration_;
+  StartCommand(aState, std::move(command));
 }
 
 void
-OwnershipPlacer::SendOrder(RangeState& aState, KeyCommand aOrder)
+OwnershipPlacer::StartCommand(RangeState& aState, KeyCommand aCommand)
 {
-  if (const auto incarnation = incarnations_.find(aOrder.server_);
+  if (const auto incarnation = incarnations_.find(aCommand.server_);
       incarnation != incarnations_.end()) {
-    aOrder.incarnation_ = incarnation->second;
+    aCommand.incarnation_ = incarnation->second;
   }
-  const auto order = orders_.Add(std::move(aOrder));
-  aState.order_ = order.number_;
-  actions_.SendCommand(order);
+  const auto command = commands_.Add(std::move(aCommand));
+  aState.command_ = command.number_;
+  actions_.SendCommand(command);
 }
 
 OwnershipPlacer::RangeState*
-OwnershipPlacer::StateOf(CommandNumber aOrder)
+OwnershipPlacer::FindState(CommandNumber aCommand)
 {
   const auto state = std::find_if(states_.begin(), states_.end(), [&](const RangeState& aState) {
-    return aState.order_ == aOrder;
+    return aState.command_ == aCommand;
   });
   return state == states_.end() ? nullptr : &*state;
 }
 
 void
-OwnershipPlacer::OnCommandEnded(Instant aNow, CommandNumber aOrder, const CommandOutcome& aOutcome)
+OwnershipPlacer::OnCommandEnded(Instant aNow,
+                                CommandNumber aCommand,
+                                const CommandOutcome& aOutcome)
 {
-  const auto found = orders_.Take(aOrder, aOutcome.end_);
+  const auto found = commands_.Take(aCommand, aOutcome.end_);
   if (!found) {
     return;
   }
-  const auto& order = *found;
-  if (!order.isRelease_) {
-    ExtendHold(aNow, order, aOutcome.end_);
+  const auto& command = *found;
+  if (!command.isRelease_) {
+    ExtendLeaseBound(aNow, command, aOutcome.end_);
   }
   // NOTE: When a range is split while its command is outstanding, each part inherits the state.
-  for (auto* state = StateOf(aOrder); state != nullptr; state = StateOf(aOrder)) {
-    state->order_ = 0;
-    if (order.isRelease_) {
+  for (auto* state = FindState(aCommand); state != nullptr; state = FindState(aCommand)) {
+    state->command_ = 0;
+    if (command.isRelease_) {
       OnReleaseEnded(aNow, *state, aOutcome);
     } else {
       OnGrantEnded(aNow, *state, aOutcome.end_);
     }
   }
-  if (!order.isRelease_ && aOutcome.end_ == CommandStatus::Done) {
-    ForgetFormerHold(order.server_);
+  if (!command.isRelease_ && aOutcome.end_ == CommandStatus::Done) {
+    DropFormerBounds(command.server_);
   }
-  RecordOrderEnd(order, aOutcome.end_);
+  RecordCommandEnd(command, aOutcome.end_);
   nextTime_ = aNow;
 }
 
@@ -495,8 +497,9 @@
   // A server whose machine is being removed first refuses connections and then becomes unreachable,
   // so an unreachable server keeps its count of refusals.
   const bool isReached = end != CommandStatus::Refused && end != CommandStatus::NotSent;
-  aState.refusals_ = isReached ? 0 : aState.refusals_ + (end == CommandStatus::Refused ? 1 : 0);
-  aState.nextOrder_ = aState.isCleared_ ? aNow : aNow + kOrderPause;
+  aState.connectionRefusals_ =
+    isReached ? 0 : aState.connectionRefusals_ + (end == CommandStatus::Refused ? 1 : 0);
+  aState.nextCommandAt_ = aState.isCleared_ ? aNow : aNow + kCommandRetryDelay;
 }
 
 void
@@ -504,32 +507,33 @@
 {
   const bool isDone = aEnd == CommandStatus::Done;
   aState.isGranted_ = aState.isGranted_ || isDone;
-  aState.nextOrder_ = aNow + (isDone ? settings_.leaseDuration_ / kRenewalsAHold : kOrderPause);
+  aState.nextCommandAt_ =
+    aNow + (isDone ? settings_.leaseDuration_ / kRenewalsPerLease : kCommandRetryDelay);
 }
 
 void
-OwnershipPlacer::RecordOrderEnd(const KeyCommand& aOrder, CommandStatus aEnd)
+OwnershipPlacer::RecordCommandEnd(const KeyCommand& aCommand, CommandStatus aEnd)
 {
   // Successful grants are not logged, because they are renewed all the time.
-  if (aEnd == CommandStatus::Done && !aOrder.isRelease_) {
+  if (aEnd == CommandStatus::Done && !aCommand.isRelease_) {
     return;
   }
   events_.Record(Event::KeyOrderEnded,
-                 "server=" + aOrder.server_ + " keys=" + std::to_string(aOrder.first_) + ".." +
-                   std::to_string(aOrder.last_) + " fence=" + std::to_string(aOrder.fence_) +
-                   " order=" + (aOrder.isRelease_ ? "release" : "grant") +
+                 "server=" + aCommand.server_ + " keys=" + std::to_string(aCommand.first_) + ".." +
+                   std::to_string(aCommand.last_) + " fence=" + std::to_string(aCommand.fence_) +
+                   " order=" + (aCommand.isRelease_ ? "release" : "grant") +
                    " end=" + std::string(kCommandStatusNames.NameOf(aEnd)));
 }
 
 void
-OwnershipPlacer::ExtendHold(Instant aNow, const KeyCommand& aGrant, CommandStatus aEnd)
+OwnershipPlacer::ExtendLeaseBound(Instant aNow, const KeyCommand& aGrant, CommandStatus aEnd)
 {
-  const auto hold = Scale(settings_.leaseDuration_, settings_.clockDriftFactor_);
+  const auto lease = Scale(settings_.leaseDuration_, settings_.clockDriftFactor_);
   if (aEnd == CommandStatus::Done || aEnd == CommandStatus::HigherFence) {
-    holds_.Extend(aNow, aGrant.server_, aGrant.Span(), aNow + hold);
+    leaseBounds_.Extend(aNow, aGrant.server_, aGrant.Span(), aNow + lease);
   } else if (aEnd == CommandStatus::Unanswered) {
-    const auto latest = settings_.lateOrders_ + hold;
-    holds_.Extend(aNow, aGrant.server_, aGrant.Span(), aNow + latest);
+    const auto latest = settings_.maxCommandDelay_ + lease;
+    leaseBounds_.Extend(aNow, aGrant.server_, aGrant.Span(), aNow + latest);
     actions_.RecordUncertainLease(aNow, aGrant.server_, latest);
   }
 }
--- a/Libraries/LibKeys/OwnershipPlacer.h
+++ b/Libraries/LibKeys/OwnershipPlacer.h
@@ -31,7 +31,7 @@
   // factor.
   double clockDriftFactor_ = 1.02;
   // Maximum delay after which a server may still execute an unacknowledged command.
-  Duration lateOrders_ = seconds(12);
+  Duration maxCommandDelay_ = seconds(12);
   // How long a placer that reaches neither the store nor most instances keeps renewing grants. Its
   // successor relies on this bound.
   Duration isolatedRenewalTime_ = seconds(6);
@@ -52,11 +52,12 @@
                   PlacerActions& aActions,
                   EventSink& aEvents);
 
-  // Takes over as placer. aOwnership is the content of the store's row, if there is one; aDoubts
-  // maps the servers with uncertain leases to the time until which they may hold keys.
+  // Takes over as placer. aOwnership is the content of the store's row, if there is one;
+  // aUncertainLeases maps the servers with uncertain leases to the time until which they may hold
+  // keys.
   void Start(Instant aNow,
              std::optional<KeyOwnership> aOwnership,
-             const std::map<std::string, Instant>& aDoubts);
+             const std::map<std::string, Instant>& aUncertainLeases);
   // Sets the current epoch of the store. An ownership written in an earlier epoch is written again,
   // with fences above all those that the store may have lost.
   void SetEpoch(StoreEpoch aEpoch) { epoch_ = aEpoch; }
@@ -72,7 +73,7 @@
   void OnWritten(Instant aNow);
   // The write failed or its outcome is unknown; aStored is the row as read afterwards.
   void OnWriteFailed(Instant aNow, KeyOwnership aStored);
-  void OnCommandEnded(Instant aNow, CommandNumber aOrder, const CommandOutcome& aOutcome);
+  void OnCommandEnded(Instant aNow, CommandNumber aCommand, const CommandOutcome& aOutcome);
   // Sends the commands and writes that are due. aMayWrite is false while the store is unavailable.
   void OnTime(Instant aNow, bool aMayWrite);
   // Time of the next call of OnTime that has work to do.
@@ -89,10 +90,10 @@
     // State returned by the former owner, to be passed to the owner.
     std::string handover_;
     // Outstanding command; 0 for none.
-    CommandNumber order_ = 0;
+    CommandNumber command_ = 0;
     // Consecutive releases for which the former owner's address refused the connection.
-    unsigned refusals_ = 0;
-    Instant nextOrder_ = Instant::min();
+    unsigned connectionRefusals_ = 0;
+    Instant nextCommandAt_ = Instant::min();
   };
 
   // Makes aOwnership the committed one; ranges whose owner and fence are unchanged keep their
@@ -101,25 +102,25 @@
   static bool IsContinuation(const KeyRange& aOld, const KeyRange& aNew);
   // The ownership to write next; no value when nothing changes.
   std::optional<KeyOwnership> Plan(Instant aNow);
-  std::optional<KeyOwnership> DealFirst(Instant aNow) const;
-  std::optional<KeyOwnership> EvenOut(Instant aNow);
+  std::optional<KeyOwnership> AssignInitially(Instant aNow) const;
+  std::optional<KeyOwnership> Rebalance(Instant aNow);
   // The highest fence whose range may be moved again; ranges with higher fences are in their
   // cooldown.
-  FenceNumber RestedFence(Instant aNow);
+  FenceNumber MaxMovableFence(Instant aNow);
   // Detects servers that have restarted under the same id.
-  void NoteLives(const std::vector<KeyServer>& aServers);
+  void DetectRestarts(const std::vector<KeyServer>& aServers);
   // Removes from restarted_ the servers all of whose ranges get a higher fence in the ownership
   // just written.
-  void ForgetRaised();
+  void DropRaisedServers();
   // The committed ownership without former owners that have been cleared; no value when there are
   // none.
-  std::optional<KeyOwnership> ClearSettled() const;
+  std::optional<KeyOwnership> DropClearedOwners() const;
   // The committed owners under new fences: all ranges when the fences are from a former placer or
   // epoch, otherwise the ranges of restarted servers.
   KeyOwnership RaiseFences() const;
   // Drops the bounds that former placers' grants put on the server, once it has acknowledged fences
   // of this placer on all ranges that it owns and has released all others.
-  void ForgetFormerHold(const std::string& aServer);
+  void DropFormerBounds(const std::string& aServer);
   // Sends the next command for a range when it is due.
   void Advance(Instant aNow, const KeyRange& aRange, RangeState& aState);
   // Why the former owner certainly no longer holds the range, as logged; null when it may still
@@ -127,15 +128,15 @@
   const char* ReasonToClear(Instant aNow, const KeyRange& aRange, const RangeState& aState) const;
   void ClearFormerOwner(Instant aNow, const KeyRange& aRange, RangeState& aState);
   void SendGrant(Instant aNow, const KeyRange& aRange, RangeState& aState);
-  void SendOrder(RangeState& aState, KeyCommand aOrder);
+  void StartCommand(RangeState& aState, KeyCommand aCommand);
   static void OnReleaseEnded(Instant aNow, RangeState& aState, const CommandOutcome& aOutcome);
   void OnGrantEnded(Instant aNow, RangeState& aState, CommandStatus aEnd) const;
-  void RecordOrderEnd(const KeyCommand& aOrder, CommandStatus aEnd);
+  void RecordCommandEnd(const KeyCommand& aCommand, CommandStatus aEnd);
   // Records until when the server may hold the keys after a grant that ended in aEnd.
-  void ExtendHold(Instant aNow, const KeyCommand& aGrant, CommandStatus aEnd);
+  void ExtendLeaseBound(Instant aNow, const KeyCommand& aGrant, CommandStatus aEnd);
   // The state of a range that waits for this command; null when there is none. A range that was
   // split has several.
-  RangeState* StateOf(CommandNumber aOrder);
+  RangeState* FindState(CommandNumber aCommand);
 
   std::string service_;
   OwnershipPlacerSettings settings_;
@@ -154,18 +155,18 @@
   std::vector<RangeState> states_;
   // The outstanding write.
   std::optional<KeyOwnership> writing_;
-  OutstandingCommands orders_;
-  LeaseBounds holds_;
+  OutstandingCommands commands_;
+  LeaseBounds leaseBounds_;
   StoreEpoch epoch_ = 0;
   // No command is sent and nothing is written before this time.
-  Instant ordersFrom_ = Instant::min();
+  Instant blockedUntil_ = Instant::min();
   Instant startedAt_{ 0 };
   // Time of the last change in the number of servers.
-  Instant serversSince_{ 0 };
+  Instant serversChangedAt_{ 0 };
   Instant nextRebalance_ = Instant::min();
   // Time and last fence of each write within the move cooldown.
-  std::deque<std::pair<Instant, FenceNumber>> fenceTimes_;
-  FenceNumber restedFence_ = 0;
+  std::deque<std::pair<Instant, FenceNumber>> recentFences_;
+  FenceNumber maxMovableFence_ = 0;
   Instant nextTime_ = Instant::min();
   // Whether the ranges still have fences issued by a former placer.
   bool hasFormerFences_ = false;
--- a/Libraries/LibKeys/PlacerActions.h
+++ b/Libraries/LibKeys/PlacerActions.h
@@ -29,8 +29,10 @@
 
   virtual void SendCommand(const KeyCommand& aCommand) = 0;
   // Records that a grant to the server was sent but not acknowledged, so that it may hold keys
-  // until aNow + aHolds. To be shared with the other instances in case this one is lost.
-  virtual void RecordUncertainLease(Instant aNow, const std::string& aServer, Duration aHolds) = 0;
+  // until aNow + aDuration. To be shared with the other instances in case this one is lost.
+  virtual void RecordUncertainLease(Instant aNow,
+                                    const std::string& aServer,
+                                    Duration aDuration) = 0;
   // Writes the ownership row, conditional on the row version known to this placer and on this
   // instance still being the placer. Completes in OnWritten or OnWriteFailed.
   virtual void Write(const KeyOwnership& aOwnership) = 0;
--- a/Tests/LibKeys/PlacerWorld.h
+++ b/Tests/LibKeys/PlacerWorld.h
@@ -18,7 +18,7 @@
 {
 public:
   static constexpr Duration kStep = milliseconds(10);
-  static constexpr Duration kWay = milliseconds(2);
+  static constexpr Duration kOneWayLatency = milliseconds(2);
 
   struct Holding
   {
@@ -34,9 +34,9 @@
     bool isListed_ = true;
     bool isLeaving_ = false;
     // Partitioned from all placers.
-    bool isCut_ = false;
+    bool isPartitioned_ = false;
     // Commands are executed late and not acknowledged.
-    bool isLate_ = false;
+    bool respondsLate_ = false;
     // Distinguishes the incarnations that run under one id.
     std::uint64_t incarnation_ = 1;
     // How long the work in progress continues after a release, which is acknowledged only after
@@ -55,9 +55,9 @@
     {
     }
     void SendCommand(const KeyCommand& aCommand) override { world_.Deliver(*this, aCommand); }
-    void RecordUncertainLease(Instant, const std::string& aServer, Duration aHolds) override
+    void RecordUncertainLease(Instant, const std::string& aServer, Duration aDuration) override
     {
-      world_.doubts_[aServer] = world_.now_ + aHolds;
+      world_.uncertainLeases_[aServer] = world_.now_ + aDuration;
     }
     void Write(const KeyOwnership& aOwnership) override { written_ = aOwnership; }
     std::optional<ServerIncarnation> FindIncarnation(const std::string& aServer) const override
@@ -130,7 +130,7 @@
     const auto end = now_ + aTime;
     while (now_ < end && !testing::Test::HasFailure()) {
       now_ += kStep;
-      CarryOut();
+      ExecuteDue();
       for (const auto& placer : placers_) {
         Run(*placer);
       }
@@ -158,7 +158,7 @@
 
   Instant now_ = seconds(1000);
   std::map<std::string, Server> servers_;
-  std::map<std::string, Instant> doubts_;
+  std::map<std::string, Instant> uncertainLeases_;
   std::optional<KeyOwnership> stored_;
   // The last write, which the store may have lost.
   std::optional<KeyOwnership> latest_;
@@ -168,11 +168,11 @@
   std::vector<std::unique_ptr<Placer>> placers_;
   std::size_t changes_ = 0;
   // Number of commands sent to servers that execute them late.
-  std::size_t lateOrders_ = 0;
+  std::size_t lateCommands_ = 0;
   // Releases fail as not sent until then.
   Instant releasesUnsentUntil_ = Instant::min();
   // Maximum number of events (commands or answers) outstanding at once for one server.
-  std::size_t mostTogether_ = 0;
+  std::size_t maxOutstanding_ = 0;
   std::minstd_rand random_;
 
 private:
@@ -182,7 +182,7 @@
     auto& placer = *placers_.back();
     placer.isRunning_ = true;
     named_ = &placer;
-    placer.placer_.Start(now_, aOwnership, doubts_);
+    placer.placer_.Start(now_, aOwnership, uncertainLeases_);
     return placer;
   }
 
@@ -190,7 +190,7 @@
   {
     Instant at_{ 0 };
     Placer* placer_ = nullptr;
-    KeyCommand order_;
+    KeyCommand command_;
     // Arrival of the command at the server; otherwise arrival of its answer.
     bool isArrival_ = true;
     bool isAnswered_ = true;
@@ -244,35 +244,35 @@
     aPlacer.placer_.OnWritten(now_);
   }
 
-  void Deliver(Placer& aPlacer, const KeyCommand& aOrder)
+  void Deliver(Placer& aPlacer, const KeyCommand& aCommand)
   {
-    const auto found = servers_.find(aOrder.server_);
-    const bool isReached = found != servers_.end() && !found->second.isCut_;
-    Pending pending{ now_ + kWay, &aPlacer, aOrder, true, true, {} };
-    const bool isUnsent = aOrder.isRelease_ && now_ < releasesUnsentUntil_;
+    const auto found = servers_.find(aCommand.server_);
+    const bool isReached = found != servers_.end() && !found->second.isPartitioned_;
+    Pending pending{ now_ + kOneWayLatency, &aPlacer, aCommand, true, true, {} };
+    const bool isUnsent = aCommand.isRelease_ && now_ < releasesUnsentUntil_;
     if (!isReached || isUnsent) {
       pending.isArrival_ = false;
       pending.outcome_.end_ = CommandStatus::NotSent;
     } else if (!found->second.isUp_) {
       pending.isArrival_ = false;
       pending.outcome_.end_ = CommandStatus::Refused;
-    } else if (found->second.isLate_) {
-      ++lateOrders_;
+    } else if (found->second.respondsLate_) {
+      ++lateCommands_;
       pending.isAnswered_ = false;
       pending.at_ = now_ + seconds(2) + milliseconds(random_() % 10000);
-      Pending lost{ now_ + milliseconds(1500), &aPlacer, aOrder, false, true, {} };
+      Pending lost{ now_ + milliseconds(1500), &aPlacer, aCommand, false, true, {} };
       lost.outcome_.end_ = CommandStatus::Unanswered;
       pending_.push_back(lost);
     }
     pending_.push_back(pending);
     const auto together =
       std::count_if(pending_.begin(), pending_.end(), [&](const Pending& aEntry) {
-        return aEntry.order_.server_ == aOrder.server_;
+        return aEntry.command_.server_ == aCommand.server_;
       });
-    mostTogether_ = std::max(mostTogether_, static_cast<std::size_t>(together));
+    maxOutstanding_ = std::max(maxOutstanding_, static_cast<std::size_t>(together));
   }
 
-  void CarryOut()
+  void ExecuteDue()
   {
     std::vector<Pending> due;
     std::erase_if(pending_, [&](const Pending& aEntry) {
@@ -284,9 +284,9 @@
     });
     for (auto& entry : due) {
       if (entry.isArrival_) {
-        auto& server = servers_.at(entry.order_.server_);
-        entry.outcome_ = Take(server, entry.order_);
-        if (entry.order_.isRelease_ && server.workTime_ > Duration(0)) {
+        auto& server = servers_.at(entry.command_.server_);
+        entry.outcome_ = Execute(server, entry.command_);
+        if (entry.command_.isRelease_ && server.workTime_ > Duration(0)) {
           entry.isArrival_ = false;
           entry.at_ = now_ + server.workTime_;
           pending_.push_back(entry);
@@ -294,25 +294,25 @@
         }
       }
       if (entry.isAnswered_ && entry.placer_->isRunning_) {
-        entry.placer_->placer_.OnCommandEnded(now_, entry.order_.number_, entry.outcome_);
+        entry.placer_->placer_.OnCommandEnded(now_, entry.command_.number_, entry.outcome_);
       }
     }
   }
 
-  CommandOutcome Take(Server& aServer, const KeyCommand& aOrder)
+  CommandOutcome Execute(Server& aServer, const KeyCommand& aCommand)
   {
     if (!aServer.isUp_) {
       return { CommandStatus::Refused, "" };
     }
-    const auto first = (aOrder.first_ + kBlock - 1) / kBlock * kBlock;
-    for (KeyNumber key = first; !aOrder.isRelease_ && key <= aOrder.last_; key += kBlock) {
-      if (aServer.seen_[key] > aOrder.fence_) {
+    const auto first = (aCommand.first_ + kBlock - 1) / kBlock * kBlock;
+    for (KeyNumber key = first; !aCommand.isRelease_ && key <= aCommand.last_; key += kBlock) {
+      if (aServer.seen_[key] > aCommand.fence_) {
         return { CommandStatus::HigherFence, "" };
       }
     }
-    for (KeyNumber key = first; key <= aOrder.last_; key += kBlock) {
-      aServer.seen_[key] = std::max(aServer.seen_[key], aOrder.fence_);
-      if (aOrder.isRelease_) {
+    for (KeyNumber key = first; key <= aCommand.last_; key += kBlock) {
+      aServer.seen_[key] = std::max(aServer.seen_[key], aCommand.fence_);
+      if (aCommand.isRelease_) {
         aServer.held_.erase(key);
         continue;
       }
@@ -320,18 +320,18 @@
       const bool isNew = held == aServer.held_.end() || held->second.until_ <= now_;
       const auto holder = aServer.id_ + " incarnation " + std::to_string(aServer.incarnation_);
       if (isNew && holders_[key] != holder) {
-        EXPECT_GT(aOrder.fence_, fences_[key]) << "key " << key << " at " << holder;
+        EXPECT_GT(aCommand.fence_, fences_[key]) << "key " << key << " at " << holder;
         holders_[key] = holder;
       }
-      fences_[key] = std::max(fences_[key], aOrder.fence_);
+      fences_[key] = std::max(fences_[key], aCommand.fence_);
       // Clock drift of the server.
       constexpr double kSlow = 1.02;
-      aServer.held_[key] = { aOrder.fence_,
+      aServer.held_[key] = { aCommand.fence_,
                              now_ +
                                Duration(static_cast<Duration::rep>(
-                                 static_cast<double>(aOrder.leaseDuration_.count()) * kSlow)) };
+                                 static_cast<double>(aCommand.leaseDuration_.count()) * kSlow)) };
     }
-    return { CommandStatus::Done, aOrder.isRelease_ ? "warm" : "" };
+    return { CommandStatus::Done, aCommand.isRelease_ ? "warm" : "" };
   }
 
   void Check()
--- a/Tests/LibKeys/TestKeyBalancer.cpp
+++ b/Tests/LibKeys/TestKeyBalancer.cpp
@@ -11,7 +11,7 @@
 
 constexpr Instant kNow = seconds(100);
 // No range is in its cooldown.
-constexpr FenceNumber kAnyFence = std::numeric_limits<FenceNumber>::max();
+constexpr FenceNumber kAllMovable = std::numeric_limits<FenceNumber>::max();
 
 std::vector<KeyServer>
 MakeServers(const std::vector<std::string>& aIds)
@@ -30,7 +30,7 @@
   {
     std::map<std::string, double> loads;
     for (const auto& range : aOwnership.ranges_) {
-      loads[range.owner_] += load_.Of(range.first_, range.last_);
+      loads[range.owner_] += load_.Between(range.first_, range.last_);
     }
     return loads;
   }
@@ -47,7 +47,7 @@
   }
 
   // Completes all moves.
-  static KeyOwnership Settle(KeyOwnership aOwnership)
+  static KeyOwnership CompleteMoves(KeyOwnership aOwnership)
   {
     for (auto& range : aOwnership.ranges_) {
       range.previous_.clear();
@@ -58,14 +58,14 @@
   std::vector<KeyServer> servers_ = MakeServers({ "a", "b", "c", "d" });
   KeyLoad load_;
   KeyBalancer balancer_{ {} };
-  KeyOwnership dealt_ = KeyBalancer::AssignAll("rates", 10, servers_);
+  KeyOwnership assigned_ = KeyBalancer::AssignAll("rates", 10, servers_);
 };
 
 TEST_F(KeysOfFourServers, Dealt_EveryKeyHasAnOwnerAndFencesRise)
 {
-  ExpectWhole(dealt_);
-  EXPECT_EQ(LoadByServer(dealt_).size(), 4U);
-  for (const auto& range : dealt_.ranges_) {
+  ExpectWhole(assigned_);
+  EXPECT_EQ(LoadByServer(assigned_).size(), 4U);
+  for (const auto& range : assigned_.ranges_) {
     EXPECT_GT(range.fence_, 10U);
     EXPECT_TRUE(range.previous_.empty());
   }
@@ -77,39 +77,39 @@
     server.isUsable_ = false;
   }
   EXPECT_TRUE(KeyBalancer::AssignAll("rates", 0, servers_).ranges_.empty());
-  EXPECT_FALSE(KeyBalancer::Replace(dealt_, servers_, load_));
+  EXPECT_FALSE(KeyBalancer::ReplaceOwners(assigned_, servers_, load_));
 }
 
 TEST_F(KeysOfFourServers, LoadIsEven_NothingMoves)
 {
-  EXPECT_FALSE(balancer_.EvenOut(dealt_, servers_, load_, kAnyFence));
+  EXPECT_FALSE(balancer_.Rebalance(assigned_, servers_, load_, kAllMovable));
 }
 
 TEST_F(KeysOfFourServers, ServerLeaves_ItsKeysGoToOthersUnderHigherFences)
 {
   servers_[1].isUsable_ = false;
-  const auto next = KeyBalancer::Replace(dealt_, servers_, load_);
+  const auto next = KeyBalancer::ReplaceOwners(assigned_, servers_, load_);
   ASSERT_TRUE(next);
   ExpectWhole(*next);
   for (std::size_t index = 0; index < next->ranges_.size(); ++index) {
     const auto& range = next->ranges_[index];
     EXPECT_NE(range.owner_, "b");
-    if (dealt_.ranges_[index].owner_ == "b") {
+    if (assigned_.ranges_[index].owner_ == "b") {
       EXPECT_EQ(range.previous_, "b");
-      EXPECT_GT(range.fence_, dealt_.lastFence_);
+      EXPECT_GT(range.fence_, assigned_.lastFence_);
     } else {
-      EXPECT_EQ(range, dealt_.ranges_[index]);
+      EXPECT_EQ(range, assigned_.ranges_[index]);
     }
   }
 }
 
 TEST_F(KeysOfFourServers, OwnerLeavesWhileFormerMayStillHold_RangeWaits)
 {
-  dealt_.ranges_[1].previous_ = "x";
-  const auto moving = dealt_.ranges_[1];
+  assigned_.ranges_[1].previous_ = "x";
+  const auto moving = assigned_.ranges_[1];
   ASSERT_EQ(moving.owner_, "b");
   servers_[1].isUsable_ = false;
-  const auto next = KeyBalancer::Replace(dealt_, servers_, load_);
+  const auto next = KeyBalancer::ReplaceOwners(assigned_, servers_, load_);
   ASSERT_TRUE(next);
   EXPECT_EQ(next->ranges_[1], moving);
 }
@@ -122,14 +122,14 @@
   }
   load_.Add(kNow, counts);
   load_.Refresh(kNow);
-  auto ownership = dealt_;
+  auto ownership = assigned_;
   for (int round = 0; round < 4; ++round) {
-    const auto next = balancer_.EvenOut(ownership, servers_, load_, kAnyFence);
+    const auto next = balancer_.Rebalance(ownership, servers_, load_, kAllMovable);
     if (!next) {
       break;
     }
     ExpectWhole(*next);
-    ownership = Settle(*next);
+    ownership = CompleteMoves(*next);
   }
   for (const auto& [server, load] : LoadByServer(ownership)) {
     EXPECT_LT(load, 1.3 * load_.Total() / 4) << server;
@@ -144,24 +144,24 @@
   }
   load_.Add(kNow, counts);
   load_.Refresh(kNow);
-  EXPECT_TRUE(balancer_.EvenOut(dealt_, servers_, load_, dealt_.ranges_.front().fence_));
-  const auto lower = dealt_.ranges_.front().fence_ - 1;
-  EXPECT_FALSE(balancer_.EvenOut(dealt_, servers_, load_, lower));
+  EXPECT_TRUE(balancer_.Rebalance(assigned_, servers_, load_, assigned_.ranges_.front().fence_));
+  const auto lower = assigned_.ranges_.front().fence_ - 1;
+  EXPECT_FALSE(balancer_.Rebalance(assigned_, servers_, load_, lower));
 }
 
 TEST_F(KeysOfFourServers, OneKeyIsTheLoad_ItIsNotMovedBackAndForth)
 {
   load_.Add(kNow, { { 77, 1000 } });
   load_.Refresh(kNow);
-  auto ownership = dealt_;
+  auto ownership = assigned_;
   std::string owner = ownership.Find(77)->owner_;
   int changes = 0;
   for (int round = 0; round < 20; ++round) {
-    const auto next = balancer_.EvenOut(ownership, servers_, load_, kAnyFence);
+    const auto next = balancer_.Rebalance(ownership, servers_, load_, kAllMovable);
     if (!next) {
       break;
     }
-    ownership = Settle(*next);
+    ownership = CompleteMoves(*next);
     changes += ownership.Find(77)->owner_ == owner ? 0 : 1;
     owner = ownership.Find(77)->owner_;
   }
@@ -177,12 +177,12 @@
   }
   load_.Add(kNow, counts);
   load_.Refresh(kNow);
-  auto ownership = dealt_;
+  auto ownership = assigned_;
   ASSERT_NE(ownership.Find(77)->owner_, "c");
   for (int round = 0; round < 8; ++round) {
-    if (const auto next = balancer_.EvenOut(ownership, servers_, load_, kAnyFence)) {
+    if (const auto next = balancer_.Rebalance(ownership, servers_, load_, kAllMovable)) {
       ExpectWhole(*next);
-      ownership = Settle(*next);
+      ownership = CompleteMoves(*next);
     }
   }
   EXPECT_EQ(ownership.Find(77)->owner_, "c");
@@ -194,18 +194,18 @@
 TEST_F(KeysOfFourServers, OneServerCannotBeRelieved_TheOthersAreEvenedOutAllTheSame)
 {
   // The whole load of c is one key that no other server could take; a has two busy ranges.
-  std::vector<KeyCount> counts{ { dealt_.ranges_[2].first_, 1000 } };
+  std::vector<KeyCount> counts{ { assigned_.ranges_[2].first_, 1000 } };
   for (const std::size_t index : { 0U, 4U }) {
     for (KeyNumber key = 0; key < 100; ++key) {
-      counts.push_back({ dealt_.ranges_[index].first_ + key, 3 });
+      counts.push_back({ assigned_.ranges_[index].first_ + key, 3 });
     }
   }
   load_.Add(kNow, counts);
   load_.Refresh(kNow);
-  auto ownership = dealt_;
+  auto ownership = assigned_;
   for (int round = 0; round < 6; ++round) {
-    if (const auto next = balancer_.EvenOut(ownership, servers_, load_, kAnyFence)) {
-      ownership = Settle(*next);
+    if (const auto next = balancer_.Rebalance(ownership, servers_, load_, kAllMovable)) {
+      ownership = CompleteMoves(*next);
     }
   }
   const auto loads = LoadByServer(ownership);
@@ -229,7 +229,7 @@
   }
 
   std::vector<KeyServer> servers_ = MakeMany();
-  KeyOwnership dealt_ = KeyBalancer::AssignAll("rates", 10, servers_);
+  KeyOwnership assigned_ = KeyBalancer::AssignAll("rates", 10, servers_);
   KeyLoad load_;
 };
 
@@ -241,15 +241,15 @@
   }
   // A tenth of the load of all other keys, concentrated on one server.
   for (KeyNumber key = 0; key < 200; ++key) {
-    counts.push_back({ dealt_.ranges_[70].first_ + key, 10 });
+    counts.push_back({ assigned_.ranges_[70].first_ + key, 10 });
   }
   load_.Add(kNow, counts);
   load_.Refresh(kNow);
-  const auto next = KeyBalancer({}).EvenOut(dealt_, servers_, load_, kAnyFence);
+  const auto next = KeyBalancer({}).Rebalance(assigned_, servers_, load_, kAllMovable);
   ASSERT_TRUE(next);
   std::map<std::string, double> loads;
   for (const auto& range : next->ranges_) {
-    loads[range.owner_] += load_.Of(range.first_, range.last_);
+    loads[range.owner_] += load_.Between(range.first_, range.last_);
   }
   const double mean = load_.Total() / kServers;
   // The most loaded server had 16 times the mean.
@@ -268,16 +268,16 @@
     }
     load_.Refresh(kNow + step * Duration(milliseconds(100)));
   }
-  EXPECT_FALSE(KeyBalancer({}).EvenOut(dealt_, servers_, load_, kAnyFence));
+  EXPECT_FALSE(KeyBalancer({}).Rebalance(assigned_, servers_, load_, kAllMovable));
 }
 
 TEST_F(KeysOfFourServers, ServerJoins_GetsItsPart)
 {
   servers_ = MakeServers({ "a", "b", "c", "d", "e" });
-  auto ownership = dealt_;
+  auto ownership = assigned_;
   for (int round = 0; round < 8; ++round) {
-    if (const auto next = balancer_.EvenOut(ownership, servers_, load_, kAnyFence)) {
-      ownership = Settle(*next);
+    if (const auto next = balancer_.Rebalance(ownership, servers_, load_, kAllMovable)) {
+      ownership = CompleteMoves(*next);
     }
   }
   EXPECT_GT(LoadByServer(ownership)["e"], 0.7 * load_.Total() / 5);
@@ -285,7 +285,7 @@
 
 TEST_F(KeysOfFourServers, ManyRoundsOfChange_RangesStayFew)
 {
-  auto ownership = dealt_;
+  auto ownership = assigned_;
   for (KeyNumber round = 0; round < 200; ++round) {
     const auto now = kNow + round * Duration(milliseconds(500));
     std::vector<KeyCount> counts;
@@ -294,9 +294,9 @@
     }
     load_.Add(now, counts);
     load_.Refresh(now);
-    if (const auto next = balancer_.EvenOut(ownership, servers_, load_, kAnyFence)) {
+    if (const auto next = balancer_.Rebalance(ownership, servers_, load_, kAllMovable)) {
       ExpectWhole(*next);
-      ownership = Settle(*next);
+      ownership = CompleteMoves(*next);
     }
   }
   EXPECT_LE(ownership.ranges_.size(), 160U);
--- a/Tests/LibKeys/TestOwnershipPlacer.cpp
+++ b/Tests/LibKeys/TestOwnershipPlacer.cpp
@@ -19,7 +19,7 @@
   }
 
   // Restores the store from a copy and replaces the placer.
-  PlacerWorld::Placer& TakeOverFromACopy()
+  PlacerWorld::Placer& TakeOverFromCopy()
   {
     world_.TakeCopy();
     world_.ReturnFromCopy();
@@ -62,9 +62,9 @@
 TEST_F(PlacedKeysOfThreeServers, TimePasses_RenewalsOfOneServerFollowEachOther)
 {
   world_.Pass(seconds(3));
-  world_.mostTogether_ = 0;
+  world_.maxOutstanding_ = 0;
   world_.Pass(seconds(10));
-  EXPECT_EQ(world_.mostTogether_, 1U);
+  EXPECT_EQ(world_.maxOutstanding_, 1U);
   ExpectAllServed();
 }
 
@@ -85,7 +85,7 @@
 TEST_F(PlacedKeysOfThreeServers, ServerIsSilentAndUnlisted_KeysPassOnAfterItsGrantsRanOut)
 {
   auto& lost = world_.servers_.at("s1");
-  lost.isCut_ = true;
+  lost.isPartitioned_ = true;
   lost.isListed_ = false;
   world_.Pass(milliseconds(100));
   const auto time = TimeUntilServed();
@@ -96,7 +96,7 @@
 TEST_F(PlacedKeysOfThreeServers, KeysOfASilentServerWait_TheOthersAreEvenedOutMeanwhile)
 {
   auto& lost = world_.servers_.at("s1");
-  lost.isCut_ = true;
+  lost.isPartitioned_ = true;
   lost.isListed_ = false;
   world_.Pass(milliseconds(200));
   std::vector<KeyCount> counts;
@@ -191,7 +191,7 @@
   left.isUp_ = false;
   left.isLeaving_ = true;
   world_.Pass(milliseconds(800));
-  left.isCut_ = true;
+  left.isPartitioned_ = true;
   world_.Pass(milliseconds(600));
   left.isListed_ = false;
   world_.Pass(milliseconds(100));
@@ -200,9 +200,9 @@
 
 TEST_F(PlacedKeysOfThreeServers, OrdersAreTakenLate_LateGrantsMeetHigherFences)
 {
-  world_.servers_.at("s1").isLate_ = true;
+  world_.servers_.at("s1").respondsLate_ = true;
   world_.Pass(seconds(3));
-  world_.servers_.at("s1").isLate_ = false;
+  world_.servers_.at("s1").respondsLate_ = false;
   world_.servers_.at("s1").isLeaving_ = true;
   world_.Pass(seconds(20));
   ExpectAllServed();
@@ -211,9 +211,9 @@
 TEST_F(PlacedKeysOfThreeServers, SilentServerWithLateOrders_KeysWaitForThem)
 {
   auto& server = world_.servers_.at("s1");
-  server.isLate_ = true;
+  server.respondsLate_ = true;
   world_.Pass(seconds(2));
-  server.isCut_ = true;
+  server.isPartitioned_ = true;
   server.isListed_ = false;
   world_.Pass(milliseconds(100));
   EXPECT_GT(TimeUntilServed(), seconds(10));
@@ -222,14 +222,14 @@
 TEST_F(PlacedKeysOfThreeServers, OneGrantOfASilentServerWasNotAnswered_OnlyItsKeysWait)
 {
   auto& server = world_.servers_.at("s1");
-  server.isLate_ = true;
-  for (int step = 0; step < 500 && world_.lateOrders_ == 0; ++step) {
+  server.respondsLate_ = true;
+  for (int step = 0; step < 500 && world_.lateCommands_ == 0; ++step) {
     world_.Pass(milliseconds(10));
   }
-  const auto late = world_.lateOrders_;
+  const auto late = world_.lateCommands_;
   ASSERT_GT(late, 0U);
-  server.isLate_ = false;
-  server.isCut_ = true;
+  server.respondsLate_ = false;
+  server.isPartitioned_ = true;
   server.isListed_ = false;
   world_.Pass(seconds(6));
   // The initial assignment has 64 ranges.
@@ -270,7 +270,7 @@
 TEST_F(PlacedKeysOfManyServers, SomeAnswerNothing_GrantsOfTheOthersAreRenewed)
 {
   for (int number = 0; number < 32; ++number) {
-    world_.servers_.at(IdOf(number)).isLate_ = true;
+    world_.servers_.at(IdOf(number)).respondsLate_ = true;
   }
   std::size_t least = PlacerWorld::kBlocks;
   for (int step = 0; step < 100; ++step) {
@@ -283,7 +283,7 @@
 TEST(OwnershipPlacer, ServerLeavesWhileItsFirstGrantsAreUnderWay_KeysWaitForThem)
 {
   PlacerWorld world;
-  world.AddServer("s1", "s1:80").isLate_ = true;
+  world.AddServer("s1", "s1:80").respondsLate_ = true;
   // Enough servers that the commands to s1 do not use up the limit of the placer.
   for (const auto* id : { "s2", "s3", "s4", "s5", "s6", "s7", "s8" }) {
     world.AddServer(id, std::string(id) + ":80");
@@ -364,7 +364,7 @@
 TEST_F(PlacedKeysOfThreeServers, FormerPlacerIsKnownToHaveStopped_SilentServerWaitsForOneHold)
 {
   auto& lost = world_.servers_.at("s1");
-  lost.isCut_ = true;
+  lost.isPartitioned_ = true;
   world_.Stop(*placer_);
   world_.Pass(seconds(2));
   auto& next = world_.TakeOver();
@@ -399,7 +399,7 @@
     return server->second;
   }
 
-  void Strike()
+  void InjectFault()
   {
     auto& server = AnyServer();
     switch (world_.random_() % 9) {
@@ -407,10 +407,10 @@
         server.isLeaving_ = true;
         break;
       case 1:
-        server.isCut_ = !server.isCut_;
+        server.isPartitioned_ = !server.isPartitioned_;
         break;
       case 2:
-        server.isLate_ = !server.isLate_;
+        server.respondsLate_ = !server.respondsLate_;
         break;
       case 3:
         server.isListed_ = !server.isListed_ && server.isUp_;
@@ -474,14 +474,14 @@
   world_.TakeOver();
   world_.Pass(seconds(4));
   for (int step = 0; step < 60 && !HasFailure(); ++step) {
-    Strike();
+    InjectFault();
     world_.Pass(milliseconds(50 + world_.random_() % 1500));
   }
   // All keys are served again after the faults end.
   world_.isStoreDown_ = false;
   for (auto& [id, server] : world_.servers_) {
-    server.isCut_ = false;
-    server.isLate_ = false;
+    server.isPartitioned_ = false;
+    server.respondsLate_ = false;
     // Records of stopped servers expire.
     server.isListed_ = server.isListed_ && server.isUp_;
   }
@@ -508,7 +508,7 @@
 
 TEST_F(PlacedKeysOfThreeServers, CopyIsAllThatANewPlacerKnows_ItWaitsUntilLostGrantsHaveRunOut)
 {
-  auto& next = TakeOverFromACopy();
+  auto& next = TakeOverFromCopy();
   world_.Pass(seconds(10));
   EXPECT_EQ(world_.ServedKeys(), 0U);
   world_.Pass(seconds(2));
@@ -518,7 +518,7 @@
 
 TEST_F(PlacedKeysOfThreeServers, FormerPlacerHasStopped_CopyIsUsedAfterOneHold)
 {
-  auto& next = TakeOverFromACopy();
+  auto& next = TakeOverFromCopy();
   next.placer_.OnFormerPlacerStopped(world_.now_);
   world_.Pass(milliseconds(6000));
   EXPECT_EQ(world_.ServedKeys(), PlacerWorld::kBlocks);
@@ -544,7 +544,7 @@
   }
 
   // Gives most of the load to a range of neighbouring keys.
-  void HeatUp()
+  void AddHotRange()
   {
     std::vector<KeyCount> counts;
     const auto first = static_cast<KeyNumber>(world_.random_() % (kLastKey - 4096));
@@ -568,7 +568,7 @@
 TEST_P(WalkOfLostPlacers, MovesOverlap_NoKeyHasTwoHolders)
 {
   for (int step = 0; step < 40 && !HasFailure(); ++step) {
-    HeatUp();
+    AddHotRange();
     world_.Pass(milliseconds(10 * (1 + world_.random_() % 60)));
     if (world_.random_() % 3 == 0) {
       world_.releasesUnsentUntil_ = world_.now_ + milliseconds(world_.random_() % 300);
@@ -589,7 +589,7 @@
 TEST_P(WalkOfStoreReturns, WritesAreLost_NoKeyHasTwoHoldersAndFencesRise)
 {
   for (int step = 0; step < 12 && !HasFailure(); ++step) {
-    HeatUp();
+    AddHotRange();
     world_.TakeCopy();
     world_.Pass(milliseconds(10 * (1 + world_.random_() % 300)));
     world_.ReturnFromCopy();
@@ -603,7 +603,7 @@
       world_.Pass(milliseconds(world_.random_() % 6000));
       world_.Stop(*former);
     }
-    HeatUp();
+    AddHotRange();
     world_.Pass(milliseconds(10 * (1 + world_.random_() % 200)));
   }
   world_.Pass(seconds(20));
