--- a/Tests/LibKeys/TestKeyBalancer.cpp
+++ b/Tests/LibKeys/TestKeyBalancer.cpp
@@ -61,7 +61,7 @@
   KeyOwnership assigned_ = KeyBalancer::AssignAll("rates", 10, servers_);
 };
 
-TEST_F(KeysOfFourServers, Dealt_EveryKeyHasAnOwnerAndFencesRise)
+TEST_F(KeysOfFourServers, InitialAssignment_EveryKeyHasAnOwnerAndFencesIncrease)
 {
   ExpectWhole(assigned_);
   EXPECT_EQ(LoadByServer(assigned_).size(), 4U);
@@ -71,7 +71,7 @@
   }
 }
 
-TEST_F(KeysOfFourServers, NoServerIsUsable_NothingIsDealt)
+TEST_F(KeysOfFourServers, NoServerIsUsable_NothingIsAssigned)
 {
   for (auto& server : servers_) {
     server.isUsable_ = false;
@@ -85,7 +85,7 @@
   EXPECT_FALSE(balancer_.Rebalance(assigned_, servers_, load_, kAllMovable));
 }
 
-TEST_F(KeysOfFourServers, ServerLeaves_ItsKeysGoToOthersUnderHigherFences)
+TEST_F(KeysOfFourServers, ServerLeaves_ItsKeysAreReassignedUnderHigherFences)
 {
   servers_[1].isUsable_ = false;
   const auto next = KeyBalancer::ReplaceOwners(assigned_, servers_, load_);
@@ -114,7 +114,7 @@
   EXPECT_EQ(next->ranges_[1], moving);
 }
 
-TEST_F(KeysOfFourServers, KeysGetHot_TheyAreSpreadWithinAFewRounds)
+TEST_F(KeysOfFourServers, KeysBecomeHot_AreSpreadWithinAFewRounds)
 {
   std::vector<KeyCount> counts;
   for (KeyNumber key = 200; key < 400; ++key) {
@@ -136,7 +136,7 @@
   }
 }
 
-TEST_F(KeysOfFourServers, HotRangeHasMovedLately_ItStays)
+TEST_F(KeysOfFourServers, HotRangeIsInCooldown_IsNotMoved)
 {
   std::vector<KeyCount> counts;
   for (KeyNumber key = 200; key < 400; ++key) {
@@ -149,7 +149,7 @@
   EXPECT_FALSE(balancer_.Rebalance(assigned_, servers_, load_, lower));
 }
 
-TEST_F(KeysOfFourServers, OneKeyIsTheLoad_ItIsNotMovedBackAndForth)
+TEST_F(KeysOfFourServers, OneKeyIsAllOfTheLoad_IsNotMovedBackAndForth)
 {
   load_.Add(kNow, { { 77, 1000 } });
   load_.Refresh(kNow);
@@ -168,7 +168,7 @@
   EXPECT_LE(changes, 1);
 }
 
-TEST_F(KeysOfFourServers, OneKeyIsMostOfTheLoad_ItGoesToTheStrongestWhichIsRelievedOfOthers)
+TEST_F(KeysOfFourServers, OneKeyIsMostOfTheLoad_MovesToTheHighestWeightWhichIsRelievedOfOthers)
 {
   servers_[2].weight_ = 1.5;
   std::vector<KeyCount> counts{ { 77, 500 } };
@@ -191,7 +191,7 @@
   EXPECT_LT(LoadByServer(ownership)["c"], 1.25 * load_.Total() * servers_[2].weight_ / kWeights);
 }
 
-TEST_F(KeysOfFourServers, OneServerCannotBeRelieved_TheOthersAreEvenedOutAllTheSame)
+TEST_F(KeysOfFourServers, OneServerCannotBeRelieved_OthersAreStillRebalanced)
 {
   // The whole load of c is one key that no other server could take; a has two busy ranges.
   std::vector<KeyCount> counts{ { assigned_.ranges_[2].first_, 1000 } };
@@ -233,7 +233,7 @@
   KeyLoad load_;
 };
 
-TEST_F(KeysOfManyServers, NeighbouringKeysGetHot_OneRoundSpreadsThem)
+TEST_F(KeysOfManyServers, NeighbouringKeysBecomeHot_AreSpreadInOneRound)
 {
   std::vector<KeyCount> counts;
   for (KeyNumber key = 0; key < kLastKey; key += 32) {
@@ -258,7 +258,7 @@
   }
 }
 
-TEST_F(KeysOfManyServers, LoadsDifferByChance_NothingMoves)
+TEST_F(KeysOfManyServers, LoadsDifferByNoise_NothingMoves)
 {
   std::minstd_rand random(7);
   // On average six requests a second to each server, over twenty seconds.
@@ -271,7 +271,7 @@
   EXPECT_FALSE(KeyBalancer({}).Rebalance(assigned_, servers_, load_, kAllMovable));
 }
 
-TEST_F(KeysOfFourServers, ServerJoins_GetsItsPart)
+TEST_F(KeysOfFourServers, ServerJoins_GetsItsFairShare)
 {
   servers_ = MakeServers({ "a", "b", "c", "d", "e" });
   auto ownership = assigned_;
@@ -283,7 +283,7 @@
   EXPECT_GT(LoadByServer(ownership)["e"], 0.7 * load_.Total() / 5);
 }
 
-TEST_F(KeysOfFourServers, ManyRoundsOfChange_RangesStayFew)
+TEST_F(KeysOfFourServers, ManyRoundsOfChange_NumberOfRangesIsBounded)
 {
   auto ownership = assigned_;
   for (KeyNumber round = 0; round < 200; ++round) {
--- a/Tests/LibKeys/TestKeyOwnership.cpp
+++ b/Tests/LibKeys/TestKeyOwnership.cpp
@@ -21,12 +21,12 @@
   EXPECT_EQ(kOwnership.Find(400), nullptr);
 }
 
-TEST(KeyOwnership, WrittenAndRead_IsTheSame)
+TEST(KeyOwnership, SerializedAndParsed_IsEqual)
 {
   EXPECT_EQ(ParseOwnership(SerializeOwnership(kOwnership)).value(), kOwnership);
 }
 
-TEST(KeyOwnership, ChangesLaidOverTheOld_GiveTheNew)
+TEST(KeyOwnership, OverlaidChanges_GiveTheNewOwnership)
 {
   auto next = kOwnership;
   next.lastFence_ = 9;
@@ -40,7 +40,7 @@
   EXPECT_EQ(Overlay(kOwnership, changes), next);
 }
 
-TEST(KeyOwnership, NeighboursBecomeOneRange_ChangesGiveTheNew)
+TEST(KeyOwnership, RangesAreMerged_OverlaidChangesGiveTheNewOwnership)
 {
   auto next = kOwnership;
   next.lastFence_ = 8;
@@ -51,7 +51,7 @@
 class MalformedOwnership : public testing::TestWithParam<const char*>
 {};
 
-TEST_P(MalformedOwnership, IsRead_IsRefused)
+TEST_P(MalformedOwnership, Parsed_IsRejected)
 {
   EXPECT_FALSE(ParseOwnership(GetParam()));
 }
--- a/Tests/LibKeys/TestLeaseBounds.cpp
+++ b/Tests/LibKeys/TestLeaseBounds.cpp
@@ -8,12 +8,12 @@
 
 constexpr KeySpan kKeys{ 100, 199 };
 
-TEST(LeaseBounds, ServerWithoutAny_HasNone)
+TEST(LeaseBounds, NoGrant_HasNoBound)
 {
   EXPECT_EQ(LeaseBounds().LatestExpiry("s1", kKeys), Instant::min());
 }
 
-TEST(LeaseBounds, SeveralBounds_TheLatestHolds)
+TEST(LeaseBounds, SeveralBounds_LatestApplies)
 {
   LeaseBounds bounds;
   bounds.Start({ { "s1", seconds(2) } });
@@ -38,7 +38,7 @@
   EXPECT_EQ(bounds.LatestExpiry("s3", kKeys), seconds(1));
 }
 
-TEST(LeaseBounds, FormerOrdersAreForgotten_OwnBoundsStay)
+TEST(LeaseBounds, FormerBoundsAreDropped_OwnBoundsRemain)
 {
   LeaseBounds bounds;
   bounds.Start({ { "s1", seconds(8) } });
@@ -48,7 +48,7 @@
   EXPECT_EQ(bounds.LatestExpiry("s1", kKeys), seconds(3));
 }
 
-TEST(LeaseBounds, OneOrderBindsLonger_OnlyKeysThatItNamesWait)
+TEST(LeaseBounds, OneGrantLastsLonger_OnlyItsKeysAreBound)
 {
   LeaseBounds bounds;
   bounds.Extend(seconds(1), "s1", { 0, 99 }, seconds(5));
@@ -59,7 +59,7 @@
   EXPECT_EQ(bounds.LatestExpiry("s1", { 200, 300 }), Instant::min());
 }
 
-TEST(LeaseBounds, KeysAreCutAfterAnOrder_EachPieceIsBoundByIt)
+TEST(LeaseBounds, RangeIsSplitAfterAGrant_EachPartIsBound)
 {
   LeaseBounds bounds;
   bounds.Extend(seconds(1), "s1", { 0, 99 }, seconds(17));
@@ -68,7 +68,7 @@
   EXPECT_EQ(bounds.LatestExpiry("s1", { 50, 99 }), seconds(17));
 }
 
-TEST(LeaseBounds, BoundsHavePassed_AreForgotten)
+TEST(LeaseBounds, BoundsHaveExpired_AreDropped)
 {
   LeaseBounds bounds;
   bounds.Extend(seconds(1), "s1", { 0, 99 }, seconds(5));
@@ -76,7 +76,7 @@
   EXPECT_EQ(bounds.LatestExpiry("s1", { 0, 99 }), Instant::min());
 }
 
-TEST(LeaseBounds, StartedAnew_HasNothingOfBefore)
+TEST(LeaseBounds, StartedAgain_HasNoEarlierBounds)
 {
   LeaseBounds bounds;
   bounds.Extend(seconds(1), "s1", kKeys, seconds(3));
--- a/Tests/LibKeys/TestOutstandingCommands.cpp
+++ b/Tests/LibKeys/TestOutstandingCommands.cpp
@@ -26,7 +26,7 @@
   return count;
 }
 
-TEST(OutstandingCommands, OrdersAreNumberedAndTakenOutOnce)
+TEST(OutstandingCommands, CommandsAreNumberedAndTakenOnce)
 {
   OutstandingCommands commands;
   const auto first = commands.Add(CommandTo("s1"));
@@ -38,7 +38,7 @@
   EXPECT_FALSE(commands.HasCommandTo("s2"));
 }
 
-TEST(OutstandingCommands, ReleaseUnderWay_IsNoGrant)
+TEST(OutstandingCommands, OutstandingRelease_IsNoGrant)
 {
   OutstandingCommands commands;
   commands.Add(CommandTo("s1", true));
@@ -48,7 +48,7 @@
   EXPECT_TRUE(commands.HasGrantTo("s1", { 0, kLastKey }));
 }
 
-TEST(OutstandingCommands, GrantUnderWay_ConcernsOnlyItsKeys)
+TEST(OutstandingCommands, OutstandingGrant_CoversOnlyItsKeys)
 {
   OutstandingCommands commands;
   auto grant = CommandTo("s1");
@@ -60,14 +60,14 @@
   EXPECT_FALSE(commands.HasGrantTo("s2", { 100, 199 }));
 }
 
-TEST(OutstandingCommands, ServerHasAsManyAsItMay_OthersHaveRoom)
+TEST(OutstandingCommands, OneServerIsAtItsLimit_OthersAreNot)
 {
   OutstandingCommands commands;
   EXPECT_EQ(Fill(commands, "s1"), 64U);
   EXPECT_TRUE(commands.CanSendTo("s2"));
 }
 
-TEST(OutstandingCommands, AsManyAsThereMayBeInAll_NobodyHasRoom)
+TEST(OutstandingCommands, TotalLimitIsReached_NoServerGetsMore)
 {
   OutstandingCommands commands;
   std::size_t count = 0;
@@ -78,7 +78,7 @@
   EXPECT_FALSE(commands.CanSendTo("another"));
 }
 
-TEST(OutstandingCommands, ServerDidNotAnswer_GetsTwoUntilItDoes)
+TEST(OutstandingCommands, ServerDidNotAnswer_IsLimitedToTwoUntilItDoes)
 {
   OutstandingCommands commands;
   const auto unanswered = commands.Add(CommandTo("s1"));
@@ -89,7 +89,7 @@
   EXPECT_TRUE(commands.CanSendTo("s1"));
 }
 
-TEST(OutstandingCommands, Cleared_NumbersGoOn)
+TEST(OutstandingCommands, Cleared_NumbersAreNotReused)
 {
   OutstandingCommands commands;
   const auto old = commands.Add(CommandTo("s1"));
--- a/Tests/LibKeys/TestOwnershipPlacer.cpp
+++ b/Tests/LibKeys/TestOwnershipPlacer.cpp
@@ -59,7 +59,7 @@
   EXPECT_EQ(world_.changes_, changes);
 }
 
-TEST_F(PlacedKeysOfThreeServers, TimePasses_RenewalsOfOneServerFollowEachOther)
+TEST_F(PlacedKeysOfThreeServers, TimePasses_RenewalsOfOneServerAreSequential)
 {
   world_.Pass(seconds(3));
   world_.maxOutstanding_ = 0;
@@ -75,14 +75,14 @@
   ExpectAllServed();
 }
 
-TEST_F(PlacedKeysOfThreeServers, ServerLeaves_KeysPassOnWithinMoments)
+TEST_F(PlacedKeysOfThreeServers, ServerLeaves_KeysMoveAtOnce)
 {
   world_.servers_.at("s1").isLeaving_ = true;
   world_.Pass(milliseconds(100));
   EXPECT_LT(TimeUntilServed(), milliseconds(500));
 }
 
-TEST_F(PlacedKeysOfThreeServers, ServerIsSilentAndUnlisted_KeysPassOnAfterItsGrantsRanOut)
+TEST_F(PlacedKeysOfThreeServers, ServerIsSilentAndUnlisted_KeysMoveAfterItsGrantsExpire)
 {
   auto& lost = world_.servers_.at("s1");
   lost.isPartitioned_ = true;
@@ -93,7 +93,7 @@
   EXPECT_LT(time, seconds(6));
 }
 
-TEST_F(PlacedKeysOfThreeServers, KeysOfASilentServerWait_TheOthersAreEvenedOutMeanwhile)
+TEST_F(PlacedKeysOfThreeServers, KeysOfASilentServerWait_OthersAreRebalancedMeanwhile)
 {
   auto& lost = world_.servers_.at("s1");
   lost.isPartitioned_ = true;
@@ -114,7 +114,7 @@
   EXPECT_GT(3 * passedOn, counts.size());
 }
 
-TEST_F(PlacedKeysOfThreeServers, PlacerTakesOver_LoadIsEvenedOutOnlyAfterTheReportsOfAll)
+TEST_F(PlacedKeysOfThreeServers, PlacerTakesOver_LoadIsRebalancedOnlyAfterAllReports)
 {
   world_.Stop(*placer_);
   placer_ = &world_.TakeOver();
@@ -127,7 +127,7 @@
   EXPECT_NE(owners, (std::vector{ ownerOf(5), ownerOf(300), ownerOf(10) }));
 }
 
-TEST_F(PlacedKeysOfThreeServers, NewLifeHasTheAddress_KeysPassOnAtOnce)
+TEST_F(PlacedKeysOfThreeServers, NewIncarnationHasTheAddress_KeysMoveAtOnce)
 {
   world_.servers_.at("s1").isUp_ = false;
   world_.servers_.at("s1").isListed_ = false;
@@ -175,7 +175,7 @@
   EXPECT_EQ(world_.ServedKeys(), PlacerWorld::kBlocks);
 }
 
-TEST_F(PlacedKeysOfThreeServers, ServerThatSaidItLeavesRefuses_KeysPassOnSoon)
+TEST_F(PlacedKeysOfThreeServers, LeavingServerRefusesConnections_KeysMoveSoon)
 {
   auto& left = world_.servers_.at("s1");
   left.isUp_ = false;
@@ -185,7 +185,7 @@
   EXPECT_LT(TimeUntilServed(), milliseconds(1500));
 }
 
-TEST_F(PlacedKeysOfThreeServers, ServerThatSaidItLeavesRefusesAndIsThenNotReached_KeysPassOnSoon)
+TEST_F(PlacedKeysOfThreeServers, LeavingServerRefusesAndIsThenUnreachable_KeysMoveSoon)
 {
   auto& left = world_.servers_.at("s1");
   left.isUp_ = false;
@@ -198,7 +198,7 @@
   EXPECT_LT(TimeUntilServed(), milliseconds(500));
 }
 
-TEST_F(PlacedKeysOfThreeServers, OrdersAreTakenLate_LateGrantsMeetHigherFences)
+TEST_F(PlacedKeysOfThreeServers, CommandsAreExecutedLate_LateGrantsMeetHigherFences)
 {
   world_.servers_.at("s1").respondsLate_ = true;
   world_.Pass(seconds(3));
@@ -208,7 +208,7 @@
   ExpectAllServed();
 }
 
-TEST_F(PlacedKeysOfThreeServers, SilentServerWithLateOrders_KeysWaitForThem)
+TEST_F(PlacedKeysOfThreeServers, SilentServerWithLateCommands_KeysWaitForThem)
 {
   auto& server = world_.servers_.at("s1");
   server.respondsLate_ = true;
@@ -219,7 +219,7 @@
   EXPECT_GT(TimeUntilServed(), seconds(10));
 }
 
-TEST_F(PlacedKeysOfThreeServers, OneGrantOfASilentServerWasNotAnswered_OnlyItsKeysWait)
+TEST_F(PlacedKeysOfThreeServers, OneGrantOfASilentServerIsUnacknowledged_OnlyItsKeysWait)
 {
   auto& server = world_.servers_.at("s1");
   server.respondsLate_ = true;
@@ -257,7 +257,7 @@
   PlacerWorld world_;
 };
 
-TEST_F(PlacedKeysOfManyServers, HalfLeaveWhileAtWork_AllLetGoTogether)
+TEST_F(PlacedKeysOfManyServers, HalfLeaveWhileWorking_AllReleaseInParallel)
 {
   for (int number = 0; number < kServers; number += 2) {
     world_.servers_.at(IdOf(number)).isLeaving_ = true;
@@ -267,7 +267,7 @@
   EXPECT_EQ(world_.ServedKeys(), PlacerWorld::kBlocks);
 }
 
-TEST_F(PlacedKeysOfManyServers, SomeAnswerNothing_GrantsOfTheOthersAreRenewed)
+TEST_F(PlacedKeysOfManyServers, SomeDoNotAnswer_GrantsOfOthersAreRenewed)
 {
   for (int number = 0; number < 32; ++number) {
     world_.servers_.at(IdOf(number)).respondsLate_ = true;
@@ -280,7 +280,7 @@
   EXPECT_GE(least, PlacerWorld::kBlocks * (kServers - 32) / kServers);
 }
 
-TEST(OwnershipPlacer, ServerLeavesWhileItsFirstGrantsAreUnderWay_KeysWaitForThem)
+TEST(OwnershipPlacer, ServerLeavesWhileItsFirstGrantsAreOutstanding_KeysWaitForThem)
 {
   PlacerWorld world;
   world.AddServer("s1", "s1:80").respondsLate_ = true;
@@ -295,7 +295,7 @@
   world.Pass(seconds(40));
 }
 
-TEST_F(PlacedKeysOfThreeServers, PlacerIsKilled_NextRenewsAndMovesNothing)
+TEST_F(PlacedKeysOfThreeServers, PlacerIsKilled_SuccessorRenewsAndMovesNothing)
 {
   const auto before = *world_.stored_;
   world_.Stop(*placer_);
@@ -308,7 +308,7 @@
   }
 }
 
-TEST_F(PlacedKeysOfThreeServers, FormerPlacerGoesOn_ItsOrdersDoNoHarm)
+TEST_F(PlacedKeysOfThreeServers, FormerPlacerContinues_ItsCommandsAreHarmless)
 {
   world_.isStoreDown_ = true;
   world_.Pass(seconds(1));
@@ -319,7 +319,7 @@
   ExpectAllServed();
 }
 
-TEST_F(PlacedKeysOfThreeServers, PlacerIsKilledWithinAMove_NextEndsIt)
+TEST_F(PlacedKeysOfThreeServers, PlacerIsKilledDuringAMove_SuccessorCompletesIt)
 {
   world_.servers_.at("s1").isLeaving_ = true;
   world_.Pass(milliseconds(20));
@@ -351,7 +351,7 @@
   ExpectAllServed();
 }
 
-TEST_F(PlacedKeysOfThreeServers, NewOwnerIsLostWithinAMove_KeysGoOnToAnother)
+TEST_F(PlacedKeysOfThreeServers, NewOwnerIsLostDuringAMove_KeysMoveToAnother)
 {
   world_.servers_.at("s1").isLeaving_ = true;
   world_.Pass(milliseconds(20));
@@ -361,7 +361,7 @@
   ExpectAllServed();
 }
 
-TEST_F(PlacedKeysOfThreeServers, FormerPlacerIsKnownToHaveStopped_SilentServerWaitsForOneHold)
+TEST_F(PlacedKeysOfThreeServers, FormerPlacerHasStopped_KeysOfSilentServerWaitOneLease)
 {
   auto& lost = world_.servers_.at("s1");
   lost.isPartitioned_ = true;
@@ -374,7 +374,7 @@
   EXPECT_LT(TimeUntilServed(), seconds(6));
 }
 
-TEST_F(PlacedKeysOfThreeServers, AllServersEndAtOnce_NewOnesServeAllKeys)
+TEST_F(PlacedKeysOfThreeServers, AllServersStopAtOnce_NewOnesServeAllKeys)
 {
   for (auto& [id, server] : world_.servers_) {
     server.isUp_ = false;
@@ -490,8 +490,7 @@
   EXPECT_EQ(world_.ServedKeys(), PlacerWorld::kBlocks);
 }
 
-TEST_F(PlacedKeysOfThreeServers,
-       StoreComesBackFromAnOlderCopy_OwnersAreWrittenAgainUnderHigherFences)
+TEST_F(PlacedKeysOfThreeServers, StoreIsRestoredFromACopy_OwnersAreWrittenAgainUnderHigherFences)
 {
   const auto before = *world_.stored_;
   world_.TakeCopy();
@@ -506,7 +505,7 @@
   EXPECT_EQ(world_.ServedKeys(), PlacerWorld::kBlocks);
 }
 
-TEST_F(PlacedKeysOfThreeServers, CopyIsAllThatANewPlacerKnows_ItWaitsUntilLostGrantsHaveRunOut)
+TEST_F(PlacedKeysOfThreeServers, NewPlacerKnowsOnlyTheCopy_WaitsUntilLostGrantsExpire)
 {
   auto& next = TakeOverFromCopy();
   world_.Pass(seconds(10));
@@ -516,7 +515,7 @@
   EXPECT_TRUE(next.isRunning_);
 }
 
-TEST_F(PlacedKeysOfThreeServers, FormerPlacerHasStopped_CopyIsUsedAfterOneHold)
+TEST_F(PlacedKeysOfThreeServers, FormerPlacerHasStopped_CopyIsUsedAfterOneLease)
 {
   auto& next = TakeOverFromCopy();
   next.placer_.OnFormerPlacerStopped(world_.now_);
