--- a/Libraries/LibKeys/BalanceRound.cpp
+++ b/Libraries/LibKeys/BalanceRound.cpp
@@ -176,9 +176,9 @@
 void
 BalanceRound::ApplyMove(const std::string& aFrom, const Move& aMove)
 {
-  Reassign(aMove.part_, aMove.to_);
-  distribution_.Add(aFrom, -aMove.part_.load_);
-  distribution_.Add(aMove.to_, aMove.part_.load_);
+  Reassign(aMove.rangePart_, aMove.to_);
+  distribution_.Add(aFrom, -aMove.rangePart_.load_);
+  distribution_.Add(aMove.to_, aMove.rangePart_.load_);
 }
 
 void
--- a/Libraries/LibKeys/BalanceRound.h
+++ b/Libraries/LibKeys/BalanceRound.h
@@ -54,7 +54,7 @@
   // A part taken from the most loaded server, with the id of the server that receives it.
   struct Move
   {
-    RangePart part_;
+    RangePart rangePart_;
     std::string to_;
   };
 
