--- a/Benchmarks/BenchGateway.cpp
+++ b/Benchmarks/BenchGateway.cpp
@@ -137,13 +137,13 @@
   for (auto _ : aState) {
     ++number;
     now += microseconds(500);
-    PermitAsk ask;
-    ask.number_ = number;
-    ask.service_ = "rates";
-    ask.hall_ = "hall";
-    ask.inTime_ = milliseconds(300);
-    ask.timeLeft_ = milliseconds(1000);
-    dispatcher.OnMessage(now, 1, ask);
+    PermitRequest request;
+    request.number_ = number;
+    request.service_ = "rates";
+    request.hall_ = "hall";
+    request.inTime_ = milliseconds(300);
+    request.timeLeft_ = milliseconds(1000);
+    dispatcher.OnMessage(now, 1, request);
     dispatcher.OnMessage(
       now, 1, SendEnd{ number, SendResult::Answered, milliseconds(50), std::nullopt });
   }
--- a/Libraries/LibDaemon/GatewayHost.cpp
+++ b/Libraries/LibDaemon/GatewayHost.cpp
@@ -331,9 +331,9 @@
     front_.Desk().OnPermitDenied(aNow, aNumber, aWait);
     front_.ArmTimer();
   }
-  void OnAskLost(Instant aNow, AttemptNumber aNumber) override
+  void OnPermitRequestLost(Instant aNow, AttemptNumber aNumber) override
   {
-    front_.Desk().OnAskLost(aNow, aNumber);
+    front_.Desk().OnPermitRequestLost(aNow, aNumber);
     front_.ArmTimer();
   }
 
--- a/Libraries/LibDaemon/PermitLinks.cpp
+++ b/Libraries/LibDaemon/PermitLinks.cpp
@@ -139,7 +139,7 @@
 }
 
 void
-PermitLinks::Dial(const std::string& aDispatcher)
+PermitLinks::Connect(const std::string& aDispatcher)
 {
   if (aDispatcher == self_) {
     asio::post(context_, [this] { client_.OnLinkUp(MonotonicNow(), self_); });
@@ -218,7 +218,7 @@
 }
 
 void
-PermitLinks::HangUp(const std::string& aDispatcher)
+PermitLinks::Disconnect(const std::string& aDispatcher)
 {
   dials_.erase(aDispatcher);
   if (const auto link = dialled_.find(aDispatcher); link != dialled_.end()) {
@@ -229,7 +229,7 @@
 }
 
 void
-PermitLinks::Tell(const std::string& aDispatcher, const MessageToDispatcher& aMessage)
+PermitLinks::Send(const std::string& aDispatcher, const MessageToDispatcher& aMessage)
 {
   if (aDispatcher == self_) {
     own_.toDispatcher_.push_back(aMessage);
--- a/Libraries/LibDaemon/PermitLinks.h
+++ b/Libraries/LibDaemon/PermitLinks.h
@@ -52,9 +52,9 @@
     PermitBatch batch_;
   };
 
-  void Tell(const std::string& aDispatcher, const MessageToDispatcher& aMessage) override;
-  void Dial(const std::string& aDispatcher) override;
-  void HangUp(const std::string& aDispatcher) override;
+  void Send(const std::string& aDispatcher, const MessageToDispatcher& aMessage) override;
+  void Connect(const std::string& aDispatcher) override;
+  void Disconnect(const std::string& aDispatcher) override;
   void Answer(CallerId aCaller, const MessageFromDispatcher& aMessage) override;
   void NoteLeaving(const std::string& aServer, std::uint64_t aIncarnation) override
   {
--- a/Libraries/LibGateway/PermitAsks.cpp
+++ b/Libraries/LibGateway/PermitAsks.cpp
@@ -22,7 +22,7 @@
 RequestDesk::TryAsk(Instant aNow, PendingRequest& aPending)
 {
   const auto& service = *aPending.service_;
-  if (!permits_.CanAsk(service.name_)) {
+  if (!permits_.CanRequestPermit(service.name_)) {
     return false;
   }
   if (service.isKeyed_) {
@@ -41,15 +41,15 @@
   aPending.isPromised_ = false;
   asks_[aPending.ask_] = aPending.request_.number_;
   SetTimer(aPending, aNow + kFirstAnswer);
-  permits_.Ask(aNow,
-               { aPending.ask_,
-                 service.name_,
-                 aPending.owner_,
-                 settings_.hall_,
-                 aPending.tried_,
-                 aPending.Rank(),
-                 aPending.inTimeUntil_ - aNow,
-                 aPending.deadline_ - aNow });
+  permits_.RequestPermit(aNow,
+                         { aPending.ask_,
+                           service.name_,
+                           aPending.owner_,
+                           settings_.hall_,
+                           aPending.tried_,
+                           aPending.Rank(),
+                           aPending.inTimeUntil_ - aNow,
+                           aPending.deadline_ - aNow });
   return true;
 }
 
@@ -116,7 +116,7 @@
 {
   auto* pending = TakeAsk(aNumber);
   if (pending == nullptr) {
-    permits_.TellEnd(CancelledSend(aNumber));
+    permits_.ReportSendEnd(CancelledSend(aNumber));
     return;
   }
   const auto timeLeft = TimeToSend(aNow, *pending);
@@ -125,7 +125,7 @@
     SendTo(aNow, *pending, *server, aNumber, *timeLeft);
     return;
   }
-  permits_.TellEnd(GivenBackPermit(aNow, aNumber, aServer));
+  permits_.ReportSendEnd(GivenBackPermit(aNow, aNumber, aServer));
   pending->notBefore_ = aNow + kDisagreementPause;
   WaitOrRefuse(aNow, *pending);
 }
@@ -154,7 +154,7 @@
 }
 
 void
-RequestDesk::OnAskLost(Instant aNow, AttemptNumber aNumber)
+RequestDesk::OnPermitRequestLost(Instant aNow, AttemptNumber aNumber)
 {
   auto* pending = TakeAsk(aNumber);
   if (pending != nullptr && !TrySend(aNow, *pending)) {
--- a/Libraries/LibGateway/PermitMessages.h
+++ b/Libraries/LibGateway/PermitMessages.h
@@ -15,7 +15,7 @@
 // send to one server. Attempts are named by the instance that asks.
 
 // Asks for a permit.
-struct PermitAsk
+struct PermitRequest
 {
   AttemptNumber number_ = 0;
   std::string service_;
@@ -32,7 +32,7 @@
   // How long the client waits at all.
   Duration timeLeft_{ 0 };
 
-  bool operator==(const PermitAsk&) const = default;
+  bool operator==(const PermitRequest&) const = default;
 };
 
 // The permit is not wanted any more.
@@ -122,7 +122,7 @@
 };
 
 using MessageToDispatcher =
-  std::variant<PermitAsk, PermitWithdrawal, SendNotice, SendEnd, DispatcherProbe>;
+  std::variant<PermitRequest, PermitWithdrawal, SendNotice, SendEnd, DispatcherProbe>;
 using MessageFromDispatcher = std::variant<Permit, PermitDelay, PermitDenial, DispatcherSign>;
 
 } // namespace latchslip
--- a/Libraries/LibGateway/PermitSource.h
+++ b/Libraries/LibGateway/PermitSource.h
@@ -12,27 +12,27 @@
 
   // Whether the dispatcher of that service can be asked; otherwise the instance chooses by
   // what it knows alone.
-  virtual bool CanAsk(const std::string& aService) const = 0;
-  virtual void Ask(Instant aNow, const PermitAsk& aAsk) = 0;
+  virtual bool CanRequestPermit(const std::string& aService) const = 0;
+  virtual void RequestPermit(Instant aNow, const PermitRequest& aRequest) = 0;
   virtual void Withdraw(AttemptNumber aNumber) = 0;
   // No answer came in the time in which one comes.
   virtual void OnUnanswered(Instant aNow, const std::string& aService) = 0;
   // Tells of a send without a permit.
-  virtual void TellSend(Instant aNow, const SendNotice& aNotice) = 0;
+  virtual void ReportSend(Instant aNow, const SendNotice& aNotice) = 0;
   // Tells the end of a send, or that a permit is not used.
-  virtual void TellEnd(const SendEnd& aEnd) = 0;
+  virtual void ReportSendEnd(const SendEnd& aEnd) = 0;
 };
 
 // Has no dispatcher: the instance chooses alone.
 class NoPermits : public PermitSource
 {
 public:
-  bool CanAsk(const std::string&) const override { return false; }
-  void Ask(Instant, const PermitAsk&) override {}
+  bool CanRequestPermit(const std::string&) const override { return false; }
+  void RequestPermit(Instant, const PermitRequest&) override {}
   void Withdraw(AttemptNumber) override {}
   void OnUnanswered(Instant, const std::string&) override {}
-  void TellSend(Instant, const SendNotice&) override {}
-  void TellEnd(const SendEnd&) override {}
+  void ReportSend(Instant, const SendNotice&) override {}
+  void ReportSendEnd(const SendEnd&) override {}
 };
 
 } // namespace latchslip
--- a/Libraries/LibGateway/RequestDesk.cpp
+++ b/Libraries/LibGateway/RequestDesk.cpp
@@ -168,13 +168,14 @@
   }
   const auto service = pending.service_->name_;
   const auto result = ToSendResult(aOutcome);
-  permits_.TellEnd({ aAttempt,
-                     result,
-                     aNow - pending.sentAt_,
-                     aOutcome.server_,
-                     aOutcome.rest_.value_or(Duration(0)),
-                     aOutcome.isLeaving_ ? std::optional(pending.serverIncarnation_) : std::nullopt,
-                     aOutcome.rateLimit_ });
+  permits_.ReportSendEnd(
+    { aAttempt,
+      result,
+      aNow - pending.sentAt_,
+      aOutcome.server_,
+      aOutcome.rest_.value_or(Duration(0)),
+      aOutcome.isLeaving_ ? std::optional(pending.serverIncarnation_) : std::nullopt,
+      aOutcome.rateLimit_ });
   if (const auto load = loads_.find(pending.server_); load != loads_.end()) {
     load->second.OnEnded(aNow, aAttempt, result);
     if (aOutcome.isOtherIncarnation_) {
@@ -308,7 +309,7 @@
   }
   if (pending.attempt_ != 0) {
     actions_.Cancel(pending.attempt_);
-    permits_.TellEnd(CancelledSend(pending.attempt_));
+    permits_.ReportSendEnd(CancelledSend(pending.attempt_));
     loads_.at(pending.server_).OnCancelled(pending.attempt_);
     attempts_.erase(pending.attempt_);
   }
@@ -354,7 +355,7 @@
 RequestDesk::GiveUp(Instant aNow, PendingRequest& aPending)
 {
   actions_.Cancel(aPending.attempt_);
-  permits_.TellEnd(
+  permits_.ReportSendEnd(
     { aPending.attempt_, SendResult::Broken, aNow - aPending.sentAt_, std::nullopt, Duration(0) });
   tally_.OnAttempt(aPending.server_, AttemptEnd::Broken);
   if (const auto load = loads_.find(aPending.server_); load != loads_.end()) {
@@ -463,7 +464,7 @@
     return false;
   }
   const auto attempt = ++lastAttempt_;
-  permits_.TellSend(
+  permits_.ReportSend(
     aNow, { attempt, aPending.service_->name_, chosen.record_->id_, Duration(0), *timeLeft });
   SendTo(aNow, aPending, chosen, attempt, *timeLeft);
   return true;
@@ -559,7 +560,7 @@
 RequestDesk::PauseLeft(Instant aNow, PendingRequest& aPending)
 {
   // A dispatcher deals out the whole rate of a server, of which this instance has a part only.
-  if (permits_.CanAsk(aPending.service_->name_)) {
+  if (permits_.CanRequestPermit(aPending.service_->name_)) {
     return RestLeft(aNow, aPending);
   }
   const auto ahead = WaitingAhead(aPending);
--- a/Libraries/LibGateway/RequestDesk.h
+++ b/Libraries/LibGateway/RequestDesk.h
@@ -59,7 +59,7 @@
   void OnPermit(Instant aNow, AttemptNumber aNumber, const std::string& aServer);
   void OnPermitDelayed(Instant aNow, AttemptNumber aNumber);
   void OnPermitDenied(Instant aNow, AttemptNumber aNumber, Duration aWait);
-  void OnAskLost(Instant aNow, AttemptNumber aNumber);
+  void OnPermitRequestLost(Instant aNow, AttemptNumber aNumber);
 
   void SetRoutes(Instant aNow, std::shared_ptr<const RouteTable> aRoutes);
   void SetOwnership(Instant aNow, KeyOwnership aOwnership);
--- a/Libraries/LibNet/PermitCodec.cpp
+++ b/Libraries/LibNet/PermitCodec.cpp
@@ -13,20 +13,20 @@
 constexpr std::uint64_t kMostWords = 1024ULL * 1024;
 
 void
-Write(wire::ToDispatcher::Builder aOut, const PermitAsk& aAsk)
+Write(wire::ToDispatcher::Builder aOut, const PermitRequest& aRequest)
 {
   auto out = aOut.initAsk();
-  out.setNumber(aAsk.number_);
-  out.setService(ToText(aAsk.service_));
-  out.setServer(ToText(aAsk.server_));
-  out.setHall(ToText(aAsk.hall_));
-  auto tried = out.initTried(static_cast<unsigned>(aAsk.tried_.size()));
+  out.setNumber(aRequest.number_);
+  out.setService(ToText(aRequest.service_));
+  out.setServer(ToText(aRequest.server_));
+  out.setHall(ToText(aRequest.hall_));
+  auto tried = out.initTried(static_cast<unsigned>(aRequest.tried_.size()));
   for (unsigned index = 0; index < tried.size(); ++index) {
-    tried.set(index, ToText(aAsk.tried_[index]));
+    tried.set(index, ToText(aRequest.tried_[index]));
   }
-  out.setPriority(aAsk.priority_);
-  out.setInTimeMicros(aAsk.inTime_.count());
-  out.setTimeLeftMicros(aAsk.timeLeft_.count());
+  out.setPriority(aRequest.priority_);
+  out.setInTimeMicros(aRequest.inTime_.count());
+  out.setTimeLeftMicros(aRequest.timeLeft_.count());
 }
 
 void
@@ -101,21 +101,21 @@
   aOut.setSign();
 }
 
-PermitAsk
+PermitRequest
 Read(wire::PermitAsk::Reader aIn)
 {
-  PermitAsk ask;
-  ask.number_ = aIn.getNumber();
-  ask.service_ = FromText(aIn.getService());
-  ask.server_ = FromText(aIn.getServer());
-  ask.hall_ = FromText(aIn.getHall());
+  PermitRequest request;
+  request.number_ = aIn.getNumber();
+  request.service_ = FromText(aIn.getService());
+  request.server_ = FromText(aIn.getServer());
+  request.hall_ = FromText(aIn.getHall());
   for (const auto server : aIn.getTried()) {
-    ask.tried_.push_back(FromText(server));
+    request.tried_.push_back(FromText(server));
   }
-  ask.priority_ = aIn.getPriority();
-  ask.inTime_ = Duration(aIn.getInTimeMicros());
-  ask.timeLeft_ = Duration(aIn.getTimeLeftMicros());
-  return ask;
+  request.priority_ = aIn.getPriority();
+  request.inTime_ = Duration(aIn.getInTimeMicros());
+  request.timeLeft_ = Duration(aIn.getTimeLeftMicros());
+  return request;
 }
 
 SendNotice
--- a/Libraries/LibPermit/DispatcherRing.cpp
+++ b/Libraries/LibPermit/DispatcherAssignment.cpp
@@ -1,4 +1,4 @@
-#include "LibPermit/DispatcherRing.h"
+#include "LibPermit/DispatcherAssignment.h"
 
 #include "LibBase/KeyHash.h"
 
@@ -35,8 +35,8 @@
 } // namespace
 
 void
-DispatcherRing::Assign(const std::map<std::string, FleetPeer>& aPeers,
-                       const std::vector<std::string>& aServices)
+DispatcherAssignment::Assign(const std::map<std::string, FleetPeer>& aPeers,
+                             const std::vector<std::string>& aServices)
 {
   candidates_.clear();
   const auto strong = StrongOf(aPeers);
@@ -65,7 +65,7 @@
 }
 
 const std::vector<std::string>&
-DispatcherRing::CandidatesOf(const std::string& aService) const
+DispatcherAssignment::CandidatesFor(const std::string& aService) const
 {
   static const std::vector<std::string> kNone;
   const auto found = candidates_.find(aService);
--- a/Libraries/LibPermit/LatePatience.h
+++ b/Libraries/LibPermit/LateWaitBound.h
@@ -10,7 +10,7 @@
 // have the lowest priority and are served only with spare capacity. The bound is adjusted by the
 // outcome of each late request: it shrinks when one is denied after its wait and grows when one is
 // served, so that at most about one in five waits without success.
-class LatePatience
+class LateWaitBound
 {
 public:
   // Lower bound; the minimum time for which a client waits before it retries.
--- a/Libraries/LibPermit/PermitClient.cpp
+++ b/Libraries/LibPermit/PermitClient.cpp
@@ -50,7 +50,7 @@
 std::string
 PermitClient::FirstOf(Instant aNow, const std::string& aService) const
 {
-  for (const auto& address : ring_.CandidatesOf(aService)) {
+  for (const auto& address : ring_.CandidatesFor(aService)) {
     const auto link = links_.find(address);
     if (link == links_.end() || aNow >= link->second.failedUntil_) {
       return address;
@@ -83,7 +83,7 @@
     }
     if (auto& link = links_[next]; link.state_ == LinkState::Down) {
       link.state_ = LinkState::Dialled;
-      actions_.Dial(next);
+      actions_.Connect(next);
     }
   }
 }
@@ -101,7 +101,7 @@
     asks_.erase(number);
   }
   for (const auto number : lost) {
-    listener_->OnAskLost(aNow, number);
+    listener_->OnPermitRequestLost(aNow, number);
   }
 }
 
@@ -132,7 +132,7 @@
 {
   const auto dispatcher = dispatchers_.find(aService);
   if (dispatcher != dispatchers_.end() && IsUp(dispatcher->second)) {
-    actions_.Tell(dispatcher->second, aMessage);
+    actions_.Send(dispatcher->second, aMessage);
   }
 }
 
@@ -174,7 +174,7 @@
     const auto ask = asks_.find(permit->number_);
     if (ask == asks_.end()) {
       // The permit request has been withdrawn meanwhile.
-      actions_.Tell(aDispatcher, CancelledSend(permit->number_));
+      actions_.Send(aDispatcher, CancelledSend(permit->number_));
       return;
     }
     running_[permit->number_] = {
@@ -202,18 +202,18 @@
     }
     if (aNow - link.silentSince_ > kSilence) {
       events_.Record(Event::DispatcherSilent, "dispatcher=" + address);
-      actions_.HangUp(address);
+      actions_.Disconnect(address);
       Fail(aNow, link);
     } else if (aNow >= link.nextProbe_) {
       link.nextProbe_ = aNow + kProbeInterval;
-      actions_.Tell(address, DispatcherProbe{});
+      actions_.Send(address, DispatcherProbe{});
     }
   }
   Choose(aNow);
 }
 
 bool
-PermitClient::CanAsk(const std::string& aService) const
+PermitClient::CanRequestPermit(const std::string& aService) const
 {
   const auto dispatcher = dispatchers_.find(aService);
   return dispatcher != dispatchers_.end() && IsUp(dispatcher->second) &&
@@ -221,10 +221,10 @@
 }
 
 void
-PermitClient::Ask(Instant aNow, const PermitAsk& aAsk)
+PermitClient::RequestPermit(Instant aNow, const PermitRequest& aRequest)
 {
-  asks_[aAsk.number_] = { aAsk.service_, aNow + aAsk.timeLeft_ };
-  TellDispatcherOf(aAsk.service_, aAsk);
+  asks_[aRequest.number_] = { aRequest.service_, aNow + aRequest.timeLeft_ };
+  TellDispatcherOf(aRequest.service_, aRequest);
 }
 
 void
@@ -247,14 +247,14 @@
 }
 
 void
-PermitClient::TellSend(Instant aNow, const SendNotice& aNotice)
+PermitClient::ReportSend(Instant aNow, const SendNotice& aNotice)
 {
   running_[aNotice.number_] = { aNotice.service_, aNotice.server_, aNow, aNow + aNotice.timeLeft_ };
   TellDispatcherOf(aNotice.service_, aNotice);
 }
 
 void
-PermitClient::TellEnd(const SendEnd& aEnd)
+PermitClient::ReportSendEnd(const SendEnd& aEnd)
 {
   if (const auto send = running_.find(aEnd.number_); send != running_.end()) {
     TellDispatcherOf(send->second.service_, aEnd);
--- a/Libraries/LibPermit/PermitClient.h
+++ b/Libraries/LibPermit/PermitClient.h
@@ -2,7 +2,7 @@
 
 #include "LibBase/Event.h"
 #include "LibGateway/PermitSource.h"
-#include "LibPermit/DispatcherRing.h"
+#include "LibPermit/DispatcherAssignment.h"
 
 #include <map>
 #include <string>
@@ -17,11 +17,11 @@
   virtual ~PermitClientActions() = default;
 
   // Sends a message over the open link to that dispatcher.
-  virtual void Tell(const std::string& aDispatcher, const MessageToDispatcher& aMessage) = 0;
+  virtual void Send(const std::string& aDispatcher, const MessageToDispatcher& aMessage) = 0;
   // Opens a link; completes in OnLinkUp or OnLinkDown.
-  virtual void Dial(const std::string& aDispatcher) = 0;
+  virtual void Connect(const std::string& aDispatcher) = 0;
   // Closes the link without a callback.
-  virtual void HangUp(const std::string& aDispatcher) = 0;
+  virtual void Disconnect(const std::string& aDispatcher) = 0;
 };
 
 // Receives the outcome of permit requests.
@@ -34,7 +34,7 @@
   virtual void OnPermitDelayed(Instant aNow, AttemptNumber aNumber) = 0;
   virtual void OnPermitDenied(Instant aNow, AttemptNumber aNumber, Duration aWait) = 0;
   // The dispatcher was lost. The permit must be requested again, or the request sent without one.
-  virtual void OnAskLost(Instant aNow, AttemptNumber aNumber) = 0;
+  virtual void OnPermitRequestLost(Instant aNow, AttemptNumber aNumber) = 0;
 };
 
 // Requests permits from the dispatchers of services on behalf of one instance. It follows which
@@ -57,12 +57,12 @@
                  const MessageFromDispatcher& aMessage);
   void OnTime(Instant aNow);
 
-  bool CanAsk(const std::string& aService) const override;
-  void Ask(Instant aNow, const PermitAsk& aAsk) override;
+  bool CanRequestPermit(const std::string& aService) const override;
+  void RequestPermit(Instant aNow, const PermitRequest& aRequest) override;
   void Withdraw(AttemptNumber aNumber) override;
   void OnUnanswered(Instant aNow, const std::string& aService) override;
-  void TellSend(Instant aNow, const SendNotice& aNotice) override;
-  void TellEnd(const SendEnd& aEnd) override;
+  void ReportSend(Instant aNow, const SendNotice& aNotice) override;
+  void ReportSendEnd(const SendEnd& aEnd) override;
 
 private:
   enum class LinkState
@@ -115,7 +115,7 @@
   PermitListener* listener_ = nullptr;
   std::map<std::string, FleetPeer> peers_;
   std::vector<std::string> services_;
-  DispatcherRing ring_;
+  DispatcherAssignment ring_;
   // The selected dispatcher by service.
   std::map<std::string, std::string, std::less<>> dispatchers_;
   std::map<std::string, Link> links_;
--- a/Libraries/LibPermit/PermitDispatcher.cpp
+++ b/Libraries/LibPermit/PermitDispatcher.cpp
@@ -95,7 +95,7 @@
     isAsked_ = true;
     OnDirectoryChanged(aNow);
   }
-  if (const auto* ask = std::get_if<PermitAsk>(&aMessage)) {
+  if (const auto* ask = std::get_if<PermitRequest>(&aMessage)) {
     OnAsk(aNow, aCaller, *ask);
   } else if (const auto* withdrawal = std::get_if<PermitWithdrawal>(&aMessage)) {
     OnWithdrawal({ aCaller, withdrawal->number_ });
@@ -109,7 +109,7 @@
 }
 
 void
-PermitDispatcher::OnAsk(Instant aNow, CallerId aCaller, const PermitAsk& aAsk)
+PermitDispatcher::OnAsk(Instant aNow, CallerId aCaller, const PermitRequest& aAsk)
 {
   const PermitKey key(aCaller, aAsk.number_);
   if (permits_.contains(key) || waiting_.contains(key)) {
@@ -117,7 +117,7 @@
   }
   const auto service = services_.find(aAsk.service_);
   if (service == services_.end()) {
-    actions_.Answer(aCaller, PermitDenial{ aAsk.number_, LatePatience::kLeast });
+    actions_.Answer(aCaller, PermitDenial{ aAsk.number_, LateWaitBound::kLeast });
     return;
   }
   auto& lanes = service->second.lanes_;
@@ -215,7 +215,7 @@
 PermitDispatcher::TryGrant(Instant aNow,
                            Service& aService,
                            PermitKey aKey,
-                           const PermitAsk& aAsk,
+                           const PermitRequest& aAsk,
                            bool aIsLate)
 {
   const auto* server = ChooseServer(aNow, aService, aKey.first, aAsk, aIsLate);
@@ -236,7 +236,7 @@
 PermitDispatcher::ChooseServer(Instant aNow,
                                const Service& aService,
                                CallerId aCaller,
-                               const PermitAsk& aAsk,
+                               const PermitRequest& aAsk,
                                bool aIsLate)
 {
   const auto usual = aService.UsualWork();
@@ -268,7 +268,7 @@
                          const std::string& aId,
                          const DispatchedServer& aServer,
                          CallerId aCaller,
-                         const PermitAsk& aAsk,
+                         const PermitRequest& aAsk,
                          Duration aUsual)
 {
   const bool isTried = std::find(aAsk.tried_.begin(), aAsk.tried_.end(), aId) != aAsk.tried_.end();
@@ -286,7 +286,7 @@
 }
 
 Duration
-PermitDispatcher::ExpectedWork(Instant aNow, const Service& aService, const PermitAsk& aAsk)
+PermitDispatcher::ExpectedWork(Instant aNow, const Service& aService, const PermitRequest& aAsk)
 {
   const auto usual = aService.UsualWork();
   const auto server = aService.servers_.find(aAsk.server_);
@@ -296,7 +296,7 @@
 Duration
 PermitDispatcher::ExpectedWait(Instant aNow,
                                const Service& aService,
-                               const PermitAsk& aAsk,
+                               const PermitRequest& aAsk,
                                const Place& aPlace)
 {
   const auto usual = aService.UsualWork();
@@ -308,7 +308,7 @@
   }
   if (!aAsk.server_.empty()) {
     const auto server = aService.servers_.find(aAsk.server_);
-    return server == aService.servers_.end() ? LatePatience::kLeast
+    return server == aService.servers_.end() ? LateWaitBound::kLeast
                                              : server->second.ExpectedTurn(aNow, ahead, usual);
   }
   double throughput = 0;
@@ -322,7 +322,10 @@
 }
 
 void
-PermitDispatcher::WaitOrDeny(Instant aNow, Service& aService, PermitKey aKey, const PermitAsk& aAsk)
+PermitDispatcher::WaitOrDeny(Instant aNow,
+                             Service& aService,
+                             PermitKey aKey,
+                             const PermitRequest& aAsk)
 {
   const bool isLate = aAsk.inTime_ <= Duration(0);
   const auto work = ExpectedWork(aNow, aService, aAsk);
@@ -396,7 +399,7 @@
 PermitDispatcher::IsRestInTheWay(Instant aNow,
                                  const Service& aService,
                                  CallerId aCaller,
-                                 const PermitAsk& aAsk)
+                                 const PermitRequest& aAsk)
 {
   // Shortcut for lanes with a required server: only that server matters.
   if (!aAsk.server_.empty()) {
--- a/Libraries/LibPermit/PermitDispatcher.h
+++ b/Libraries/LibPermit/PermitDispatcher.h
@@ -3,7 +3,7 @@
 #include "LibGateway/QueuePlace.h"
 #include "LibGateway/RoutingTable.h"
 #include "LibPermit/DispatchedServer.h"
-#include "LibPermit/LatePatience.h"
+#include "LibPermit/LateWaitBound.h"
 
 #include <map>
 #include <memory>
@@ -70,7 +70,7 @@
   // A queued permit request.
   struct WaitingAsk
   {
-    PermitAsk ask_;
+    PermitRequest ask_;
     Place place_;
     // Time at which the request is denied.
     Instant denyAt_{ 0 };
@@ -86,14 +86,14 @@
     std::map<std::string, DispatchedServer> servers_;
     // Queued requests by the server that they require; empty for any server.
     std::map<std::string, std::set<Place>> lanes_;
-    LatePatience patience_;
+    LateWaitBound patience_;
     // Moving average of the work time over all servers of the service; zero when none has been
     // measured.
     Duration work_{ 0 };
     double slowStartRate_ = 0;
   };
 
-  void OnAsk(Instant aNow, CallerId aCaller, const PermitAsk& aAsk);
+  void OnAsk(Instant aNow, CallerId aCaller, const PermitRequest& aAsk);
   void OnWithdrawal(PermitKey aKey);
   void OnNotice(Instant aNow, CallerId aCaller, const SendNotice& aNotice);
   void OnEnd(Instant aNow, CallerId aCaller, const SendEnd& aEnd);
@@ -101,32 +101,32 @@
   bool TryGrant(Instant aNow,
                 Service& aService,
                 PermitKey aKey,
-                const PermitAsk& aAsk,
+                const PermitRequest& aAsk,
                 bool aIsLate);
   // The id of the server with the lowest cost among those that can accept the request; null when
   // there is none.
   static const std::string* ChooseServer(Instant aNow,
                                          const Service& aService,
                                          CallerId aCaller,
-                                         const PermitAsk& aAsk,
+                                         const PermitRequest& aAsk,
                                          bool aIsLate);
   // Cost of sending the request to that server, as a share of the value of its answer.
   static double CostOf(Instant aNow,
                        const std::string& aId,
                        const DispatchedServer& aServer,
                        CallerId aCaller,
-                       const PermitAsk& aAsk,
+                       const PermitRequest& aAsk,
                        Duration aUsual);
   // Registers an outstanding send and counts it at its server.
   void Note(Service& aService, PermitKey aKey, RunningSend aSend);
-  void WaitOrDeny(Instant aNow, Service& aService, PermitKey aKey, const PermitAsk& aAsk);
+  void WaitOrDeny(Instant aNow, Service& aService, PermitKey aKey, const PermitRequest& aAsk);
   void Deny(Instant aNow, WaitingAsks::iterator aWaiting);
   static Duration ExpectedWait(Instant aNow,
                                const Service& aService,
-                               const PermitAsk& aAsk,
+                               const PermitRequest& aAsk,
                                const Place& aPlace);
   // Expected work time of the request, without any wait for a slot.
-  static Duration ExpectedWork(Instant aNow, const Service& aService, const PermitAsk& aAsk);
+  static Duration ExpectedWork(Instant aNow, const Service& aService, const PermitRequest& aAsk);
   // Issues permits to the queued requests of that lane in order, while servers can accept them.
   void Pump(Instant aNow, Service& aService, const std::string& aLane);
   // Whether an eligible server is in backoff for that instance, so that queued requests of other
@@ -134,7 +134,7 @@
   static bool IsRestInTheWay(Instant aNow,
                              const Service& aService,
                              CallerId aCaller,
-                             const PermitAsk& aAsk);
+                             const PermitRequest& aAsk);
   void PumpAll(Instant aNow);
   // Removes a permit request from the queue.
   void Leave(WaitingAsks::iterator aWaiting);
--- a/Tests/LibGateway/TestPermitAsks.cpp
+++ b/Tests/LibGateway/TestPermitAsks.cpp
@@ -12,15 +12,15 @@
 class RecordedPermits : public PermitSource
 {
 public:
-  bool CanAsk(const std::string&) const override { return isHeard_; }
-  void Ask(Instant, const PermitAsk& aAsk) override { asks_.push_back(aAsk); }
+  bool CanRequestPermit(const std::string&) const override { return isHeard_; }
+  void RequestPermit(Instant, const PermitRequest& aRequest) override { asks_.push_back(aRequest); }
   void Withdraw(AttemptNumber aNumber) override { withdrawn_.insert(aNumber); }
   void OnUnanswered(Instant, const std::string&) override { isHeard_ = false; }
-  void TellSend(Instant, const SendNotice& aNotice) override { notices_.push_back(aNotice); }
-  void TellEnd(const SendEnd& aEnd) override { ends_.push_back(aEnd); }
+  void ReportSend(Instant, const SendNotice& aNotice) override { notices_.push_back(aNotice); }
+  void ReportSendEnd(const SendEnd& aEnd) override { ends_.push_back(aEnd); }
 
   bool isHeard_ = true;
-  std::vector<PermitAsk> asks_;
+  std::vector<PermitRequest> asks_;
   std::set<AttemptNumber> withdrawn_;
   std::vector<SendNotice> notices_;
   std::vector<SendEnd> ends_;
@@ -270,7 +270,7 @@
 TEST_F(DeskWithADispatcher, DispatcherIsGone_AnotherIsAsked)
 {
   Request("/plain/1");
-  desk_.OnAskLost(now_, permits_.asks_[0].number_);
+  desk_.OnPermitRequestLost(now_, permits_.asks_[0].number_);
   ASSERT_EQ(permits_.asks_.size(), 2U);
   Permit("p1");
   EXPECT_EQ(actions_.sent_.size(), 1U);
--- a/Tests/LibNet/TestPermitCodec.cpp
+++ b/Tests/LibNet/TestPermitCodec.cpp
@@ -22,7 +22,7 @@
 {
   PermitBatch batch;
   batch.toDispatcher_ = {
-    PermitAsk{ 7, "svc", "s1", "hall", { "s2", "s3" }, 2, milliseconds(-5), milliseconds(900) },
+    PermitRequest{ 7, "svc", "s1", "hall", { "s2", "s3" }, 2, milliseconds(-5), milliseconds(900) },
     PermitWithdrawal{ 8 },
     SendNotice{ 9, "svc", "s1", milliseconds(3), milliseconds(70) },
     SendEnd{ 10, SendResult::Shed, milliseconds(4), ServerStatus{ 3, 1, 4, 2.5 } },
--- a/Tests/LibPermit/DispatcherFixture.h
+++ b/Tests/LibPermit/DispatcherFixture.h
@@ -65,7 +65,7 @@
                     unsigned aPriority = 1,
                     CallerId aCaller = kCaller)
   {
-    PermitAsk ask;
+    PermitRequest ask;
     ask.number_ = ++lastNumber_;
     ask.service_ = "plain";
     ask.server_ = aServer;
--- a/Tests/LibPermit/TestDispatchUnderLoad.cpp
+++ b/Tests/LibPermit/TestDispatchUnderLoad.cpp
@@ -165,7 +165,7 @@
 
   void Ask(std::size_t aRequest)
   {
-    PermitAsk ask;
+    PermitRequest ask;
     ask.number_ = aRequest;
     ask.service_ = "rates";
     ask.hall_ = "hall";
@@ -196,7 +196,7 @@
       server.waiting_.push_back(aRequest);
     } else {
       ++result_.resets_;
-      TellEnd(aRequest, SendResult::Broken, aServer);
+      ReportSendEnd(aRequest, SendResult::Broken, aServer);
     }
   }
 
@@ -226,10 +226,10 @@
       server.waiting_.pop_front();
       Start(next, aServer);
     }
-    TellEnd(aRequest, SendResult::Answered, aServer);
+    ReportSendEnd(aRequest, SendResult::Answered, aServer);
   }
 
-  void TellEnd(std::size_t aRequest, SendResult aResult, std::size_t aServer)
+  void ReportSendEnd(std::size_t aRequest, SendResult aResult, std::size_t aServer)
   {
     const auto& server = servers_[aServer];
     const ServerStatus status{ static_cast<unsigned>(server.running_),
--- a/Tests/LibPermit/TestDispatcherRing.cpp
+++ b/Tests/LibPermit/TestDispatcherAssignment.cpp
@@ -1,4 +1,4 @@
-#include "LibPermit/DispatcherRing.h"
+#include "LibPermit/DispatcherAssignment.h"
 
 #include <gtest/gtest.h>
 #include <set>
@@ -20,53 +20,53 @@
 
 const std::vector<std::string> kServices{ "a", "b", "c", "d" };
 
-TEST(DispatcherRing, NobodyIsKnown_ThereIsNoDispatcher)
+TEST(DispatcherAssignment, NobodyIsKnown_ThereIsNoDispatcher)
 {
-  DispatcherRing ring;
+  DispatcherAssignment ring;
   ring.Assign({}, kServices);
-  EXPECT_TRUE(ring.CandidatesOf("a").empty());
-  EXPECT_TRUE(ring.CandidatesOf("unknown").empty());
+  EXPECT_TRUE(ring.CandidatesFor("a").empty());
+  EXPECT_TRUE(ring.CandidatesFor("unknown").empty());
 }
 
-TEST(DispatcherRing, SomeAreStrong_OnlyTheyAreDispatchersAndEachHasOneService)
+TEST(DispatcherAssignment, SomeAreStrong_OnlyTheyAreDispatchersAndEachHasOneService)
 {
-  DispatcherRing ring;
+  DispatcherAssignment ring;
   ring.Assign(MakePeers(6, 40), kServices);
   std::set<std::string> dispatchers;
   const auto peers = MakePeers(6, 40);
   for (const auto& service : kServices) {
-    for (const auto& candidate : ring.CandidatesOf(service)) {
+    for (const auto& candidate : ring.CandidatesFor(service)) {
       EXPECT_EQ(peers.at(candidate).processorShare_, 0.5);
     }
-    dispatchers.insert(ring.CandidatesOf(service).front());
+    dispatchers.insert(ring.CandidatesFor(service).front());
   }
   EXPECT_EQ(dispatchers.size(), kServices.size());
 }
 
-TEST(DispatcherRing, FewerInstancesThanServices_EachServiceHasOneAllTheSame)
+TEST(DispatcherAssignment, FewerInstancesThanServices_EachServiceHasOneAllTheSame)
 {
-  DispatcherRing ring;
+  DispatcherAssignment ring;
   ring.Assign(MakePeers(1, 0), kServices);
   for (const auto& service : kServices) {
-    EXPECT_EQ(ring.CandidatesOf(service), std::vector<std::string>{ "10.0.0.0:9" });
+    EXPECT_EQ(ring.CandidatesFor(service), std::vector<std::string>{ "10.0.0.0:9" });
   }
 }
 
-TEST(DispatcherRing, OneInstanceLeaves_ServicesOfOthersStay)
+TEST(DispatcherAssignment, OneInstanceLeaves_ServicesOfOthersStay)
 {
-  DispatcherRing before;
+  DispatcherAssignment before;
   before.Assign(MakePeers(12, 0), { "a" });
   auto peers = MakePeers(12, 0);
-  const auto dispatcher = before.CandidatesOf("a").front();
-  const auto second = before.CandidatesOf("a").at(1);
+  const auto dispatcher = before.CandidatesFor("a").front();
+  const auto second = before.CandidatesFor("a").at(1);
   peers.erase(dispatcher == "10.0.0.3:9" ? "10.0.0.4:9" : "10.0.0.3:9");
-  DispatcherRing after;
+  DispatcherAssignment after;
   after.Assign(peers, { "a" });
-  EXPECT_EQ(after.CandidatesOf("a").front(), dispatcher);
+  EXPECT_EQ(after.CandidatesFor("a").front(), dispatcher);
   peers.erase(dispatcher);
   after.Assign(peers, { "a" });
-  EXPECT_EQ(after.CandidatesOf("a").front(),
-            peers.contains(second) ? second : after.CandidatesOf("a").front());
+  EXPECT_EQ(after.CandidatesFor("a").front(),
+            peers.contains(second) ? second : after.CandidatesFor("a").front());
 }
 
 } // namespace
--- a/Tests/LibPermit/TestPermitClient.cpp
+++ b/Tests/LibPermit/TestPermitClient.cpp
@@ -14,12 +14,12 @@
   , public PermitListener
 {
 public:
-  void Tell(const std::string& aDispatcher, const MessageToDispatcher& aMessage) override
+  void Send(const std::string& aDispatcher, const MessageToDispatcher& aMessage) override
   {
     told_.emplace_back(aDispatcher, aMessage);
   }
-  void Dial(const std::string& aDispatcher) override { dialled_.push_back(aDispatcher); }
-  void HangUp(const std::string& aDispatcher) override { hungUp_.insert(aDispatcher); }
+  void Connect(const std::string& aDispatcher) override { dialled_.push_back(aDispatcher); }
+  void Disconnect(const std::string& aDispatcher) override { hungUp_.insert(aDispatcher); }
   void OnPermit(Instant, AttemptNumber aNumber, const std::string& aServer) override
   {
     permits_[aNumber] = aServer;
@@ -29,7 +29,7 @@
   {
     denied_.insert(aNumber);
   }
-  void OnAskLost(Instant, AttemptNumber aNumber) override { lost_.insert(aNumber); }
+  void OnPermitRequestLost(Instant, AttemptNumber aNumber) override { lost_.insert(aNumber); }
 
   std::vector<std::pair<std::string, MessageToDispatcher>> told_;
   std::vector<std::string> dialled_;
@@ -59,11 +59,11 @@
 
   void Ask(AttemptNumber aNumber)
   {
-    PermitAsk ask;
+    PermitRequest ask;
     ask.number_ = aNumber;
     ask.service_ = "plain";
     ask.timeLeft_ = seconds(1);
-    client_.Ask(now_, ask);
+    client_.RequestPermit(now_, ask);
   }
 
   void Pass(Duration aTime)
@@ -84,10 +84,10 @@
 TEST_F(ClientOfADispatcher, LinkIsNotUpYet_CannotBeAsked)
 {
   ASSERT_EQ(recorded_.dialled_.size(), 1U);
-  EXPECT_FALSE(client_.CanAsk("plain"));
+  EXPECT_FALSE(client_.CanRequestPermit("plain"));
   LinkUp();
-  EXPECT_TRUE(client_.CanAsk("plain"));
-  EXPECT_FALSE(client_.CanAsk("other"));
+  EXPECT_TRUE(client_.CanRequestPermit("plain"));
+  EXPECT_FALSE(client_.CanRequestPermit("other"));
 }
 
 TEST_F(ClientOfADispatcher, PermitComes_IsHandedOnOnce)
@@ -129,7 +129,7 @@
   const auto* notice = std::get_if<SendNotice>(&recorded_.told_[0].second);
   ASSERT_NE(notice, nullptr);
   EXPECT_EQ(notice->server_, "s1");
-  client_.TellEnd({ 5, SendResult::Answered, milliseconds(10), std::nullopt });
+  client_.ReportSendEnd({ 5, SendResult::Answered, milliseconds(10), std::nullopt });
   EXPECT_NE(std::get_if<SendEnd>(&recorded_.told_.back().second), nullptr);
 }
 
@@ -138,7 +138,7 @@
   LinkUp();
   Ask(5);
   client_.OnUnanswered(now_, "plain");
-  EXPECT_FALSE(client_.CanAsk("plain"));
+  EXPECT_FALSE(client_.CanRequestPermit("plain"));
   Pass(milliseconds(200));
   EXPECT_NE(std::get_if<DispatcherProbe>(&recorded_.told_.back().second), nullptr);
   EXPECT_TRUE(recorded_.hungUp_.empty());
@@ -154,7 +154,7 @@
   client_.OnUnanswered(now_, "plain");
   Pass(milliseconds(100));
   client_.OnMessage(now_, recorded_.dialled_[0], DispatcherSign{});
-  EXPECT_TRUE(client_.CanAsk("plain"));
+  EXPECT_TRUE(client_.CanRequestPermit("plain"));
   Pass(seconds(2));
   EXPECT_TRUE(recorded_.hungUp_.empty());
 }
--- a/Tests/LibPermit/TestPermitDispatcher.cpp
+++ b/Tests/LibPermit/TestPermitDispatcher.cpp
@@ -295,7 +295,7 @@
 {
   Put("s1");
   const auto ask = Ask();
-  PermitAsk again;
+  PermitRequest again;
   again.number_ = ask;
   again.service_ = "plain";
   dispatcher_.OnMessage(now_, kCaller, again);
@@ -310,7 +310,7 @@
 
 TEST_F(DispatcherOfAService, ServiceIsNotKnown_IsDenied)
 {
-  PermitAsk ask;
+  PermitRequest ask;
   ask.number_ = 5;
   ask.service_ = "nobody";
   dispatcher_.OnMessage(now_, kCaller, ask);
