--- a/Libraries/LibPermit/DispatchedServer.cpp
+++ b/Libraries/LibPermit/DispatchedServer.cpp
@@ -11,19 +11,19 @@
 constexpr double kWorkWeight = 0.1;
 // One request may wait at the server in addition to those that run, so that its slot is not idle
 // while the end of a request and the permit of the next are in transit: 4 ms of some 100 ms.
-constexpr std::size_t kReadyAhead = 1;
+constexpr std::size_t kMaxQueuedAtServer = 1;
 // Time constant of what a server reported about its slowdown and about requests of others. Servers
 // share their machines, and the load of their neighbours changes a few times a second.
-constexpr Duration kToldTime = milliseconds(300);
+constexpr Duration kStatusLifetime = milliseconds(300);
 // A server without requests for this long is probed again.
-constexpr Duration kForgottenTime = milliseconds(1500);
+constexpr Duration kStaleTime = milliseconds(1500);
 // A connection stays open for at least this long after an answer: half of the idle timeout of the
 // servers.
-constexpr Duration kConnectionTime = seconds(5);
+constexpr Duration kConnectionLifetime = seconds(5);
 // Answer times are pruned when they cover more instances than this.
-constexpr std::size_t kMostAnswered = 1024;
+constexpr std::size_t kMaxTrackedAnswers = 1024;
 // Window in which the sends to a server in slow start are counted.
-constexpr Duration kSlowStartSpan = seconds(1);
+constexpr Duration kSlowStartWindow = seconds(1);
 
 } // namespace
 
@@ -31,41 +31,41 @@
 DispatchedServer::SetRecord(const ServerRecord& aRecord, double aSlowStartRate)
 {
   if (incarnation_ != 0 && aRecord.incarnation_ != 0 && incarnation_ != aRecord.incarnation_) {
-    BeginIncarnation();
+    ResetEstimates();
   }
   incarnation_ = aRecord.incarnation_;
   hall_ = aRecord.hall_;
   slots_ = std::max(1U, aRecord.slots_);
-  takesWork_ = aRecord.TakesWork();
+  acceptsWork_ = aRecord.TakesWork();
   slowStartUntil_ = aRecord.slowStartUntil_;
   slowStartRate_ = aSlowStartRate;
 }
 
 void
-DispatchedServer::BeginIncarnation()
+DispatchedServer::ResetEstimates()
 {
   health_ = {};
   rateLimit_ = {};
   slowStartSends_.clear();
-  answered_.clear();
-  rests_.clear();
-  work_ = Duration(0);
+  lastAnswers_.clear();
+  backoffUntil_.clear();
+  meanWork_ = Duration(0);
   pace_ = 1;
-  others_ = 0;
-  toldAt_ = Instant::min();
+  otherRequests_ = 0;
+  statusAt_ = Instant::min();
 }
 
 void
 DispatchedServer::OnSent(Instant aNow)
 {
-  sent_.insert(aNow);
+  startTimes_.insert(aNow);
   lastSent_ = std::max(lastSent_, aNow);
   rateLimit_.OnSent(aNow);
   if (slowStartRate_ <= 0) {
     return;
   }
   slowStartSends_.push_back(aNow);
-  while (!slowStartSends_.empty() && slowStartSends_.front() + kSlowStartSpan <= aNow) {
+  while (!slowStartSends_.empty() && slowStartSends_.front() + kSlowStartWindow <= aNow) {
     slowStartSends_.pop_front();
   }
 }
@@ -74,165 +74,167 @@
 DispatchedServer::OnEnded(Instant aNow,
                           CallerId aCaller,
                           Instant aSentAt,
-                          std::size_t aFound,
+                          std::size_t aInFlightAtStart,
                           const SendEnd& aEnd)
 {
-  if (const auto sent = sent_.find(aSentAt); sent != sent_.end()) {
-    sent_.erase(sent);
+  if (const auto sent = startTimes_.find(aSentAt); sent != startTimes_.end()) {
+    startTimes_.erase(sent);
   }
   health_.OnEnded(aNow, aEnd.result_);
   if (aEnd.result_ == SendResult::Answered) {
-    NoteAnswer(aNow, aCaller);
+    RecordAnswer(aNow, aCaller);
   }
   if (aEnd.rest_ > Duration(0)) {
-    BeginRest(aNow, aCaller, aEnd.rest_);
+    StartBackoff(aNow, aCaller, aEnd.rest_);
   }
   if (aEnd.rateLimit_) {
     rateLimit_.OnTold(aNow, aSentAt, *aEnd.rateLimit_, 1);
   }
-  Learn(aNow, aFound, aEnd);
+  UpdateEstimates(aNow, aInFlightAtStart, aEnd);
 }
 
 void
-DispatchedServer::NoteAnswer(Instant aNow, CallerId aCaller)
+DispatchedServer::RecordAnswer(Instant aNow, CallerId aCaller)
 {
-  answered_[aCaller] = aNow;
-  if (answered_.size() > kMostAnswered) {
-    std::erase_if(answered_,
-                  [&](const auto& aEntry) { return aNow - aEntry.second > kConnectionTime; });
+  lastAnswers_[aCaller] = aNow;
+  if (lastAnswers_.size() > kMaxTrackedAnswers) {
+    std::erase_if(lastAnswers_,
+                  [&](const auto& aEntry) { return aNow - aEntry.second > kConnectionLifetime; });
   }
 }
 
 void
-DispatchedServer::BeginRest(Instant aNow, CallerId aCaller, Duration aRest)
+DispatchedServer::StartBackoff(Instant aNow, CallerId aCaller, Duration aBackoff)
 {
-  std::erase_if(rests_, [&](const auto& aEntry) { return aEntry.second <= aNow; });
-  auto& until = rests_.try_emplace(aCaller, Instant::min()).first->second;
-  until = std::max(until, aNow + aRest);
+  std::erase_if(backoffUntil_, [&](const auto& aEntry) { return aEntry.second <= aNow; });
+  auto& until = backoffUntil_.try_emplace(aCaller, Instant::min()).first->second;
+  until = std::max(until, aNow + aBackoff);
 }
 
 bool
-DispatchedServer::IsResting(Instant aNow, CallerId aCaller) const
+DispatchedServer::IsBackedOff(Instant aNow, CallerId aCaller) const
 {
-  const auto rest = rests_.find(aCaller);
-  return rest != rests_.end() && aNow < rest->second;
+  const auto backoff = backoffUntil_.find(aCaller);
+  return backoff != backoffUntil_.end() && aNow < backoff->second;
 }
 
 bool
 DispatchedServer::IsConnected(Instant aNow, CallerId aCaller) const
 {
-  const auto answer = answered_.find(aCaller);
-  return answer != answered_.end() && aNow - answer->second < kConnectionTime;
+  const auto answer = lastAnswers_.find(aCaller);
+  return answer != lastAnswers_.end() && aNow - answer->second < kConnectionLifetime;
 }
 
 void
-DispatchedServer::Learn(Instant aNow, std::size_t aFound, const SendEnd& aEnd)
+DispatchedServer::UpdateEstimates(Instant aNow, std::size_t aInFlightAtStart, const SendEnd& aEnd)
 {
   if (aEnd.status_) {
-    const std::size_t told = aEnd.status_->running_ + aEnd.status_->waiting_;
-    others_ = told > sent_.size() ? told - sent_.size() : 0;
+    const std::size_t reported = aEnd.status_->running_ + aEnd.status_->waiting_;
+    otherRequests_ = reported > startTimes_.size() ? reported - startTimes_.size() : 0;
     pace_ = aEnd.status_->pace_;
-    toldAt_ = aNow;
+    statusAt_ = aNow;
   }
   if (aEnd.result_ != SendResult::Answered) {
     return;
   }
-  const double pace = aEnd.status_ ? aEnd.status_->pace_ : 1;
-  const auto work = Scale(aEnd.latency_, 1 / ((1 + WaitsBehind(aFound)) * pace));
-  work_ = Blend(work_, work, kWorkWeight);
+  const double slowdown = aEnd.status_ ? aEnd.status_->pace_ : 1;
+  const auto work = Scale(aEnd.latency_, 1 / ((1 + RelativeWait(aInFlightAtStart)) * slowdown));
+  meanWork_ = Blend(meanWork_, work, kWorkWeight);
 }
 
 // Requests that are already there must leave a slot first.
 double
-DispatchedServer::WaitsBehind(std::size_t aFound) const
+DispatchedServer::RelativeWait(std::size_t aInFlightAtStart) const
 {
-  return aFound < slots_ ? 0
-                         : static_cast<double>(aFound - slots_ + 1) / static_cast<double>(slots_);
+  return aInFlightAtStart < slots_
+           ? 0
+           : static_cast<double>(aInFlightAtStart - slots_ + 1) / static_cast<double>(slots_);
 }
 
 std::size_t
 DispatchedServer::Load(Instant aNow) const
 {
-  const bool isTold = toldAt_ != Instant::min() && aNow - toldAt_ < kToldTime;
-  return sent_.size() + (isTold ? others_ : 0);
+  const bool isFresh = statusAt_ != Instant::min() && aNow - statusAt_ < kStatusLifetime;
+  return startTimes_.size() + (isFresh ? otherRequests_ : 0);
 }
 
 double
-DispatchedServer::Pace(Instant aNow) const
+DispatchedServer::Slowdown(Instant aNow) const
 {
-  if (toldAt_ == Instant::min()) {
+  if (statusAt_ == Instant::min()) {
     return 1;
   }
-  return 1 + (pace_ - 1) * std::exp(-ToSeconds(aNow - toldAt_) / ToSeconds(kToldTime));
+  return 1 + (pace_ - 1) * std::exp(-ToSeconds(aNow - statusAt_) / ToSeconds(kStatusLifetime));
 }
 
 bool
-DispatchedServer::MayStart(Instant aNow) const
+DispatchedServer::AllowsSlowStart(Instant aNow) const
 {
   if (slowStartRate_ <= 0 || aNow >= slowStartUntil_) {
     return true;
   }
   const auto recent = std::count_if(slowStartSends_.begin(),
                                     slowStartSends_.end(),
-                                    [&](Instant aSend) { return aSend + kSlowStartSpan > aNow; });
+                                    [&](Instant aSend) { return aSend + kSlowStartWindow > aNow; });
   return static_cast<double>(recent) + 1 <= std::max(1.0, slowStartRate_);
 }
 
 bool
-DispatchedServer::HasRoom(Instant aNow, Duration aUsual) const
+DispatchedServer::HasCapacity(Instant aNow, Duration aDefaultWork) const
 {
-  if (!takesWork_ || health_.IsSuspended(aNow) || Load(aNow) >= slots_ + kReadyAhead ||
-      !MayStart(aNow) || !rateLimit_.HasRoom(aNow)) {
+  if (!acceptsWork_ || health_.IsSuspended(aNow) || Load(aNow) >= slots_ + kMaxQueuedAtServer ||
+      !AllowsSlowStart(aNow) || !rateLimit_.HasRoom(aNow)) {
     return false;
   }
-  return sent_.empty() || !health_.IsOverdue(aNow, *sent_.begin(), WorkTime(aNow, aUsual));
+  return startTimes_.empty() ||
+         !health_.IsOverdue(aNow, *startTimes_.begin(), WorkTime(aNow, aDefaultWork));
 }
 
 Duration
-DispatchedServer::WorkTime(Instant aNow, Duration aUsual) const
+DispatchedServer::WorkTime(Instant aNow, Duration aDefaultWork) const
 {
-  return Scale(work_ == Duration(0) ? aUsual : work_, Pace(aNow));
+  return Scale(meanWork_ == Duration(0) ? aDefaultWork : meanWork_, Slowdown(aNow));
 }
 
 Duration
-DispatchedServer::ExpectedLatency(Instant aNow, Duration aUsual) const
+DispatchedServer::ExpectedLatency(Instant aNow, Duration aDefaultWork) const
 {
-  const auto latency = Scale(WorkTime(aNow, aUsual), 1 + WaitsBehind(Load(aNow)));
+  const auto latency = Scale(WorkTime(aNow, aDefaultWork), 1 + RelativeWait(Load(aNow)));
   // A request that is overdue shows that the server has become slower than estimated.
-  return sent_.empty() ? latency : std::max(latency, Duration(aNow - *sent_.begin()));
+  return startTimes_.empty() ? latency : std::max(latency, Duration(aNow - *startTimes_.begin()));
 }
 
 Duration
-DispatchedServer::ExpectedTurn(Instant aNow, std::size_t aAhead, Duration aUsual) const
+DispatchedServer::ExpectedQueueTime(Instant aNow, std::size_t aAhead, Duration aDefaultWork) const
 {
-  const auto work = WorkTime(aNow, aUsual);
+  const auto work = WorkTime(aNow, aDefaultWork);
   const auto interval = Scale(work, 1 / static_cast<double>(slots_));
-  const auto first = sent_.empty() ? Duration(0) : interval;
+  const auto first = startTimes_.empty() ? Duration(0) : interval;
   auto turn = std::max(first, health_.PauseLeft(aNow));
   turn += interval * static_cast<Duration::rep>(aAhead);
   turn = std::max(turn, rateLimit_.WaitLeft(aNow, aAhead));
-  if (MayStart(aNow)) {
+  if (AllowsSlowStart(aNow)) {
     return turn;
   }
-  const auto step = Scale(kSlowStartSpan, 1 / std::max(1.0, slowStartRate_));
+  const auto step = Scale(kSlowStartWindow, 1 / std::max(1.0, slowStartRate_));
   return turn + step * static_cast<Duration::rep>(aAhead + 1);
 }
 
 double
-DispatchedServer::Throughput(Instant aNow, Duration aUsual) const
+DispatchedServer::Throughput(Instant aNow, Duration aDefaultWork) const
 {
-  if (!takesWork_ || health_.IsSuspended(aNow)) {
+  if (!acceptsWork_ || health_.IsSuspended(aNow)) {
     return 0;
   }
-  const auto work = std::max(ToSeconds(WorkTime(aNow, aUsual)), 1e-4);
+  const auto work = std::max(ToSeconds(WorkTime(aNow, aDefaultWork)), 1e-4);
   const double rate = std::min(static_cast<double>(slots_) / work, rateLimit_.Rate());
   return aNow < slowStartUntil_ && slowStartRate_ > 0 ? std::min(rate, slowStartRate_) : rate;
 }
 
 bool
-DispatchedServer::IsForgotten(Instant aNow) const
+DispatchedServer::IsStale(Instant aNow) const
 {
-  return sent_.empty() && (lastSent_ == Instant::min() || aNow - lastSent_ > kForgottenTime);
+  return startTimes_.empty() && (lastSent_ == Instant::min() || aNow - lastSent_ > kStaleTime);
 }
 
 } // namespace latchslip
--- a/Libraries/LibPermit/DispatcherAssignment.cpp
+++ b/Libraries/LibPermit/DispatcherAssignment.cpp
@@ -10,26 +10,26 @@
 namespace {
 
 // An instance is eligible if its processor share is at least this share of the highest one.
-constexpr double kStrongPart = 0.5;
+constexpr double kMinProcessorShare = 0.5;
 // Maximum number of candidates. More would only be needed if this many were lost within one roster
 // change.
-constexpr std::size_t kMostCandidates = 4;
+constexpr std::size_t kMaxCandidates = 4;
 
 // The eligible instances; all of them when no instance reports its processor share.
 std::vector<std::string>
-StrongOf(const std::map<std::string, FleetPeer>& aPeers)
+EligibleInstances(const std::map<std::string, FleetPeer>& aPeers)
 {
-  double strongest = 0;
+  double highest = 0;
   for (const auto& [address, peer] : aPeers) {
-    strongest = std::max(strongest, peer.processorShare_);
+    highest = std::max(highest, peer.processorShare_);
   }
-  std::vector<std::string> strong;
+  std::vector<std::string> eligible;
   for (const auto& [address, peer] : aPeers) {
-    if (peer.processorShare_ >= kStrongPart * strongest) {
-      strong.push_back(address);
+    if (peer.processorShare_ >= kMinProcessorShare * highest) {
+      eligible.push_back(address);
     }
   }
-  return strong;
+  return eligible;
 }
 
 } // namespace
@@ -39,27 +39,27 @@
                              const std::vector<std::string>& aServices)
 {
   candidates_.clear();
-  const auto strong = StrongOf(aPeers);
+  const auto eligible = EligibleInstances(aPeers);
   const std::set<std::string> services(aServices.begin(), aServices.end());
-  std::set<std::string> taken;
+  std::set<std::string> assigned;
   for (const auto& service : services) {
     // Each pair of service and instance is hashed, so that an instance that joins or leaves moves
     // few services.
-    std::vector<std::pair<std::uint64_t, std::string>> order;
-    order.reserve(strong.size());
-    for (const auto& address : strong) {
-      order.emplace_back(HashPair(service, address), address);
+    std::vector<std::pair<std::uint64_t, std::string>> ranking;
+    ranking.reserve(eligible.size());
+    for (const auto& address : eligible) {
+      ranking.emplace_back(HashPair(service, address), address);
     }
-    std::sort(order.begin(), order.end());
-    std::stable_partition(order.begin(), order.end(), [&](const auto& aEntry) {
-      return !taken.contains(aEntry.second);
+    std::sort(ranking.begin(), ranking.end());
+    std::stable_partition(ranking.begin(), ranking.end(), [&](const auto& aEntry) {
+      return !assigned.contains(aEntry.second);
     });
     auto& candidates = candidates_[service];
-    for (std::size_t index = 0; index < std::min(order.size(), kMostCandidates); ++index) {
-      candidates.push_back(order[index].second);
+    for (std::size_t index = 0; index < std::min(ranking.size(), kMaxCandidates); ++index) {
+      candidates.push_back(ranking[index].second);
     }
     if (!candidates.empty()) {
-      taken.insert(candidates.front());
+      assigned.insert(candidates.front());
     }
   }
 }
--- a/Libraries/LibPermit/LateWaitBound.h
+++ b/Libraries/LibPermit/LateWaitBound.h
@@ -14,18 +14,18 @@
 {
 public:
   // Lower bound; the minimum time for which a client waits before it retries.
-  static constexpr Duration kLeast = milliseconds(50);
+  static constexpr Duration kMin = milliseconds(50);
 
   Duration Bound() const { return bound_; }
-  void OnServed() { bound_ = std::min(kMost, Scale(bound_, kGrowth)); }
-  void OnDenied() { bound_ = std::max(kLeast, Scale(bound_, kShrink)); }
+  void OnServed() { bound_ = std::min(kMax, Scale(bound_, kGrowth)); }
+  void OnDenied() { bound_ = std::max(kMin, Scale(bound_, kShrink)); }
 
 private:
-  static constexpr Duration kMost = seconds(2);
+  static constexpr Duration kMax = seconds(2);
   static constexpr double kGrowth = 1.05;
   static constexpr double kShrink = 0.8;
 
-  Duration bound_ = kLeast;
+  Duration bound_ = kMin;
 };
 
 } // namespace latchslip
--- a/Libraries/LibPermit/PermitClient.cpp
+++ b/Libraries/LibPermit/PermitClient.cpp
@@ -8,9 +8,9 @@
 
 // A dispatcher that does not answer for this long is failed over: several times as long as a busy,
 // weak instance takes to read its messages.
-constexpr Duration kSilence = milliseconds(400);
+constexpr Duration kAnswerTimeout = milliseconds(400);
 // Delay before a dispatcher whose link has failed is connected to again.
-constexpr Duration kFailedPause = seconds(1);
+constexpr Duration kReconnectDelay = seconds(1);
 // Interval between probes of a dispatcher that does not answer.
 constexpr Duration kProbeInterval = milliseconds(50);
 
@@ -27,7 +27,7 @@
 {
   if (peers_ != aPeers) {
     peers_ = aPeers;
-    Assign(aNow);
+    UpdateCandidates(aNow);
   }
 }
 
@@ -36,21 +36,21 @@
 {
   if (services_ != aServices) {
     services_ = std::move(aServices);
-    Assign(aNow);
+    UpdateCandidates(aNow);
   }
 }
 
 void
-PermitClient::Assign(Instant aNow)
+PermitClient::UpdateCandidates(Instant aNow)
 {
-  ring_.Assign(peers_, services_);
-  Choose(aNow);
+  assignment_.Assign(peers_, services_);
+  SelectDispatchers(aNow);
 }
 
 std::string
-PermitClient::FirstOf(Instant aNow, const std::string& aService) const
+PermitClient::FirstCandidate(Instant aNow, const std::string& aService) const
 {
-  for (const auto& address : ring_.CandidatesFor(aService)) {
+  for (const auto& address : assignment_.CandidatesFor(aService)) {
     const auto link = links_.find(address);
     if (link == links_.end() || aNow >= link->second.failedUntil_) {
       return address;
@@ -60,45 +60,45 @@
 }
 
 void
-PermitClient::Choose(Instant aNow)
+PermitClient::SelectDispatchers(Instant aNow)
 {
   std::erase_if(dispatchers_, [&](const auto& aEntry) {
     return std::find(services_.begin(), services_.end(), aEntry.first) == services_.end();
   });
   for (const auto& service : services_) {
-    const auto next = FirstOf(aNow, service);
+    const auto next = FirstCandidate(aNow, service);
     auto& current = dispatchers_[service];
     if (next != current) {
       events_.Record(Event::DispatcherChosen,
                      "service=" + service + " dispatcher=" + (next.empty() ? "-" : next) +
                        " former=" + (current.empty() ? "-" : current));
       current = next;
-      LoseAsks(aNow, service);
+      DropRequests(aNow, service);
       if (IsUp(next)) {
-        TellRunning(aNow, service);
+        ReportRunning(aNow, service);
       }
     }
     if (next.empty()) {
       continue;
     }
     if (auto& link = links_[next]; link.state_ == LinkState::Down) {
-      link.state_ = LinkState::Dialled;
+      link.state_ = LinkState::Connecting;
       actions_.Connect(next);
     }
   }
 }
 
 void
-PermitClient::LoseAsks(Instant aNow, const std::string& aService)
+PermitClient::DropRequests(Instant aNow, const std::string& aService)
 {
   std::vector<AttemptNumber> lost;
-  for (const auto& [number, ask] : asks_) {
-    if (ask.service_ == aService) {
+  for (const auto& [number, request] : requests_) {
+    if (request.service_ == aService) {
       lost.push_back(number);
     }
   }
   for (const auto number : lost) {
-    asks_.erase(number);
+    requests_.erase(number);
   }
   for (const auto number : lost) {
     listener_->OnPermitRequestLost(aNow, number);
@@ -113,11 +113,11 @@
 }
 
 void
-PermitClient::TellRunning(Instant aNow, const std::string& aService)
+PermitClient::ReportRunning(Instant aNow, const std::string& aService)
 {
   for (const auto& [number, send] : running_) {
     if (send.service_ == aService) {
-      TellDispatcherOf(aService,
+      SendToDispatcher(aService,
                        SendNotice{ number,
                                    send.service_,
                                    send.server_,
@@ -128,7 +128,7 @@
 }
 
 void
-PermitClient::TellDispatcherOf(const std::string& aService, const MessageToDispatcher& aMessage)
+PermitClient::SendToDispatcher(const std::string& aService, const MessageToDispatcher& aMessage)
 {
   const auto dispatcher = dispatchers_.find(aService);
   if (dispatcher != dispatchers_.end() && IsUp(dispatcher->second)) {
@@ -141,11 +141,11 @@
 {
   auto& link = links_[aDispatcher];
   link.state_ = LinkState::Up;
-  link.silentSince_ = Instant::max();
+  link.unansweredSince_ = Instant::max();
   link.failedUntil_ = Instant::min();
   for (const auto& [service, dispatcher] : dispatchers_) {
     if (dispatcher == aDispatcher) {
-      TellRunning(aNow, service);
+      ReportRunning(aNow, service);
     }
   }
 }
@@ -153,15 +153,15 @@
 void
 PermitClient::OnLinkDown(Instant aNow, const std::string& aDispatcher)
 {
-  Fail(aNow, links_[aDispatcher]);
-  Choose(aNow);
+  MarkFailed(aNow, links_[aDispatcher]);
+  SelectDispatchers(aNow);
 }
 
 void
-PermitClient::Fail(Instant aNow, Link& aLink)
+PermitClient::MarkFailed(Instant aNow, Link& aLink)
 {
   aLink.state_ = LinkState::Down;
-  aLink.failedUntil_ = aNow + kFailedPause;
+  aLink.failedUntil_ = aNow + kReconnectDelay;
 }
 
 void
@@ -169,25 +169,25 @@
                         const std::string& aDispatcher,
                         const MessageFromDispatcher& aMessage)
 {
-  links_[aDispatcher].silentSince_ = Instant::max();
+  links_[aDispatcher].unansweredSince_ = Instant::max();
   if (const auto* permit = std::get_if<Permit>(&aMessage)) {
-    const auto ask = asks_.find(permit->number_);
-    if (ask == asks_.end()) {
+    const auto request = requests_.find(permit->number_);
+    if (request == requests_.end()) {
       // The permit request has been withdrawn meanwhile.
       actions_.Send(aDispatcher, CancelledSend(permit->number_));
       return;
     }
     running_[permit->number_] = {
-      ask->second.service_, permit->server_, aNow, ask->second.deadline_
+      request->second.service_, permit->server_, aNow, request->second.deadline_
     };
-    asks_.erase(ask);
+    requests_.erase(request);
     listener_->OnPermit(aNow, permit->number_, permit->server_);
   } else if (const auto* delay = std::get_if<PermitDelay>(&aMessage)) {
-    if (asks_.contains(delay->number_)) {
+    if (requests_.contains(delay->number_)) {
       listener_->OnPermitDelayed(aNow, delay->number_);
     }
   } else if (const auto* denial = std::get_if<PermitDenial>(&aMessage)) {
-    if (asks_.erase(denial->number_) > 0) {
+    if (requests_.erase(denial->number_) > 0) {
       listener_->OnPermitDenied(aNow, denial->number_, denial->wait_);
     }
   }
@@ -197,19 +197,19 @@
 PermitClient::OnTime(Instant aNow)
 {
   for (auto& [address, link] : links_) {
-    if (link.state_ != LinkState::Up || link.silentSince_ == Instant::max()) {
+    if (link.state_ != LinkState::Up || link.unansweredSince_ == Instant::max()) {
       continue;
     }
-    if (aNow - link.silentSince_ > kSilence) {
+    if (aNow - link.unansweredSince_ > kAnswerTimeout) {
       events_.Record(Event::DispatcherSilent, "dispatcher=" + address);
       actions_.Disconnect(address);
-      Fail(aNow, link);
+      MarkFailed(aNow, link);
     } else if (aNow >= link.nextProbe_) {
       link.nextProbe_ = aNow + kProbeInterval;
       actions_.Send(address, DispatcherProbe{});
     }
   }
-  Choose(aNow);
+  SelectDispatchers(aNow);
 }
 
 bool
@@ -217,22 +217,22 @@
 {
   const auto dispatcher = dispatchers_.find(aService);
   return dispatcher != dispatchers_.end() && IsUp(dispatcher->second) &&
-         links_.at(dispatcher->second).silentSince_ == Instant::max();
+         links_.at(dispatcher->second).unansweredSince_ == Instant::max();
 }
 
 void
 PermitClient::RequestPermit(Instant aNow, const PermitRequest& aRequest)
 {
-  asks_[aRequest.number_] = { aRequest.service_, aNow + aRequest.timeLeft_ };
-  TellDispatcherOf(aRequest.service_, aRequest);
+  requests_[aRequest.number_] = { aRequest.service_, aNow + aRequest.timeLeft_ };
+  SendToDispatcher(aRequest.service_, aRequest);
 }
 
 void
 PermitClient::Withdraw(AttemptNumber aNumber)
 {
-  if (const auto ask = asks_.find(aNumber); ask != asks_.end()) {
-    TellDispatcherOf(ask->second.service_, PermitWithdrawal{ aNumber });
-    asks_.erase(ask);
+  if (const auto request = requests_.find(aNumber); request != requests_.end()) {
+    SendToDispatcher(request->second.service_, PermitWithdrawal{ aNumber });
+    requests_.erase(request);
   }
 }
 
@@ -242,7 +242,7 @@
   const auto dispatcher = dispatchers_.find(aService);
   if (dispatcher != dispatchers_.end() && IsUp(dispatcher->second)) {
     auto& link = links_.at(dispatcher->second);
-    link.silentSince_ = std::min(link.silentSince_, aNow);
+    link.unansweredSince_ = std::min(link.unansweredSince_, aNow);
   }
 }
 
@@ -250,14 +250,14 @@
 PermitClient::ReportSend(Instant aNow, const SendNotice& aNotice)
 {
   running_[aNotice.number_] = { aNotice.service_, aNotice.server_, aNow, aNow + aNotice.timeLeft_ };
-  TellDispatcherOf(aNotice.service_, aNotice);
+  SendToDispatcher(aNotice.service_, aNotice);
 }
 
 void
 PermitClient::ReportSendEnd(const SendEnd& aEnd)
 {
   if (const auto send = running_.find(aEnd.number_); send != running_.end()) {
-    TellDispatcherOf(send->second.service_, aEnd);
+    SendToDispatcher(send->second.service_, aEnd);
     running_.erase(send);
   }
 }
--- a/Libraries/LibPermit/PermitClient.h
+++ b/Libraries/LibPermit/PermitClient.h
@@ -68,7 +68,7 @@
   enum class LinkState
   {
     Down,
-    Dialled,
+    Connecting,
     Up,
   };
 
@@ -77,7 +77,7 @@
   {
     LinkState state_ = LinkState::Down;
     // Start of the period without an answer; Instant::max() when the dispatcher answers.
-    Instant silentSince_ = Instant::max();
+    Instant unansweredSince_ = Instant::max();
     // The dispatcher is not selected before this time.
     Instant failedUntil_ = Instant::min();
     Instant nextProbe_ = Instant::min();
@@ -92,34 +92,34 @@
     Instant deadline_{ 0 };
   };
 
-  struct OpenAsk
+  struct OpenRequest
   {
     std::string service_;
     Instant deadline_{ 0 };
   };
 
   // Recomputes the candidates of each service and selects dispatchers.
-  void Assign(Instant aNow);
-  void Choose(Instant aNow);
+  void UpdateCandidates(Instant aNow);
+  void SelectDispatchers(Instant aNow);
   // The first candidate for the service that has not failed recently; empty when there is none.
-  std::string FirstOf(Instant aNow, const std::string& aService) const;
+  std::string FirstCandidate(Instant aNow, const std::string& aService) const;
   bool IsUp(const std::string& aDispatcher) const;
   // Marks the link as down and excludes the dispatcher for a while.
-  static void Fail(Instant aNow, Link& aLink);
-  void TellRunning(Instant aNow, const std::string& aService);
-  void LoseAsks(Instant aNow, const std::string& aService);
-  void TellDispatcherOf(const std::string& aService, const MessageToDispatcher& aMessage);
+  static void MarkFailed(Instant aNow, Link& aLink);
+  void ReportRunning(Instant aNow, const std::string& aService);
+  void DropRequests(Instant aNow, const std::string& aService);
+  void SendToDispatcher(const std::string& aService, const MessageToDispatcher& aMessage);
 
   PermitClientActions& actions_;
   EventSink& events_;
   PermitListener* listener_ = nullptr;
   std::map<std::string, FleetPeer> peers_;
   std::vector<std::string> services_;
-  DispatcherAssignment ring_;
+  DispatcherAssignment assignment_;
   // The selected dispatcher by service.
   std::map<std::string, std::string, std::less<>> dispatchers_;
   std::map<std::string, Link> links_;
-  std::map<AttemptNumber, OpenAsk> asks_;
+  std::map<AttemptNumber, OpenRequest> requests_;
   std::map<AttemptNumber, RunningSend> running_;
 };
 
--- a/Libraries/LibPermit/PermitDispatcher.cpp
+++ b/Libraries/LibPermit/PermitDispatcher.cpp
@@ -28,7 +28,7 @@
 // Cost of a server that has already had the request; higher than any other cost.
 constexpr double kTriedCost = 100;
 // Work time assumed for a service until one is measured.
-constexpr Duration kUnknownWork = milliseconds(50);
+constexpr Duration kDefaultWork = milliseconds(50);
 // Weight of a server's work time in the moving average of its service.
 constexpr double kServiceWeight = 0.02;
 // A permit request is queued only while its answer would be in time even if its work took this
@@ -40,18 +40,18 @@
 constexpr double kWorkMargin = 1.5;
 // Interval between checks of the queue: servers become available again after a suspension, and rate
 // limits replenish.
-constexpr Duration kLookInterval = milliseconds(5);
+constexpr Duration kQueueCheckInterval = milliseconds(5);
 // Interval between checks for sends whose end was not reported.
-constexpr Duration kDropInterval = milliseconds(250);
+constexpr Duration kExpiryCheckInterval = milliseconds(250);
 // A send whose end was not reported counts as ended this long after its client's deadline.
-constexpr Duration kOverAfter = milliseconds(500);
+constexpr Duration kExpiryDelay = milliseconds(500);
 
 } // namespace
 
 Duration
-PermitDispatcher::Service::UsualWork() const
+PermitDispatcher::Service::DefaultWork() const
 {
-  return work_ == Duration(0) ? kUnknownWork : work_;
+  return meanWork_ == Duration(0) ? kDefaultWork : meanWork_;
 }
 
 PermitDispatcher::PermitDispatcher(const ServerDirectory& aDirectory, DispatcherActions& aActions)
@@ -70,7 +70,7 @@
 void
 PermitDispatcher::OnDirectoryChanged(Instant aNow)
 {
-  if (!routes_ || !isAsked_) {
+  if (!routes_ || !hasRequests_) {
     return;
   }
   for (auto& [name, service] : services_) {
@@ -85,18 +85,18 @@
       service->second.servers_[id].SetRecord(record, service->second.slowStartRate_);
     }
   }
-  PumpAll(aNow);
+  ServeAllLanes(aNow);
 }
 
 void
 PermitDispatcher::OnMessage(Instant aNow, CallerId aCaller, const MessageToDispatcher& aMessage)
 {
-  if (!isAsked_) {
-    isAsked_ = true;
+  if (!hasRequests_) {
+    hasRequests_ = true;
     OnDirectoryChanged(aNow);
   }
-  if (const auto* ask = std::get_if<PermitRequest>(&aMessage)) {
-    OnAsk(aNow, aCaller, *ask);
+  if (const auto* request = std::get_if<PermitRequest>(&aMessage)) {
+    OnRequest(aNow, aCaller, *request);
   } else if (const auto* withdrawal = std::get_if<PermitWithdrawal>(&aMessage)) {
     OnWithdrawal({ aCaller, withdrawal->number_ });
   } else if (const auto* notice = std::get_if<SendNotice>(&aMessage)) {
@@ -109,32 +109,32 @@
 }
 
 void
-PermitDispatcher::OnAsk(Instant aNow, CallerId aCaller, const PermitRequest& aAsk)
+PermitDispatcher::OnRequest(Instant aNow, CallerId aCaller, const PermitRequest& aRequest)
 {
-  const PermitKey key(aCaller, aAsk.number_);
-  if (permits_.contains(key) || waiting_.contains(key)) {
+  const PermitKey key(aCaller, aRequest.number_);
+  if (permits_.contains(key) || queued_.contains(key)) {
     return;
   }
-  const auto service = services_.find(aAsk.service_);
+  const auto service = services_.find(aRequest.service_);
   if (service == services_.end()) {
-    actions_.Answer(aCaller, PermitDenial{ aAsk.number_, LateWaitBound::kLeast });
+    actions_.Answer(aCaller, PermitDenial{ aRequest.number_, LateWaitBound::kMin });
     return;
   }
   auto& lanes = service->second.lanes_;
-  const auto lane = lanes.find(aAsk.server_);
+  const auto lane = lanes.find(aRequest.server_);
   const bool isFirst = lane == lanes.end() || lane->second.empty();
-  const bool isLate = aAsk.inTime_ <= Duration(0);
-  if (isFirst && TryGrant(aNow, service->second, key, aAsk, isLate)) {
+  const bool isLate = aRequest.inTime_ <= Duration(0);
+  if (isFirst && TryIssue(aNow, service->second, key, aRequest, isLate)) {
     return;
   }
-  WaitOrDeny(aNow, service->second, key, aAsk);
+  QueueOrDeny(aNow, service->second, key, aRequest);
 }
 
 void
 PermitDispatcher::OnWithdrawal(PermitKey aKey)
 {
-  if (const auto waiting = waiting_.find(aKey); waiting != waiting_.end()) {
-    Leave(waiting);
+  if (const auto queued = queued_.find(aKey); queued != queued_.end()) {
+    Dequeue(queued);
   }
 }
 
@@ -150,18 +150,18 @@
   send.service_ = aNotice.service_;
   send.server_ = aNotice.server_;
   send.sentAt_ = aNow - aNotice.ago_;
-  send.overAt_ = aNow + aNotice.timeLeft_ + kOverAfter;
-  Note(service->second, key, std::move(send));
+  send.expiresAt_ = aNow + aNotice.timeLeft_ + kExpiryDelay;
+  RegisterSend(service->second, key, std::move(send));
 }
 
 void
-PermitDispatcher::Note(Service& aService, PermitKey aKey, RunningSend aSend)
+PermitDispatcher::RegisterSend(Service& aService, PermitKey aKey, RunningSend aSend)
 {
   const auto server = aService.servers_.find(aSend.server_);
   if (server == aService.servers_.end()) {
     return;
   }
-  aSend.found_ = server->second.UnderWay();
+  aSend.inFlightAtStart_ = server->second.InFlight();
   server->second.OnSent(aSend.sentAt_);
   permits_.emplace(aKey, std::move(aSend));
 }
@@ -182,52 +182,52 @@
   }
   auto& service = services_.at(send.service_);
   if (const auto server = service.servers_.find(send.server_); server != service.servers_.end()) {
-    server->second.OnEnded(aNow, aCaller, send.sentAt_, send.found_, aEnd);
-    const auto work = server->second.UsualWorkTime();
+    server->second.OnEnded(aNow, aCaller, send.sentAt_, send.inFlightAtStart_, aEnd);
+    const auto work = server->second.NormalWorkTime();
     if (work > Duration(0)) {
-      service.work_ = Blend(service.work_, work, kServiceWeight);
+      service.meanWork_ = Blend(service.meanWork_, work, kServiceWeight);
     }
   }
-  Pump(aNow, service, send.server_);
-  Pump(aNow, service, "");
+  ServeLane(aNow, service, send.server_);
+  ServeLane(aNow, service, "");
 }
 
 void
 PermitDispatcher::OnCallerGone(Instant aNow, CallerId aCaller)
 {
   const PermitKey first(aCaller, 0);
-  for (auto waiting = waiting_.lower_bound(first);
-       waiting != waiting_.end() && waiting->first.first == aCaller;) {
-    Leave(waiting++);
+  for (auto queued = queued_.lower_bound(first);
+       queued != queued_.end() && queued->first.first == aCaller;) {
+    Dequeue(queued++);
   }
-  std::vector<PermitKey> gone;
+  std::vector<PermitKey> ended;
   for (auto permit = permits_.lower_bound(first);
        permit != permits_.end() && permit->first.first == aCaller;
        ++permit) {
-    gone.push_back(permit->first);
+    ended.push_back(permit->first);
   }
-  for (const auto& key : gone) {
+  for (const auto& key : ended) {
     OnEnd(aNow, aCaller, CancelledSend(key.second));
   }
 }
 
 bool
-PermitDispatcher::TryGrant(Instant aNow,
+PermitDispatcher::TryIssue(Instant aNow,
                            Service& aService,
                            PermitKey aKey,
-                           const PermitRequest& aAsk,
+                           const PermitRequest& aRequest,
                            bool aIsLate)
 {
-  const auto* server = ChooseServer(aNow, aService, aKey.first, aAsk, aIsLate);
+  const auto* server = ChooseServer(aNow, aService, aKey.first, aRequest, aIsLate);
   if (server == nullptr) {
     return false;
   }
   RunningSend send;
-  send.service_ = aAsk.service_;
+  send.service_ = aRequest.service_;
   send.server_ = *server;
   send.sentAt_ = aNow;
-  send.overAt_ = aNow + aAsk.timeLeft_ + kOverAfter;
-  Note(aService, aKey, std::move(send));
+  send.expiresAt_ = aNow + aRequest.timeLeft_ + kExpiryDelay;
+  RegisterSend(aService, aKey, std::move(send));
   actions_.Answer(aKey.first, Permit{ aKey.second, *server });
   return true;
 }
@@ -236,25 +236,25 @@
 PermitDispatcher::ChooseServer(Instant aNow,
                                const Service& aService,
                                CallerId aCaller,
-                               const PermitRequest& aAsk,
+                               const PermitRequest& aRequest,
                                bool aIsLate)
 {
-  const auto usual = aService.UsualWork();
-  const auto isFit = [&](const DispatchedServer& aServer) {
-    return aServer.HasRoom(aNow, usual) && !aServer.IsResting(aNow, aCaller) &&
+  const auto defaultWork = aService.DefaultWork();
+  const auto canTake = [&](const DispatchedServer& aServer) {
+    return aServer.HasCapacity(aNow, defaultWork) && !aServer.IsBackedOff(aNow, aCaller) &&
            (!aIsLate || aServer.HasFreeSlot(aNow));
   };
-  if (!aAsk.server_.empty()) {
-    const auto server = aService.servers_.find(aAsk.server_);
-    return server == aService.servers_.end() || !isFit(server->second) ? nullptr : &server->first;
+  if (!aRequest.server_.empty()) {
+    const auto server = aService.servers_.find(aRequest.server_);
+    return server == aService.servers_.end() || !canTake(server->second) ? nullptr : &server->first;
   }
   const std::string* best = nullptr;
   double least = 0;
   for (const auto& [id, server] : aService.servers_) {
-    if (!isFit(server)) {
+    if (!canTake(server)) {
       continue;
     }
-    const double cost = CostOf(aNow, id, server, aCaller, aAsk, usual);
+    const double cost = CostOf(aNow, id, server, aCaller, aRequest, defaultWork);
     if (best == nullptr || cost < least) {
       best = &id;
       least = cost;
@@ -268,52 +268,55 @@
                          const std::string& aId,
                          const DispatchedServer& aServer,
                          CallerId aCaller,
-                         const PermitRequest& aAsk,
-                         Duration aUsual)
+                         const PermitRequest& aRequest,
+                         Duration aDefaultWork)
 {
-  const bool isTried = std::find(aAsk.tried_.begin(), aAsk.tried_.end(), aId) != aAsk.tried_.end();
-  if (!isTried && aServer.IsForgotten(aNow)) {
+  const bool isTried =
+    std::find(aRequest.tried_.begin(), aRequest.tried_.end(), aId) != aRequest.tried_.end();
+  if (!isTried && aServer.IsStale(aNow)) {
     return 0;
   }
-  const auto time = aAsk.inTime_ > Duration(0) ? aAsk.inTime_ : aAsk.timeLeft_;
-  const double part = std::max(ToSeconds(aServer.ExpectedLatency(aNow, aUsual)), 1e-6) /
+  const auto time = aRequest.inTime_ > Duration(0) ? aRequest.inTime_ : aRequest.timeLeft_;
+  const double part = std::max(ToSeconds(aServer.ExpectedLatency(aNow, aDefaultWork)), 1e-6) /
                       std::max(ToSeconds(time), 1e-6);
   double cost = kLateLoss * std::exp(-kLateSlope / part) + kTimeCost * part;
-  cost += aServer.Hall() == aAsk.hall_ ? 0 : kOtherHallCost;
+  cost += aServer.Hall() == aRequest.hall_ ? 0 : kOtherHallCost;
   cost += aServer.IsConnected(aNow, aCaller) ? 0 : kNewConnectionCost;
   cost += kFailureCost * aServer.FailureShare();
   return isTried ? kTriedCost + cost : cost;
 }
 
 Duration
-PermitDispatcher::ExpectedWork(Instant aNow, const Service& aService, const PermitRequest& aAsk)
+PermitDispatcher::ExpectedWork(Instant aNow, const Service& aService, const PermitRequest& aRequest)
 {
-  const auto usual = aService.UsualWork();
-  const auto server = aService.servers_.find(aAsk.server_);
-  return server == aService.servers_.end() ? usual : server->second.WorkTime(aNow, usual);
+  const auto defaultWork = aService.DefaultWork();
+  const auto server = aService.servers_.find(aRequest.server_);
+  return server == aService.servers_.end() ? defaultWork
+                                           : server->second.WorkTime(aNow, defaultWork);
 }
 
 Duration
 PermitDispatcher::ExpectedWait(Instant aNow,
                                const Service& aService,
-                               const PermitRequest& aAsk,
-                               const Place& aPlace)
+                               const PermitRequest& aRequest,
+                               const Position& aPosition)
 {
-  const auto usual = aService.UsualWork();
-  const auto lane = aService.lanes_.find(aAsk.server_);
+  const auto defaultWork = aService.DefaultWork();
+  const auto lane = aService.lanes_.find(aRequest.server_);
   std::size_t ahead = 0;
   if (lane != aService.lanes_.end()) {
     ahead = static_cast<std::size_t>(
-      std::distance(lane->second.begin(), lane->second.lower_bound(aPlace)));
+      std::distance(lane->second.begin(), lane->second.lower_bound(aPosition)));
   }
-  if (!aAsk.server_.empty()) {
-    const auto server = aService.servers_.find(aAsk.server_);
-    return server == aService.servers_.end() ? LateWaitBound::kLeast
-                                             : server->second.ExpectedTurn(aNow, ahead, usual);
+  if (!aRequest.server_.empty()) {
+    const auto server = aService.servers_.find(aRequest.server_);
+    return server == aService.servers_.end()
+             ? LateWaitBound::kMin
+             : server->second.ExpectedQueueTime(aNow, ahead, defaultWork);
   }
   double throughput = 0;
   for (const auto& [id, server] : aService.servers_) {
-    throughput += server.Throughput(aNow, usual);
+    throughput += server.Throughput(aNow, defaultWork);
   }
   constexpr double kLeastThroughput = 0.1;
   constexpr double kMicroseconds = 1e6;
@@ -322,154 +325,154 @@
 }
 
 void
-PermitDispatcher::WaitOrDeny(Instant aNow,
-                             Service& aService,
-                             PermitKey aKey,
-                             const PermitRequest& aAsk)
+PermitDispatcher::QueueOrDeny(Instant aNow,
+                              Service& aService,
+                              PermitKey aKey,
+                              const PermitRequest& aRequest)
 {
-  const bool isLate = aAsk.inTime_ <= Duration(0);
-  const auto work = ExpectedWork(aNow, aService, aAsk);
-  const auto inTime = aNow + aAsk.inTime_ - Scale(work, kWorkMargin);
+  const bool isLate = aRequest.inTime_ <= Duration(0);
+  const auto work = ExpectedWork(aNow, aService, aRequest);
+  const auto inTime = aNow + aRequest.inTime_ - Scale(work, kWorkMargin);
   // The answer must arrive before the client gives up.
-  const auto lateWait = std::min(aService.patience_.Bound(), aAsk.timeLeft_ - work);
-  WaitingAsk waiting;
-  waiting.place_ = { aAsk.priority_, isLate, aNow + aAsk.timeLeft_, aKey };
-  const auto wait = ExpectedWait(aNow, aService, aAsk, waiting.place_);
+  const auto lateWait = std::min(aService.lateWait_.Bound(), aRequest.timeLeft_ - work);
+  QueuedRequest queued;
+  queued.position_ = { aRequest.priority_, isLate, aNow + aRequest.timeLeft_, aKey };
+  const auto wait = ExpectedWait(aNow, aService, aRequest, queued.position_);
   // A server that is not listed yet either appears with the next directory update or never.
-  const bool isListed = aAsk.server_.empty() || aService.servers_.contains(aAsk.server_);
+  const bool isListed = aRequest.server_.empty() || aService.servers_.contains(aRequest.server_);
   if (!isLate && isListed && aNow + wait <= inTime) {
-    waiting.denyAt_ = inTime;
+    queued.denyAt_ = inTime;
   } else if (wait <= lateWait) {
-    waiting.place_.isLate_ = true;
-    waiting.denyAt_ = aNow + lateWait;
+    queued.position_.isLate_ = true;
+    queued.denyAt_ = aNow + lateWait;
   } else {
     actions_.Answer(aKey.first, PermitDenial{ aKey.second, wait });
     return;
   }
-  waiting.denyAt_ = std::min(waiting.denyAt_, waiting.place_.deadline_);
-  waiting.ask_ = aAsk;
-  aService.lanes_[aAsk.server_].insert(waiting.place_);
-  waiting_.emplace(aKey, std::move(waiting));
+  queued.denyAt_ = std::min(queued.denyAt_, queued.position_.deadline_);
+  queued.request_ = aRequest;
+  aService.lanes_[aRequest.server_].insert(queued.position_);
+  queued_.emplace(aKey, std::move(queued));
   actions_.Answer(aKey.first, PermitDelay{ aKey.second });
 }
 
 void
-PermitDispatcher::Leave(WaitingAsks::iterator aWaiting)
+PermitDispatcher::Dequeue(QueuedRequests::iterator aQueued)
 {
-  const auto& ask = aWaiting->second.ask_;
-  if (const auto service = services_.find(ask.service_); service != services_.end()) {
+  const auto& request = aQueued->second.request_;
+  if (const auto service = services_.find(request.service_); service != services_.end()) {
     auto& lanes = service->second.lanes_;
-    if (const auto lane = lanes.find(ask.server_); lane != lanes.end()) {
-      lane->second.erase(aWaiting->second.place_);
+    if (const auto lane = lanes.find(request.server_); lane != lanes.end()) {
+      lane->second.erase(aQueued->second.position_);
       if (lane->second.empty()) {
         lanes.erase(lane);
       }
     }
   }
-  waiting_.erase(aWaiting);
+  queued_.erase(aQueued);
 }
 
 void
-PermitDispatcher::Pump(Instant aNow, Service& aService, const std::string& aLane)
+PermitDispatcher::ServeLane(Instant aNow, Service& aService, const std::string& aLane)
 {
   // Requests of instances that are in backoff for a server must not block those of other instances.
-  std::ptrdiff_t passedOver = 0;
+  std::ptrdiff_t skipped = 0;
   for (;;) {
     const auto lane = aService.lanes_.find(aLane);
-    if (lane == aService.lanes_.end() || std::ssize(lane->second) <= passedOver) {
+    if (lane == aService.lanes_.end() || std::ssize(lane->second) <= skipped) {
       return;
     }
-    const auto place = *std::next(lane->second.begin(), passedOver);
-    const auto waiting = waiting_.find(place.key_);
-    if (!TryGrant(aNow, aService, place.key_, waiting->second.ask_, place.isLate_)) {
-      if (!IsRestInTheWay(aNow, aService, place.key_.first, waiting->second.ask_)) {
+    const auto position = *std::next(lane->second.begin(), skipped);
+    const auto queued = queued_.find(position.key_);
+    if (!TryIssue(aNow, aService, position.key_, queued->second.request_, position.isLate_)) {
+      if (!IsBlockedByBackoff(aNow, aService, position.key_.first, queued->second.request_)) {
         return;
       }
-      ++passedOver;
+      ++skipped;
       continue;
     }
-    if (place.isLate_) {
-      aService.patience_.OnServed();
+    if (position.isLate_) {
+      aService.lateWait_.OnServed();
     }
-    Leave(waiting);
+    Dequeue(queued);
   }
 }
 
 bool
-PermitDispatcher::IsRestInTheWay(Instant aNow,
-                                 const Service& aService,
-                                 CallerId aCaller,
-                                 const PermitRequest& aAsk)
+PermitDispatcher::IsBlockedByBackoff(Instant aNow,
+                                     const Service& aService,
+                                     CallerId aCaller,
+                                     const PermitRequest& aRequest)
 {
   // Shortcut for lanes with a required server: only that server matters.
-  if (!aAsk.server_.empty()) {
-    const auto server = aService.servers_.find(aAsk.server_);
-    return server != aService.servers_.end() && server->second.IsResting(aNow, aCaller);
+  if (!aRequest.server_.empty()) {
+    const auto server = aService.servers_.find(aRequest.server_);
+    return server != aService.servers_.end() && server->second.IsBackedOff(aNow, aCaller);
   }
   return std::any_of(aService.servers_.begin(), aService.servers_.end(), [&](const auto& aEntry) {
-    return aEntry.second.IsResting(aNow, aCaller);
+    return aEntry.second.IsBackedOff(aNow, aCaller);
   });
 }
 
 void
-PermitDispatcher::PumpAll(Instant aNow)
+PermitDispatcher::ServeAllLanes(Instant aNow)
 {
   for (auto& [name, service] : services_) {
     std::vector<std::string> lanes;
-    for (const auto& [lane, places] : service.lanes_) {
+    for (const auto& [lane, positions] : service.lanes_) {
       lanes.push_back(lane);
     }
     for (const auto& lane : lanes) {
-      Pump(aNow, service, lane);
+      ServeLane(aNow, service, lane);
     }
   }
 }
 
 void
-PermitDispatcher::Deny(Instant aNow, WaitingAsks::iterator aWaiting)
+PermitDispatcher::Deny(Instant aNow, QueuedRequests::iterator aQueued)
 {
-  const auto& [key, waiting] = *aWaiting;
-  auto& service = services_.at(waiting.ask_.service_);
-  const auto wait = ExpectedWait(aNow, service, waiting.ask_, waiting.place_);
-  if (waiting.place_.isLate_) {
-    service.patience_.OnDenied();
+  const auto& [key, queued] = *aQueued;
+  auto& service = services_.at(queued.request_.service_);
+  const auto wait = ExpectedWait(aNow, service, queued.request_, queued.position_);
+  if (queued.position_.isLate_) {
+    service.lateWait_.OnDenied();
   }
   actions_.Answer(key.first, PermitDenial{ key.second, wait });
-  Leave(aWaiting);
+  Dequeue(aQueued);
 }
 
 void
 PermitDispatcher::OnTime(Instant aNow)
 {
-  if (!waiting_.empty() && aNow >= nextLook_) {
-    nextLook_ = aNow + kLookInterval;
-    PumpAll(aNow);
+  if (!queued_.empty() && aNow >= nextQueueCheck_) {
+    nextQueueCheck_ = aNow + kQueueCheckInterval;
+    ServeAllLanes(aNow);
     std::vector<PermitKey> due;
-    for (const auto& [key, waiting] : waiting_) {
-      if (aNow >= waiting.denyAt_) {
+    for (const auto& [key, queued] : queued_) {
+      if (aNow >= queued.denyAt_) {
         due.push_back(key);
       }
     }
     for (const auto& key : due) {
-      Deny(aNow, waiting_.find(key));
+      Deny(aNow, queued_.find(key));
     }
   }
-  if (!permits_.empty() && aNow >= nextDrop_) {
-    nextDrop_ = aNow + kDropInterval;
-    DropOver(aNow);
+  if (!permits_.empty() && aNow >= nextExpiryCheck_) {
+    nextExpiryCheck_ = aNow + kExpiryCheckInterval;
+    ExpireSends(aNow);
   }
 }
 
 void
-PermitDispatcher::DropOver(Instant aNow)
+PermitDispatcher::ExpireSends(Instant aNow)
 {
-  std::vector<PermitKey> over;
+  std::vector<PermitKey> expired;
   for (const auto& [key, send] : permits_) {
-    if (aNow >= send.overAt_) {
-      over.push_back(key);
+    if (aNow >= send.expiresAt_) {
+      expired.push_back(key);
     }
   }
-  for (const auto& key : over) {
+  for (const auto& key : expired) {
     OnEnd(aNow, key.first, CancelledSend(key.second));
   }
 }
@@ -477,10 +480,10 @@
 std::optional<Instant>
 PermitDispatcher::NextTime() const
 {
-  if (!waiting_.empty()) {
-    return nextLook_;
+  if (!queued_.empty()) {
+    return nextQueueCheck_;
   }
-  return permits_.empty() ? std::nullopt : std::optional(nextDrop_);
+  return permits_.empty() ? std::nullopt : std::optional(nextExpiryCheck_);
 }
 
 } // namespace latchslip
--- a/Libraries/LibPermit/PermitDispatcher.h
+++ b/Libraries/LibPermit/PermitDispatcher.h
@@ -47,8 +47,8 @@
   // Time of the next call of OnTime that has work to do; no value for none.
   std::optional<Instant> NextTime() const;
 
-  std::size_t Waiting() const { return waiting_.size(); }
-  std::size_t UnderWay() const { return permits_.size(); }
+  std::size_t Queued() const { return queued_.size(); }
+  std::size_t InFlight() const { return permits_.size(); }
 
 private:
   using PermitKey = std::pair<CallerId, AttemptNumber>;
@@ -60,97 +60,99 @@
     std::string server_;
     Instant sentAt_{ 0 };
     // Number of requests outstanding at the server when the send started.
-    std::size_t found_ = 0;
+    std::size_t inFlightAtStart_ = 0;
     // Time after which the send counts as ended even if its end was not reported.
-    Instant overAt_{ 0 };
+    Instant expiresAt_{ 0 };
   };
 
-  using Place = QueuePlace<PermitKey>;
+  using Position = QueuePlace<PermitKey>;
 
   // A queued permit request.
-  struct WaitingAsk
+  struct QueuedRequest
   {
-    PermitRequest ask_;
-    Place place_;
+    PermitRequest request_;
+    Position position_;
     // Time at which the request is denied.
     Instant denyAt_{ 0 };
   };
 
-  using WaitingAsks = std::map<PermitKey, WaitingAsk>;
+  using QueuedRequests = std::map<PermitKey, QueuedRequest>;
 
   struct Service
   {
     // Work time assumed for servers without a measured one.
-    Duration UsualWork() const;
+    Duration DefaultWork() const;
 
     std::map<std::string, DispatchedServer> servers_;
     // Queued requests by the server that they require; empty for any server.
-    std::map<std::string, std::set<Place>> lanes_;
-    LateWaitBound patience_;
+    std::map<std::string, std::set<Position>> lanes_;
+    LateWaitBound lateWait_;
     // Moving average of the work time over all servers of the service; zero when none has been
     // measured.
-    Duration work_{ 0 };
+    Duration meanWork_{ 0 };
     double slowStartRate_ = 0;
   };
 
-  void OnAsk(Instant aNow, CallerId aCaller, const PermitRequest& aAsk);
+  void OnRequest(Instant aNow, CallerId aCaller, const PermitRequest& aRequest);
   void OnWithdrawal(PermitKey aKey);
   void OnNotice(Instant aNow, CallerId aCaller, const SendNotice& aNotice);
   void OnEnd(Instant aNow, CallerId aCaller, const SendEnd& aEnd);
   // Issues a permit if a server can accept the request now.
-  bool TryGrant(Instant aNow,
+  bool TryIssue(Instant aNow,
                 Service& aService,
                 PermitKey aKey,
-                const PermitRequest& aAsk,
+                const PermitRequest& aRequest,
                 bool aIsLate);
   // The id of the server with the lowest cost among those that can accept the request; null when
   // there is none.
   static const std::string* ChooseServer(Instant aNow,
                                          const Service& aService,
                                          CallerId aCaller,
-                                         const PermitRequest& aAsk,
+                                         const PermitRequest& aRequest,
                                          bool aIsLate);
   // Cost of sending the request to that server, as a share of the value of its answer.
   static double CostOf(Instant aNow,
                        const std::string& aId,
                        const DispatchedServer& aServer,
                        CallerId aCaller,
-                       const PermitRequest& aAsk,
-                       Duration aUsual);
+                       const PermitRequest& aRequest,
+                       Duration aDefaultWork);
   // Registers an outstanding send and counts it at its server.
-  void Note(Service& aService, PermitKey aKey, RunningSend aSend);
-  void WaitOrDeny(Instant aNow, Service& aService, PermitKey aKey, const PermitRequest& aAsk);
-  void Deny(Instant aNow, WaitingAsks::iterator aWaiting);
+  void RegisterSend(Service& aService, PermitKey aKey, RunningSend aSend);
+  void QueueOrDeny(Instant aNow, Service& aService, PermitKey aKey, const PermitRequest& aRequest);
+  void Deny(Instant aNow, QueuedRequests::iterator aQueued);
   static Duration ExpectedWait(Instant aNow,
                                const Service& aService,
-                               const PermitRequest& aAsk,
-                               const Place& aPlace);
+                               const PermitRequest& aRequest,
+                               const Position& aPosition);
   // Expected work time of the request, without any wait for a slot.
-  static Duration ExpectedWork(Instant aNow, const Service& aService, const PermitRequest& aAsk);
+  static Duration ExpectedWork(Instant aNow,
+                               const Service& aService,
+                               const PermitRequest& aRequest);
   // Issues permits to the queued requests of that lane in order, while servers can accept them.
-  void Pump(Instant aNow, Service& aService, const std::string& aLane);
+  void ServeLane(Instant aNow, Service& aService, const std::string& aLane);
   // Whether an eligible server is in backoff for that instance, so that queued requests of other
   // instances may still be served.
-  static bool IsRestInTheWay(Instant aNow,
-                             const Service& aService,
-                             CallerId aCaller,
-                             const PermitRequest& aAsk);
-  void PumpAll(Instant aNow);
+  static bool IsBlockedByBackoff(Instant aNow,
+                                 const Service& aService,
+                                 CallerId aCaller,
+                                 const PermitRequest& aRequest);
+  void ServeAllLanes(Instant aNow);
   // Removes a permit request from the queue.
-  void Leave(WaitingAsks::iterator aWaiting);
-  void DropOver(Instant aNow);
+  void Dequeue(QueuedRequests::iterator aQueued);
+  void ExpireSends(Instant aNow);
 
   const ServerDirectory& directory_;
   DispatcherActions& actions_;
   std::shared_ptr<const RouteTable> routes_;
   std::map<std::string, Service, std::less<>> services_;
   std::map<PermitKey, RunningSend> permits_;
-  WaitingAsks waiting_;
+  QueuedRequests queued_;
   // Whether any permit has been requested from this instance. Instances that are not a dispatcher
   // skip the bookkeeping about servers.
-  bool isAsked_ = false;
-  Instant nextLook_ = Instant::min();
-  Instant nextDrop_ = Instant::min();
+  bool hasRequests_ = false;
+  Instant nextQueueCheck_ = Instant::min();
+  Instant nextExpiryCheck_ = Instant::min();
 };
 
 } // namespace latchslip
--- a/Tests/LibPermit/DispatcherFixture.h
+++ b/Tests/LibPermit/DispatcherFixture.h
@@ -60,20 +60,20 @@
   }
 
   // Requests a permit and returns the number of the request.
-  AttemptNumber Ask(const std::string& aServer = "",
-                    Duration aInTime = milliseconds(300),
-                    unsigned aPriority = 1,
-                    CallerId aCaller = kCaller)
+  AttemptNumber Request(const std::string& aServer = "",
+                        Duration aInTime = milliseconds(300),
+                        unsigned aPriority = 1,
+                        CallerId aCaller = kCaller)
   {
-    PermitRequest ask;
-    ask.number_ = ++lastNumber_;
-    ask.service_ = "plain";
-    ask.server_ = aServer;
-    ask.hall_ = "hall";
-    ask.priority_ = aPriority;
-    ask.inTime_ = aInTime;
-    ask.timeLeft_ = aInTime + milliseconds(700);
-    dispatcher_.OnMessage(now_, aCaller, ask);
+    PermitRequest request;
+    request.number_ = ++lastNumber_;
+    request.service_ = "plain";
+    request.server_ = aServer;
+    request.hall_ = "hall";
+    request.priority_ = aPriority;
+    request.inTime_ = aInTime;
+    request.timeLeft_ = aInTime + milliseconds(700);
+    dispatcher_.OnMessage(now_, aCaller, request);
     return lastNumber_;
   }
 
--- a/Tests/LibPermit/TestDispatchUnderLoad.cpp
+++ b/Tests/LibPermit/TestDispatchUnderLoad.cpp
@@ -27,22 +27,22 @@
 constexpr Duration kInTime = milliseconds(300);
 constexpr Duration kTimeLeft = milliseconds(1000);
 constexpr double kSpeeds[] = { 0.7, 0.7, 1.6 };
-constexpr double kSpellShare = 0.2;
-constexpr double kSpellFactor = 3;
-constexpr Duration kSpell = milliseconds(400);
+constexpr double kSlowShare = 0.2;
+constexpr double kSlowFactor = 3;
+constexpr Duration kSlowInterval = milliseconds(400);
 // One-way latency between an instance and the dispatcher or a server.
-constexpr Duration kWay = milliseconds(2);
+constexpr Duration kOneWayLatency = milliseconds(2);
 constexpr Duration kDay = seconds(20);
 
 // Outcome of the requests of a simulated day.
 struct DayResult
 {
-  double worth_ = 0;
+  double value_ = 0;
   std::size_t requests_ = 0;
   std::size_t resets_ = 0;
   std::size_t refused_ = 0;
 
-  double MeanWorth() const { return worth_ / static_cast<double>(requests_); }
+  double MeanValue() const { return value_ / static_cast<double>(requests_); }
 };
 
 // Servers of a service and the instances that send to them, on a simulated clock.
@@ -67,20 +67,20 @@
 
   // Without a dispatcher: each instance sends to the better of two random servers by their normal
   // speeds, which is all that an instance can know.
-  DayResult PlayAlone()
+  DayResult RunWithoutDispatcher()
   {
     send_ = [this](std::size_t aRequest) {
       const auto one = random_() % kServers;
       const auto other = random_() % kServers;
       Arrive(aRequest, SpeedOf(one) <= SpeedOf(other) ? one : other);
     };
-    return Play();
+    return Run();
   }
 
-  DayResult PlayWithDispatcher()
+  DayResult RunWithDispatcher()
   {
-    send_ = [this](std::size_t aRequest) { Ask(aRequest); };
-    return Play();
+    send_ = [this](std::size_t aRequest) { RequestPermit(aRequest); };
+    return Run();
   }
 
 private:
@@ -116,13 +116,13 @@
     steps_.push({ now_ + aTime, ++order_, std::move(aAct) });
   }
 
-  DayResult Play()
+  DayResult Run()
   {
     for (std::size_t server = 0; server < kServers; ++server) {
-      Spell(server);
+      ChangeSpeed(server);
     }
     NextRequest();
-    Look();
+    CheckQueue();
     const auto end = now_ + kDay;
     while (!steps_.empty() && steps_.top().at_ < end) {
       auto step = steps_.top();
@@ -133,17 +133,17 @@
     return result_;
   }
 
-  void Look()
+  void CheckQueue()
   {
     dispatcher_.OnTime(now_);
-    In(milliseconds(5), [this] { Look(); });
+    In(milliseconds(5), [this] { CheckQueue(); });
   }
 
-  void Spell(std::size_t aServer)
+  void ChangeSpeed(std::size_t aServer)
   {
-    std::bernoulli_distribution isSlow(kSpellShare);
-    servers_[aServer].pace_ = isSlow(random_) ? kSpellFactor : 1;
-    In(kSpell, [this, aServer] { Spell(aServer); });
+    std::bernoulli_distribution isSlow(kSlowShare);
+    servers_[aServer].pace_ = isSlow(random_) ? kSlowFactor : 1;
+    In(kSlowInterval, [this, aServer] { ChangeSpeed(aServer); });
   }
 
   void NextRequest()
@@ -152,7 +152,7 @@
     for (std::size_t server = 0; server < kServers; ++server) {
       rate += kSlots / (ToSeconds(kWork) * SpeedOf(server));
     }
-    rate *= load_ / (1 + kSpellShare * (kSpellFactor - 1));
+    rate *= load_ / (1 + kSlowShare * (kSlowFactor - 1));
     std::exponential_distribution<double> pause(rate);
     constexpr double kMicroseconds = 1e6;
     In(Duration(static_cast<Duration::rep>(pause(random_) * kMicroseconds)), [this] {
@@ -163,16 +163,17 @@
     });
   }
 
-  void Ask(std::size_t aRequest)
+  void RequestPermit(std::size_t aRequest)
   {
-    PermitRequest ask;
-    ask.number_ = aRequest;
-    ask.service_ = "rates";
-    ask.hall_ = "hall";
-    ask.inTime_ = kInTime;
-    ask.timeLeft_ = kTimeLeft;
-    In(kWay,
-       [this, aRequest, ask] { dispatcher_.OnMessage(now_, 1 + aRequest % kInstances, ask); });
+    PermitRequest request;
+    request.number_ = aRequest;
+    request.service_ = "rates";
+    request.hall_ = "hall";
+    request.inTime_ = kInTime;
+    request.timeLeft_ = kTimeLeft;
+    In(kOneWayLatency, [this, aRequest, request] {
+      dispatcher_.OnMessage(now_, 1 + aRequest % kInstances, request);
+    });
   }
 
   void NoteLeaving(const std::string&, std::uint64_t) override {}
@@ -180,7 +181,7 @@
   {
     if (const auto* permit = std::get_if<Permit>(&aMessage)) {
       const auto server = static_cast<std::size_t>(std::stoul(permit->server_.substr(1)));
-      In(kWay, [this, request = permit->number_, server] { Arrive(request, server); });
+      In(kOneWayLatency, [this, request = permit->number_, server] { Arrive(request, server); });
     } else if (std::holds_alternative<PermitDenial>(aMessage)) {
       ++result_.refused_;
     }
@@ -215,11 +216,11 @@
   {
     auto& server = servers_[aServer];
     --server.running_;
-    const auto age = now_ + kWay - requests_[aRequest].begin_;
+    const auto age = now_ + kOneWayLatency - requests_[aRequest].begin_;
     if (age <= kInTime) {
-      result_.worth_ += 1;
+      result_.value_ += 1;
     } else if (age <= kTimeLeft) {
-      result_.worth_ += 0.5;
+      result_.value_ += 0.5;
     }
     if (!server.waiting_.empty()) {
       const auto next = server.waiting_.front();
@@ -237,7 +238,7 @@
                                kSlots,
                                server.pace_ };
     const SendEnd end{ aRequest, aResult, now_ - requests_[aRequest].sent_, status };
-    In(2 * kWay,
+    In(2 * kOneWayLatency,
        [this, aRequest, end] { dispatcher_.OnMessage(now_, 1 + aRequest % kInstances, end); });
   }
 
@@ -259,20 +260,20 @@
 
 TEST_P(ServiceAtFullWork, DispatcherSeesAllSends_MoreIsInTimeThanAlone)
 {
-  const auto alone = LoadWorld(GetParam(), 0.9).PlayAlone();
-  const auto dispatched = LoadWorld(GetParam(), 0.9).PlayWithDispatcher();
-  RecordProperty("alone", std::to_string(alone.MeanWorth()));
-  RecordProperty("dispatched", std::to_string(dispatched.MeanWorth()));
-  EXPECT_GT(dispatched.MeanWorth(), alone.MeanWorth() + 0.1);
-  EXPECT_GT(dispatched.MeanWorth(), 0.85);
+  const auto alone = LoadWorld(GetParam(), 0.9).RunWithoutDispatcher();
+  const auto dispatched = LoadWorld(GetParam(), 0.9).RunWithDispatcher();
+  RecordProperty("alone", std::to_string(alone.MeanValue()));
+  RecordProperty("dispatched", std::to_string(dispatched.MeanValue()));
+  EXPECT_GT(dispatched.MeanValue(), alone.MeanValue() + 0.1);
+  EXPECT_GT(dispatched.MeanValue(), 0.85);
 }
 
 TEST_P(ServiceAtFullWork, AskedForAFifthMore_NothingIsResetAndTheRestIsInTime)
 {
-  const auto dispatched = LoadWorld(GetParam(), 1.2).PlayWithDispatcher();
-  RecordProperty("dispatched", std::to_string(dispatched.MeanWorth()));
+  const auto dispatched = LoadWorld(GetParam(), 1.2).RunWithDispatcher();
+  RecordProperty("dispatched", std::to_string(dispatched.MeanValue()));
   EXPECT_EQ(dispatched.resets_, 0U);
-  EXPECT_GT(dispatched.MeanWorth(), 0.65);
+  EXPECT_GT(dispatched.MeanValue(), 0.65);
   EXPECT_LT(dispatched.refused_, dispatched.requests_ / 3);
 }
 
--- a/Tests/LibPermit/TestDispatcherAssignment.cpp
+++ b/Tests/LibPermit/TestDispatcherAssignment.cpp
@@ -22,33 +22,33 @@
 
 TEST(DispatcherAssignment, NobodyIsKnown_ThereIsNoDispatcher)
 {
-  DispatcherAssignment ring;
-  ring.Assign({}, kServices);
-  EXPECT_TRUE(ring.CandidatesFor("a").empty());
-  EXPECT_TRUE(ring.CandidatesFor("unknown").empty());
+  DispatcherAssignment assignment;
+  assignment.Assign({}, kServices);
+  EXPECT_TRUE(assignment.CandidatesFor("a").empty());
+  EXPECT_TRUE(assignment.CandidatesFor("unknown").empty());
 }
 
 TEST(DispatcherAssignment, SomeAreStrong_OnlyTheyAreDispatchersAndEachHasOneService)
 {
-  DispatcherAssignment ring;
-  ring.Assign(MakePeers(6, 40), kServices);
+  DispatcherAssignment assignment;
+  assignment.Assign(MakePeers(6, 40), kServices);
   std::set<std::string> dispatchers;
   const auto peers = MakePeers(6, 40);
   for (const auto& service : kServices) {
-    for (const auto& candidate : ring.CandidatesFor(service)) {
+    for (const auto& candidate : assignment.CandidatesFor(service)) {
       EXPECT_EQ(peers.at(candidate).processorShare_, 0.5);
     }
-    dispatchers.insert(ring.CandidatesFor(service).front());
+    dispatchers.insert(assignment.CandidatesFor(service).front());
   }
   EXPECT_EQ(dispatchers.size(), kServices.size());
 }
 
 TEST(DispatcherAssignment, FewerInstancesThanServices_EachServiceHasOneAllTheSame)
 {
-  DispatcherAssignment ring;
-  ring.Assign(MakePeers(1, 0), kServices);
+  DispatcherAssignment assignment;
+  assignment.Assign(MakePeers(1, 0), kServices);
   for (const auto& service : kServices) {
-    EXPECT_EQ(ring.CandidatesFor(service), std::vector<std::string>{ "10.0.0.0:9" });
+    EXPECT_EQ(assignment.CandidatesFor(service), std::vector<std::string>{ "10.0.0.0:9" });
   }
 }
 
--- a/Tests/LibPermit/TestPermitClient.cpp
+++ b/Tests/LibPermit/TestPermitClient.cpp
@@ -16,10 +16,10 @@
 public:
   void Send(const std::string& aDispatcher, const MessageToDispatcher& aMessage) override
   {
-    told_.emplace_back(aDispatcher, aMessage);
+    sent_.emplace_back(aDispatcher, aMessage);
   }
-  void Connect(const std::string& aDispatcher) override { dialled_.push_back(aDispatcher); }
-  void Disconnect(const std::string& aDispatcher) override { hungUp_.insert(aDispatcher); }
+  void Connect(const std::string& aDispatcher) override { connected_.push_back(aDispatcher); }
+  void Disconnect(const std::string& aDispatcher) override { disconnected_.insert(aDispatcher); }
   void OnPermit(Instant, AttemptNumber aNumber, const std::string& aServer) override
   {
     permits_[aNumber] = aServer;
@@ -31,9 +31,9 @@
   }
   void OnPermitRequestLost(Instant, AttemptNumber aNumber) override { lost_.insert(aNumber); }
 
-  std::vector<std::pair<std::string, MessageToDispatcher>> told_;
-  std::vector<std::string> dialled_;
-  std::set<std::string> hungUp_;
+  std::vector<std::pair<std::string, MessageToDispatcher>> sent_;
+  std::vector<std::string> connected_;
+  std::set<std::string> disconnected_;
   std::map<AttemptNumber, std::string> permits_;
   std::set<AttemptNumber> delayed_;
   std::set<AttemptNumber> denied_;
@@ -55,15 +55,15 @@
     client_.SetPeers(now_, peers);
   }
 
-  void LinkUp() { client_.OnLinkUp(now_, recorded_.dialled_.back()); }
+  void LinkUp() { client_.OnLinkUp(now_, recorded_.connected_.back()); }
 
-  void Ask(AttemptNumber aNumber)
+  void Request(AttemptNumber aNumber)
   {
-    PermitRequest ask;
-    ask.number_ = aNumber;
-    ask.service_ = "plain";
-    ask.timeLeft_ = seconds(1);
-    client_.RequestPermit(now_, ask);
+    PermitRequest request;
+    request.number_ = aNumber;
+    request.service_ = "plain";
+    request.timeLeft_ = seconds(1);
+    client_.RequestPermit(now_, request);
   }
 
   void Pass(Duration aTime)
@@ -83,7 +83,7 @@
 
 TEST_F(ClientOfADispatcher, LinkIsNotUpYet_CannotBeAsked)
 {
-  ASSERT_EQ(recorded_.dialled_.size(), 1U);
+  ASSERT_EQ(recorded_.connected_.size(), 1U);
   EXPECT_FALSE(client_.CanRequestPermit("plain"));
   LinkUp();
   EXPECT_TRUE(client_.CanRequestPermit("plain"));
@@ -93,12 +93,12 @@
 TEST_F(ClientOfADispatcher, PermitComes_IsHandedOnOnce)
 {
   LinkUp();
-  Ask(5);
-  client_.OnMessage(now_, recorded_.dialled_[0], Permit{ 5, "s1" });
-  client_.OnMessage(now_, recorded_.dialled_[0], Permit{ 5, "s2" });
+  Request(5);
+  client_.OnMessage(now_, recorded_.connected_[0], Permit{ 5, "s1" });
+  client_.OnMessage(now_, recorded_.connected_[0], Permit{ 5, "s2" });
   EXPECT_EQ(recorded_.permits_[5], "s1");
   // The second permit is returned unused.
-  const auto* end = std::get_if<SendEnd>(&recorded_.told_.back().second);
+  const auto* end = std::get_if<SendEnd>(&recorded_.sent_.back().second);
   ASSERT_NE(end, nullptr);
   EXPECT_EQ(end->result_, SendResult::Cancelled);
 }
@@ -106,65 +106,65 @@
 TEST_F(ClientOfADispatcher, PermitComesAfterTheAskWasWithdrawn_IsGivenBack)
 {
   LinkUp();
-  Ask(5);
+  Request(5);
   client_.Withdraw(5);
-  client_.OnMessage(now_, recorded_.dialled_[0], Permit{ 5, "s1" });
+  client_.OnMessage(now_, recorded_.connected_[0], Permit{ 5, "s1" });
   EXPECT_TRUE(recorded_.permits_.empty());
-  EXPECT_NE(std::get_if<SendEnd>(&recorded_.told_.back().second), nullptr);
+  EXPECT_NE(std::get_if<SendEnd>(&recorded_.sent_.back().second), nullptr);
 }
 
 TEST_F(ClientOfADispatcher, LinkBreaks_AsksAreLostAndTheNextOneIsToldWhatIsUnderWay)
 {
   LinkUp();
-  Ask(5);
-  client_.OnMessage(now_, recorded_.dialled_[0], Permit{ 5, "s1" });
-  Ask(6);
-  client_.OnLinkDown(now_, recorded_.dialled_[0]);
+  Request(5);
+  client_.OnMessage(now_, recorded_.connected_[0], Permit{ 5, "s1" });
+  Request(6);
+  client_.OnLinkDown(now_, recorded_.connected_[0]);
   EXPECT_EQ(recorded_.lost_, std::set<AttemptNumber>{ 6 });
-  ASSERT_EQ(recorded_.dialled_.size(), 2U);
-  EXPECT_NE(recorded_.dialled_[1], recorded_.dialled_[0]);
-  recorded_.told_.clear();
+  ASSERT_EQ(recorded_.connected_.size(), 2U);
+  EXPECT_NE(recorded_.connected_[1], recorded_.connected_[0]);
+  recorded_.sent_.clear();
   LinkUp();
-  ASSERT_EQ(recorded_.told_.size(), 1U);
-  const auto* notice = std::get_if<SendNotice>(&recorded_.told_[0].second);
+  ASSERT_EQ(recorded_.sent_.size(), 1U);
+  const auto* notice = std::get_if<SendNotice>(&recorded_.sent_[0].second);
   ASSERT_NE(notice, nullptr);
   EXPECT_EQ(notice->server_, "s1");
   client_.ReportSendEnd({ 5, SendResult::Answered, milliseconds(10), std::nullopt });
-  EXPECT_NE(std::get_if<SendEnd>(&recorded_.told_.back().second), nullptr);
+  EXPECT_NE(std::get_if<SendEnd>(&recorded_.sent_.back().second), nullptr);
 }
 
 TEST_F(ClientOfADispatcher, DispatcherFallsSilent_IsNotAskedAndThenPassedOver)
 {
   LinkUp();
-  Ask(5);
+  Request(5);
   client_.OnUnanswered(now_, "plain");
   EXPECT_FALSE(client_.CanRequestPermit("plain"));
   Pass(milliseconds(200));
-  EXPECT_NE(std::get_if<DispatcherProbe>(&recorded_.told_.back().second), nullptr);
-  EXPECT_TRUE(recorded_.hungUp_.empty());
+  EXPECT_NE(std::get_if<DispatcherProbe>(&recorded_.sent_.back().second), nullptr);
+  EXPECT_TRUE(recorded_.disconnected_.empty());
   Pass(milliseconds(300));
-  EXPECT_TRUE(recorded_.hungUp_.contains(recorded_.dialled_[0]));
-  EXPECT_EQ(recorded_.dialled_.size(), 2U);
+  EXPECT_TRUE(recorded_.disconnected_.contains(recorded_.connected_[0]));
+  EXPECT_EQ(recorded_.connected_.size(), 2U);
 }
 
 TEST_F(ClientOfADispatcher, SilentDispatcherAnswersAgain_IsAskedAgain)
 {
   LinkUp();
-  Ask(5);
+  Request(5);
   client_.OnUnanswered(now_, "plain");
   Pass(milliseconds(100));
-  client_.OnMessage(now_, recorded_.dialled_[0], DispatcherSign{});
+  client_.OnMessage(now_, recorded_.connected_[0], DispatcherSign{});
   EXPECT_TRUE(client_.CanRequestPermit("plain"));
   Pass(seconds(2));
-  EXPECT_TRUE(recorded_.hungUp_.empty());
+  EXPECT_TRUE(recorded_.disconnected_.empty());
 }
 
 TEST_F(ClientOfADispatcher, FormerDispatcherIsBack_ItIsTheDispatcherAgain)
 {
   LinkUp();
-  client_.OnLinkDown(now_, recorded_.dialled_[0]);
+  client_.OnLinkDown(now_, recorded_.connected_[0]);
   Pass(milliseconds(1100));
-  EXPECT_EQ(recorded_.dialled_.back(), recorded_.dialled_.front());
+  EXPECT_EQ(recorded_.connected_.back(), recorded_.connected_.front());
 }
 
 } // namespace
--- a/Tests/LibPermit/TestPermitDispatcher.cpp
+++ b/Tests/LibPermit/TestPermitDispatcher.cpp
@@ -7,16 +7,16 @@
 TEST_F(DispatcherOfAService, ServerIsFree_PermitComesAtOnce)
 {
   Put("s1");
-  EXPECT_EQ(PermittedTo(Ask()), "s1");
+  EXPECT_EQ(PermittedTo(Request()), "s1");
 }
 
 TEST_F(DispatcherOfAService, SlotsAreTaken_OneMayWaitThereAndOthersWaitHere)
 {
   Put("s1");
-  const auto first = Ask();
-  Ask();
-  EXPECT_EQ(PermittedTo(Ask()), "s1") << "it waits at the server for a slot";
-  const auto waiting = Ask();
+  const auto first = Request();
+  Request();
+  EXPECT_EQ(PermittedTo(Request()), "s1") << "it waits at the server for a slot";
+  const auto waiting = Request();
   EXPECT_TRUE(IsAnswered<PermitDelay>(waiting));
   EXPECT_EQ(PermittedTo(waiting), "");
   End(first);
@@ -27,14 +27,14 @@
 {
   Put("s1");
   for (int index = 0; index < 3; ++index) {
-    Ask();
+    Request();
   }
-  std::vector<AttemptNumber> asks;
+  std::vector<AttemptNumber> requests;
   for (int index = 0; index < 40; ++index) {
-    asks.push_back(Ask());
+    requests.push_back(Request());
   }
-  EXPECT_TRUE(IsAnswered<PermitDelay>(asks.front()));
-  EXPECT_TRUE(IsAnswered<PermitDenial>(asks.back()));
+  EXPECT_TRUE(IsAnswered<PermitDelay>(requests.front()));
+  EXPECT_TRUE(IsAnswered<PermitDenial>(requests.back()));
   const auto* denial = std::get_if<PermitDenial>(&actions_.answers_.back().second);
   ASSERT_NE(denial, nullptr);
   EXPECT_GT(denial->wait_, milliseconds(100));
@@ -43,11 +43,11 @@
 TEST_F(DispatcherOfAService, SeveralWait_TheMostUrgentGoesFirstThenTheOneWithLeastTime)
 {
   Put("s1", "hall", 1);
-  const auto first = Ask();
-  const auto second = Ask();
-  const auto relaxed = Ask("", milliseconds(900), 1);
-  const auto pressed = Ask("", milliseconds(400), 1);
-  const auto urgent = Ask("", milliseconds(900), 0);
+  const auto first = Request();
+  const auto second = Request();
+  const auto relaxed = Request("", milliseconds(900), 1);
+  const auto pressed = Request("", milliseconds(400), 1);
+  const auto urgent = Request("", milliseconds(900), 0);
   End(first);
   EXPECT_EQ(PermittedTo(urgent), "s1");
   EXPECT_EQ(PermittedTo(pressed), "");
@@ -60,35 +60,35 @@
 {
   Put("s1", "hall", 8);
   Put("s2", "hall", 8);
-  const auto first = Ask();
-  const auto second = Ask();
+  const auto first = Request();
+  const auto second = Request();
   const auto slow = PermittedTo(first);
   End(first, SendResult::Answered, milliseconds(150), ServerStatus{ 0, 0, 8, 3 });
   End(second, SendResult::Answered, milliseconds(50), ServerStatus{ 0, 0, 8, 1 });
   for (int index = 0; index < 3; ++index) {
-    EXPECT_NE(PermittedTo(Ask()), slow);
+    EXPECT_NE(PermittedTo(Request()), slow);
   }
 }
 
 TEST_F(DispatcherOfAService, ServerTellsOfOthersRequests_TheyTakeItsPlaces)
 {
   Put("s1");
-  End(Ask(), SendResult::Answered, milliseconds(50), ServerStatus{ 2, 1, 2, 1 });
-  const auto ask = Ask();
-  EXPECT_EQ(PermittedTo(ask), "");
+  End(Request(), SendResult::Answered, milliseconds(50), ServerStatus{ 2, 1, 2, 1 });
+  const auto request = Request();
+  EXPECT_EQ(PermittedTo(request), "");
   Pass(milliseconds(310));
-  EXPECT_EQ(PermittedTo(ask), "") << "it was denied when it could not be in time any more";
-  EXPECT_EQ(PermittedTo(Ask()), "s1") << "what was told so long ago holds no more";
+  EXPECT_EQ(PermittedTo(request), "") << "it was denied when it could not be in time any more";
+  EXPECT_EQ(PermittedTo(Request()), "s1") << "what was told so long ago holds no more";
 }
 
 TEST_F(DispatcherOfAService, ServerClaimsToBeIdleWhileItsAnswersAreOverdue_ItGetsNoMore)
 {
   Put("s1");
-  End(Ask(), SendResult::Answered, milliseconds(50), ServerStatus{ 0, 0, 2, 1 });
+  End(Request(), SendResult::Answered, milliseconds(50), ServerStatus{ 0, 0, 2, 1 });
   Pass(milliseconds(1));
-  Ask("", seconds(5));
+  Request("", seconds(5));
   Pass(milliseconds(400));
-  EXPECT_EQ(PermittedTo(Ask()), "");
+  EXPECT_EQ(PermittedTo(Request()), "");
 }
 
 TEST_F(DispatcherOfAService, ServerWantsRestFromOneInstance_OnlyThatOneGetsNoPermitForIt)
@@ -96,15 +96,17 @@
   constexpr CallerId kOther = 2;
   Put("s1");
   dispatcher_.OnMessage(
-    now_, kCaller, SendEnd{ Ask(), SendResult::Shed, milliseconds(4), std::nullopt, seconds(3) });
+    now_,
+    kCaller,
+    SendEnd{ Request(), SendResult::Shed, milliseconds(4), std::nullopt, seconds(3) });
   Pass(milliseconds(100));
-  EXPECT_EQ(PermittedTo(Ask()), "");
-  const auto ask = Ask("", milliseconds(300), 1, kOther);
+  EXPECT_EQ(PermittedTo(Request()), "");
+  const auto request = Request("", milliseconds(300), 1, kOther);
   Pass(milliseconds(10));
-  EXPECT_EQ(PermittedTo(ask), "s1");
-  End(ask, SendResult::Answered, milliseconds(50), std::nullopt, kOther);
+  EXPECT_EQ(PermittedTo(request), "s1");
+  End(request, SendResult::Answered, milliseconds(50), std::nullopt, kOther);
   Pass(milliseconds(2950));
-  EXPECT_EQ(PermittedTo(Ask()), "s1");
+  EXPECT_EQ(PermittedTo(Request()), "s1");
 }
 
 // Guards against a dispatcher that issues more permits than a server's rate limit allows for all
@@ -114,22 +116,22 @@
   constexpr double kLimit = 8;
   constexpr int kSeconds = 8;
   Put("s1");
-  EndWithLimit(Ask("s1"), kLimit);
+  EndWithLimit(Request("s1"), kLimit);
   std::map<AttemptNumber, CallerId> open;
   int permitted = 0;
   for (int index = 0; index < kSeconds * 40; ++index) {
     const CallerId caller = kCaller + index % 2;
-    open[Ask("s1", milliseconds(300), 1, caller)] = caller;
+    open[Request("s1", milliseconds(300), 1, caller)] = caller;
     Pass(milliseconds(25));
     // Includes permits for requests that were queued.
-    for (auto ask = open.begin(); ask != open.end();) {
-      if (PermittedTo(ask->first).empty()) {
-        ++ask;
+    for (auto request = open.begin(); request != open.end();) {
+      if (PermittedTo(request->first).empty()) {
+        ++request;
         continue;
       }
       ++permitted;
-      EndWithLimit(ask->first, kLimit, ask->second);
-      ask = open.erase(ask);
+      EndWithLimit(request->first, kLimit, request->second);
+      request = open.erase(request);
     }
   }
   EXPECT_LE(permitted, kLimit * kSeconds + kLimit);
@@ -142,17 +144,17 @@
 {
   Put("s1");
   Put("s2");
-  EndWithLimit(Ask("s1"), 1);
-  int atLimited = 0;
+  EndWithLimit(Request("s1"), 1);
+  int sentToLimited = 0;
   for (int index = 0; index < 100; ++index) {
-    const auto ask = Ask();
-    const auto server = PermittedTo(ask);
+    const auto request = Request();
+    const auto server = PermittedTo(request);
     ASSERT_NE(server, "");
-    atLimited += server == "s1" ? 1 : 0;
-    EndWithLimit(ask, server == "s1" ? 1 : kNoRateLimit);
+    sentToLimited += server == "s1" ? 1 : 0;
+    EndWithLimit(request, server == "s1" ? 1 : kNoRateLimit);
     Pass(milliseconds(50));
   }
-  EXPECT_LE(atLimited, 6);
+  EXPECT_LE(sentToLimited, 6);
 }
 
 // Guards against repeated permits for a leaving server, each of which is returned by an instance
@@ -160,7 +162,7 @@
 TEST_F(DispatcherOfAService, PermitIsGivenBackSinceItsServerLeaves_TheFleetIsTold)
 {
   Put("s1");
-  auto end = CancelledSend(Ask());
+  auto end = CancelledSend(Request());
   end.leavingIncarnation_ = 1700;
   dispatcher_.OnMessage(now_, kCaller, end);
   EXPECT_TRUE(actions_.leaving_.contains({ "s1", 1700 }));
@@ -171,10 +173,10 @@
   Put("a1", "other-hall");
   Put("b1", "hall");
   // Both get one request first as a probe, irrespective of their halls.
-  End(Ask());
-  End(Ask());
+  End(Request());
+  End(Request());
   for (int index = 0; index < 2; ++index) {
-    EXPECT_EQ(PermittedTo(Ask()), "b1");
+    EXPECT_EQ(PermittedTo(Request()), "b1");
   }
 }
 
@@ -184,7 +186,7 @@
   Put("b1", "hall");
   std::map<std::string, int> permits;
   for (int index = 0; index < 6; ++index) {
-    ++permits[PermittedTo(Ask())];
+    ++permits[PermittedTo(Request())];
   }
   EXPECT_EQ(permits["a1"], 3);
   EXPECT_EQ(permits["b1"], 3);
@@ -195,9 +197,9 @@
   Put("a1", "hall");
   Put("b1", "other-hall", 1);
   for (int index = 0; index < 5; ++index) {
-    EXPECT_NE(PermittedTo(Ask()), "");
+    EXPECT_NE(PermittedTo(Request()), "");
   }
-  const auto waiting = Ask();
+  const auto waiting = Request();
   directory_.DrainHall("hall");
   dispatcher_.OnDirectoryChanged(now_);
   Pass(milliseconds(10));
@@ -206,8 +208,8 @@
     End(number);
   }
   EXPECT_EQ(PermittedTo(waiting), "b1");
-  EXPECT_EQ(PermittedTo(Ask()), "b1");
-  EXPECT_NE(PermittedTo(Ask()), "a1");
+  EXPECT_EQ(PermittedTo(Request()), "b1");
+  EXPECT_NE(PermittedTo(Request()), "a1");
 }
 
 TEST_F(DispatcherOfAService, ServerStartsSlowly_ItGetsItsRateFromAllTogether)
@@ -215,10 +217,10 @@
   Put("s1", "hall", 20, seconds(3));
   std::vector<Instant> sends;
   for (int index = 0; index < 3000; ++index) {
-    const auto ask = Ask("", milliseconds(1), 1, 1 + static_cast<CallerId>(index % 7));
-    if (!PermittedTo(ask).empty()) {
+    const auto request = Request("", milliseconds(1), 1, 1 + static_cast<CallerId>(index % 7));
+    if (!PermittedTo(request).empty()) {
       sends.push_back(now_);
-      End(ask,
+      End(request,
           SendResult::Answered,
           milliseconds(1),
           std::nullopt,
@@ -239,16 +241,16 @@
   Put("s1");
   Put("s2");
   for (int index = 0; index < 3; ++index) {
-    EXPECT_EQ(PermittedTo(Ask("s1")), "s1");
+    EXPECT_EQ(PermittedTo(Request("s1")), "s1");
   }
-  std::vector<AttemptNumber> asks;
+  std::vector<AttemptNumber> requests;
   for (int index = 0; index < 30; ++index) {
-    asks.push_back(Ask("s1"));
+    requests.push_back(Request("s1"));
   }
-  EXPECT_TRUE(IsAnswered<PermitDenial>(asks.back()));
-  EXPECT_EQ(PermittedTo(Ask("s2")), "s2") << "another owner's keys do not wait for it";
+  EXPECT_TRUE(IsAnswered<PermitDenial>(requests.back()));
+  EXPECT_EQ(PermittedTo(Request("s2")), "s2") << "another owner's keys do not wait for it";
   // An unlisted server may be listed by the next directory update.
-  const auto unlisted = Ask("gone");
+  const auto unlisted = Request("gone");
   EXPECT_TRUE(IsAnswered<PermitDelay>(unlisted));
   Pass(milliseconds(60));
   EXPECT_TRUE(IsAnswered<PermitDenial>(unlisted));
@@ -257,25 +259,25 @@
 TEST_F(DispatcherOfAService, CallerIsGone_ItsPlacesAreFreeAndItsAsksForgotten)
 {
   Put("s1", "hall", 1);
-  Ask("", milliseconds(300), 1, 7);
-  Ask("", milliseconds(300), 1, 7);
-  Ask("", milliseconds(300), 1, 7);
-  const auto other = Ask("", milliseconds(300), 1, 8);
+  Request("", milliseconds(300), 1, 7);
+  Request("", milliseconds(300), 1, 7);
+  Request("", milliseconds(300), 1, 7);
+  const auto other = Request("", milliseconds(300), 1, 8);
   EXPECT_EQ(PermittedTo(other), "");
   dispatcher_.OnCallerGone(now_, 7);
   EXPECT_EQ(PermittedTo(other), "s1");
-  EXPECT_EQ(dispatcher_.UnderWay(), 1U);
-  EXPECT_EQ(dispatcher_.Waiting(), 0U);
+  EXPECT_EQ(dispatcher_.InFlight(), 1U);
+  EXPECT_EQ(dispatcher_.Queued(), 0U);
 }
 
 TEST_F(DispatcherOfAService, EndIsNeverTold_ThePlaceIsFreeSomeTimeAfterTheClientsTime)
 {
   Put("s1", "hall", 1);
-  Ask();
-  Ask();
+  Request();
+  Request();
   Pass(seconds(2));
-  EXPECT_EQ(dispatcher_.UnderWay(), 0U);
-  EXPECT_EQ(PermittedTo(Ask()), "s1");
+  EXPECT_EQ(dispatcher_.InFlight(), 0U);
+  EXPECT_EQ(PermittedTo(Request()), "s1");
 }
 
 TEST_F(DispatcherOfAService, IsToldOfSendsByANewCaller_TheyTakeTheirPlaces)
@@ -285,35 +287,35 @@
     dispatcher_.OnMessage(
       now_, 5, SendNotice{ number, "plain", "s1", milliseconds(20), milliseconds(500) });
   }
-  const auto ask = Ask();
-  EXPECT_EQ(PermittedTo(ask), "");
+  const auto request = Request();
+  EXPECT_EQ(PermittedTo(request), "");
   End(900, SendResult::Answered, milliseconds(50), std::nullopt, 5);
-  EXPECT_EQ(PermittedTo(ask), "s1");
+  EXPECT_EQ(PermittedTo(request), "s1");
 }
 
 TEST_F(DispatcherOfAService, SameMessageComesTwiceOrOutOfTurn_NothingIsCountedTwice)
 {
   Put("s1");
-  const auto ask = Ask();
+  const auto request = Request();
   PermitRequest again;
-  again.number_ = ask;
+  again.number_ = request;
   again.service_ = "plain";
   dispatcher_.OnMessage(now_, kCaller, again);
-  EXPECT_EQ(dispatcher_.UnderWay(), 1U);
-  End(ask);
-  End(ask);
+  EXPECT_EQ(dispatcher_.InFlight(), 1U);
+  End(request);
+  End(request);
   End(12345);
   dispatcher_.OnMessage(now_, kCaller, PermitWithdrawal{ 777 });
-  EXPECT_EQ(dispatcher_.UnderWay(), 0U);
-  EXPECT_EQ(PermittedTo(Ask()), "s1");
+  EXPECT_EQ(dispatcher_.InFlight(), 0U);
+  EXPECT_EQ(PermittedTo(Request()), "s1");
 }
 
 TEST_F(DispatcherOfAService, ServiceIsNotKnown_IsDenied)
 {
-  PermitRequest ask;
-  ask.number_ = 5;
-  ask.service_ = "nobody";
-  dispatcher_.OnMessage(now_, kCaller, ask);
+  PermitRequest request;
+  request.number_ = 5;
+  request.service_ = "nobody";
+  dispatcher_.OnMessage(now_, kCaller, request);
   EXPECT_TRUE(IsAnswered<PermitDenial>(5));
 }
 
@@ -321,18 +323,18 @@
 {
   Put("s1", "hall", 8);
   for (int index = 0; index < 10; ++index) {
-    End(Ask(), SendResult::Answered, milliseconds(1));
+    End(Request(), SendResult::Answered, milliseconds(1));
   }
   Put("z9", "other-hall", 1);
-  EXPECT_EQ(PermittedTo(Ask()), "z9");
+  EXPECT_EQ(PermittedTo(Request()), "z9");
 }
 
 TEST_F(DispatcherOfAService, LateRequestsAreServedWithWhatIsLeft_TheyWaitLonger)
 {
   Put("s1", "hall", 1);
   const auto waits = [&] {
-    const auto first = Ask();
-    const auto late = Ask("", Duration(-1));
+    const auto first = Request();
+    const auto late = Request("", Duration(-1));
     const bool isWaiting = IsAnswered<PermitDelay>(late);
     Pass(milliseconds(49));
     End(first);
@@ -343,8 +345,8 @@
   for (int index = 0; index < 60; ++index) {
     waits();
   }
-  Ask();
-  const auto late = Ask("", Duration(-1));
+  Request();
+  const auto late = Request("", Duration(-1));
   Pass(milliseconds(200));
   EXPECT_FALSE(IsAnswered<PermitDenial>(late));
 }
