--- a/Tests/LibPermit/TestDispatchUnderLoad.cpp
+++ b/Tests/LibPermit/TestDispatchUnderLoad.cpp
@@ -258,7 +258,7 @@
 class ServiceAtFullWork : public testing::TestWithParam<unsigned>
 {};
 
-TEST_P(ServiceAtFullWork, DispatcherSeesAllSends_MoreIsInTimeThanAlone)
+TEST_P(ServiceAtFullWork, DispatcherSeesAllSends_MoreIsInTimeThanWithout)
 {
   const auto alone = LoadWorld(GetParam(), 0.9).RunWithoutDispatcher();
   const auto dispatched = LoadWorld(GetParam(), 0.9).RunWithDispatcher();
@@ -268,7 +268,7 @@
   EXPECT_GT(dispatched.MeanValue(), 0.85);
 }
 
-TEST_P(ServiceAtFullWork, AskedForAFifthMore_NothingIsResetAndTheRestIsInTime)
+TEST_P(ServiceAtFullWork, OverloadedByAFifth_NothingIsResetAndServedRequestsAreInTime)
 {
   const auto dispatched = LoadWorld(GetParam(), 1.2).RunWithDispatcher();
   RecordProperty("dispatched", std::to_string(dispatched.MeanValue()));
--- a/Tests/LibPermit/TestDispatcherAssignment.cpp
+++ b/Tests/LibPermit/TestDispatcherAssignment.cpp
@@ -20,7 +20,7 @@
 
 const std::vector<std::string> kServices{ "a", "b", "c", "d" };
 
-TEST(DispatcherAssignment, NobodyIsKnown_ThereIsNoDispatcher)
+TEST(DispatcherAssignment, NoInstanceIsKnown_ThereIsNoDispatcher)
 {
   DispatcherAssignment assignment;
   assignment.Assign({}, kServices);
@@ -28,7 +28,7 @@
   EXPECT_TRUE(assignment.CandidatesFor("unknown").empty());
 }
 
-TEST(DispatcherAssignment, SomeAreStrong_OnlyTheyAreDispatchersAndEachHasOneService)
+TEST(DispatcherAssignment, SomeInstancesAreStrong_OnlyTheyAreDispatchersOfOneServiceEach)
 {
   DispatcherAssignment assignment;
   assignment.Assign(MakePeers(6, 40), kServices);
@@ -43,7 +43,7 @@
   EXPECT_EQ(dispatchers.size(), kServices.size());
 }
 
-TEST(DispatcherAssignment, FewerInstancesThanServices_EachServiceHasOneAllTheSame)
+TEST(DispatcherAssignment, FewerInstancesThanServices_EachServiceHasADispatcher)
 {
   DispatcherAssignment assignment;
   assignment.Assign(MakePeers(1, 0), kServices);
@@ -52,7 +52,7 @@
   }
 }
 
-TEST(DispatcherAssignment, OneInstanceLeaves_ServicesOfOthersStay)
+TEST(DispatcherAssignment, OneInstanceLeaves_ServicesOfOthersAreNotMoved)
 {
   DispatcherAssignment before;
   before.Assign(MakePeers(12, 0), { "a" });
--- a/Tests/LibPermit/TestPermitClient.cpp
+++ b/Tests/LibPermit/TestPermitClient.cpp
@@ -81,7 +81,7 @@
   PermitClient client_{ recorded_, events_ };
 };
 
-TEST_F(ClientOfADispatcher, LinkIsNotUpYet_CannotBeAsked)
+TEST_F(ClientOfADispatcher, LinkIsNotUpYet_PermitsCannotBeRequested)
 {
   ASSERT_EQ(recorded_.connected_.size(), 1U);
   EXPECT_FALSE(client_.CanRequestPermit("plain"));
@@ -90,7 +90,7 @@
   EXPECT_FALSE(client_.CanRequestPermit("other"));
 }
 
-TEST_F(ClientOfADispatcher, PermitComes_IsHandedOnOnce)
+TEST_F(ClientOfADispatcher, PermitArrives_IsReportedOnce)
 {
   LinkUp();
   Request(5);
@@ -103,7 +103,7 @@
   EXPECT_EQ(end->result_, SendResult::Cancelled);
 }
 
-TEST_F(ClientOfADispatcher, PermitComesAfterTheAskWasWithdrawn_IsGivenBack)
+TEST_F(ClientOfADispatcher, PermitArrivesAfterWithdrawal_IsReturned)
 {
   LinkUp();
   Request(5);
@@ -113,7 +113,7 @@
   EXPECT_NE(std::get_if<SendEnd>(&recorded_.sent_.back().second), nullptr);
 }
 
-TEST_F(ClientOfADispatcher, LinkBreaks_AsksAreLostAndTheNextOneIsToldWhatIsUnderWay)
+TEST_F(ClientOfADispatcher, LinkFails_RequestsAreLostAndNextDispatcherLearnsOfRunningSends)
 {
   LinkUp();
   Request(5);
@@ -133,7 +133,7 @@
   EXPECT_NE(std::get_if<SendEnd>(&recorded_.sent_.back().second), nullptr);
 }
 
-TEST_F(ClientOfADispatcher, DispatcherFallsSilent_IsNotAskedAndThenPassedOver)
+TEST_F(ClientOfADispatcher, DispatcherDoesNotAnswer_IsNotUsedAndThenFailedOver)
 {
   LinkUp();
   Request(5);
@@ -147,7 +147,7 @@
   EXPECT_EQ(recorded_.connected_.size(), 2U);
 }
 
-TEST_F(ClientOfADispatcher, SilentDispatcherAnswersAgain_IsAskedAgain)
+TEST_F(ClientOfADispatcher, DispatcherAnswersAgain_IsUsedAgain)
 {
   LinkUp();
   Request(5);
@@ -159,7 +159,7 @@
   EXPECT_TRUE(recorded_.disconnected_.empty());
 }
 
-TEST_F(ClientOfADispatcher, FormerDispatcherIsBack_ItIsTheDispatcherAgain)
+TEST_F(ClientOfADispatcher, FormerDispatcherReturns_IsSelectedAgain)
 {
   LinkUp();
   client_.OnLinkDown(now_, recorded_.connected_[0]);
--- a/Tests/LibPermit/TestPermitDispatcher.cpp
+++ b/Tests/LibPermit/TestPermitDispatcher.cpp
@@ -4,18 +4,18 @@
 
 namespace {
 
-TEST_F(DispatcherOfAService, ServerIsFree_PermitComesAtOnce)
+TEST_F(DispatcherOfAService, ServerIsFree_PermitIsIssuedAtOnce)
 {
   Put("s1");
   EXPECT_EQ(PermittedTo(Request()), "s1");
 }
 
-TEST_F(DispatcherOfAService, SlotsAreTaken_OneMayWaitThereAndOthersWaitHere)
+TEST_F(DispatcherOfAService, SlotsAreInUse_OneRequestQueuesAtTheServerAndOthersHere)
 {
   Put("s1");
   const auto first = Request();
   Request();
-  EXPECT_EQ(PermittedTo(Request()), "s1") << "it waits at the server for a slot";
+  EXPECT_EQ(PermittedTo(Request()), "s1") << "it queues at the server for a slot";
   const auto waiting = Request();
   EXPECT_TRUE(IsAnswered<PermitDelay>(waiting));
   EXPECT_EQ(PermittedTo(waiting), "");
@@ -23,7 +23,7 @@
   EXPECT_EQ(PermittedTo(waiting), "s1");
 }
 
-TEST_F(DispatcherOfAService, WillNotBeInTime_IsDeniedAtOnceWithTheTimeUntilThereIsRoom)
+TEST_F(DispatcherOfAService, WillNotBeInTime_IsDeniedAtOnceWithExpectedWait)
 {
   Put("s1");
   for (int index = 0; index < 3; ++index) {
@@ -40,7 +40,7 @@
   EXPECT_GT(denial->wait_, milliseconds(100));
 }
 
-TEST_F(DispatcherOfAService, SeveralWait_TheMostUrgentGoesFirstThenTheOneWithLeastTime)
+TEST_F(DispatcherOfAService, SeveralAreQueued_ServedByUrgencyThenByDeadline)
 {
   Put("s1", "hall", 1);
   const auto first = Request();
@@ -56,7 +56,7 @@
   EXPECT_EQ(PermittedTo(relaxed), "");
 }
 
-TEST_F(DispatcherOfAService, ServerTellsThatItIsSlowNow_AnotherIsChosen)
+TEST_F(DispatcherOfAService, ServerReportsThatItIsSlow_AnotherIsChosen)
 {
   Put("s1", "hall", 8);
   Put("s2", "hall", 8);
@@ -70,18 +70,18 @@
   }
 }
 
-TEST_F(DispatcherOfAService, ServerTellsOfOthersRequests_TheyTakeItsPlaces)
+TEST_F(DispatcherOfAService, ServerReportsRequestsOfOthers_TheyUseItsSlots)
 {
   Put("s1");
   End(Request(), SendResult::Answered, milliseconds(50), ServerStatus{ 2, 1, 2, 1 });
   const auto request = Request();
   EXPECT_EQ(PermittedTo(request), "");
   Pass(milliseconds(310));
-  EXPECT_EQ(PermittedTo(request), "") << "it was denied when it could not be in time any more";
-  EXPECT_EQ(PermittedTo(Request()), "s1") << "what was told so long ago holds no more";
+  EXPECT_EQ(PermittedTo(request), "") << "it was denied once it could no longer be in time";
+  EXPECT_EQ(PermittedTo(Request()), "s1") << "the report has expired";
 }
 
-TEST_F(DispatcherOfAService, ServerClaimsToBeIdleWhileItsAnswersAreOverdue_ItGetsNoMore)
+TEST_F(DispatcherOfAService, ServerReportsIdleButAnswersAreOverdue_GetsNoMoreRequests)
 {
   Put("s1");
   End(Request(), SendResult::Answered, milliseconds(50), ServerStatus{ 0, 0, 2, 1 });
@@ -159,7 +159,7 @@
 
 // Guards against repeated permits for a leaving server, each of which is returned by an instance
 // that already knows that the server is leaving.
-TEST_F(DispatcherOfAService, PermitIsGivenBackSinceItsServerLeaves_TheFleetIsTold)
+TEST_F(DispatcherOfAService, PermitIsReturnedBecauseItsServerLeaves_LeavingIsReported)
 {
   Put("s1");
   auto end = CancelledSend(Request());
@@ -168,7 +168,7 @@
   EXPECT_TRUE(actions_.leaving_.contains({ "s1", 1700 }));
 }
 
-TEST_F(DispatcherOfAService, ServerOfTheOwnHallIsFree_ItIsPreferred)
+TEST_F(DispatcherOfAService, ServerOfTheSameHallIsFree_IsPreferred)
 {
   Put("a1", "other-hall");
   Put("b1", "hall");
@@ -180,7 +180,7 @@
   }
 }
 
-TEST_F(DispatcherOfAService, OwnHallIsFullAndTheOtherIsNot_TheOtherServes)
+TEST_F(DispatcherOfAService, SameHallIsFull_OtherHallIsUsed)
 {
   Put("a1", "other-hall");
   Put("b1", "hall");
@@ -192,7 +192,7 @@
   EXPECT_EQ(permits["b1"], 3);
 }
 
-TEST_F(DispatcherOfAService, HallIsDrained_WhatWaitsAndWhatComesGoesElsewhere)
+TEST_F(DispatcherOfAService, HallIsDrained_QueuedAndNewRequestsAreSentElsewhere)
 {
   Put("a1", "hall");
   Put("b1", "other-hall", 1);
@@ -236,7 +236,7 @@
   EXPECT_GE(sends.size(), 15U);
 }
 
-TEST_F(DispatcherOfAService, KeyHasAnOwner_OnlyTheOwnerIsPermittedAndHotOnesAreDenied)
+TEST_F(DispatcherOfAService, KeyHasAnOwner_OnlyTheOwnerIsUsedAndExcessIsDenied)
 {
   Put("s1");
   Put("s2");
@@ -248,7 +248,7 @@
     requests.push_back(Request("s1"));
   }
   EXPECT_TRUE(IsAnswered<PermitDenial>(requests.back()));
-  EXPECT_EQ(PermittedTo(Request("s2")), "s2") << "another owner's keys do not wait for it";
+  EXPECT_EQ(PermittedTo(Request("s2")), "s2") << "the keys of another owner are not blocked";
   // An unlisted server may be listed by the next directory update.
   const auto unlisted = Request("gone");
   EXPECT_TRUE(IsAnswered<PermitDelay>(unlisted));
@@ -256,7 +256,7 @@
   EXPECT_TRUE(IsAnswered<PermitDenial>(unlisted));
 }
 
-TEST_F(DispatcherOfAService, CallerIsGone_ItsPlacesAreFreeAndItsAsksForgotten)
+TEST_F(DispatcherOfAService, CallerIsGone_ItsSendsAndRequestsAreDropped)
 {
   Put("s1", "hall", 1);
   Request("", milliseconds(300), 1, 7);
@@ -270,7 +270,7 @@
   EXPECT_EQ(dispatcher_.Queued(), 0U);
 }
 
-TEST_F(DispatcherOfAService, EndIsNeverTold_ThePlaceIsFreeSomeTimeAfterTheClientsTime)
+TEST_F(DispatcherOfAService, EndIsNotReported_SendExpiresAfterTheClientsDeadline)
 {
   Put("s1", "hall", 1);
   Request();
@@ -280,7 +280,7 @@
   EXPECT_EQ(PermittedTo(Request()), "s1");
 }
 
-TEST_F(DispatcherOfAService, IsToldOfSendsByANewCaller_TheyTakeTheirPlaces)
+TEST_F(DispatcherOfAService, NewCallerReportsSends_TheyUseSlots)
 {
   Put("s1");
   for (AttemptNumber number = 900; number < 903; ++number) {
@@ -293,7 +293,7 @@
   EXPECT_EQ(PermittedTo(request), "s1");
 }
 
-TEST_F(DispatcherOfAService, SameMessageComesTwiceOrOutOfTurn_NothingIsCountedTwice)
+TEST_F(DispatcherOfAService, MessagesAreRepeatedOrUnexpected_NothingIsCountedTwice)
 {
   Put("s1");
   const auto request = Request();
@@ -310,7 +310,7 @@
   EXPECT_EQ(PermittedTo(Request()), "s1");
 }
 
-TEST_F(DispatcherOfAService, ServiceIsNotKnown_IsDenied)
+TEST_F(DispatcherOfAService, UnknownService_IsDenied)
 {
   PermitRequest request;
   request.number_ = 5;
@@ -319,7 +319,7 @@
   EXPECT_TRUE(IsAnswered<PermitDenial>(5));
 }
 
-TEST_F(DispatcherOfAService, ServerThatJoins_GetsARequestSoonThoughOthersAreFree)
+TEST_F(DispatcherOfAService, ServerJoins_IsProbedThoughOthersAreFree)
 {
   Put("s1", "hall", 8);
   for (int index = 0; index < 10; ++index) {
@@ -329,7 +329,7 @@
   EXPECT_EQ(PermittedTo(Request()), "z9");
 }
 
-TEST_F(DispatcherOfAService, LateRequestsAreServedWithWhatIsLeft_TheyWaitLonger)
+TEST_F(DispatcherOfAService, LateRequestsAreServedWithSpareCapacity_WaitBoundGrows)
 {
   Put("s1", "hall", 1);
   const auto waits = [&] {
