--- a/Libraries/LibKeys/KeyLoad.h
+++ b/Libraries/LibKeys/KeyLoad.h
@@ -36,6 +36,7 @@
 public:
   KeyLoad();
 
+  // Adds the requests that one instance has counted. Keys above kLastKey are ignored.
   void Add(Instant aNow, const std::vector<KeyCount>& aCounts);
   // The load of the keys in [aFirst, aLast], in decayed requests, as of the last Refresh.
   double Between(KeyNumber aFirst, KeyNumber aLast) const;
--- a/Libraries/LibKeys/LoadDistribution.h
+++ b/Libraries/LibKeys/LoadDistribution.h
@@ -16,6 +16,7 @@
 class LoadDistribution
 {
 public:
+  // Servers that are not usable are left out, but their load counts in the total.
   LoadDistribution(const KeyOwnership& aOwnership,
                    const std::vector<KeyServer>& aServers,
                    const KeyLoad& aLoad);
--- a/Libraries/LibKeys/OwnershipPlacer.cpp
+++ b/Libraries/LibKeys/OwnershipPlacer.cpp
@@ -216,7 +216,7 @@
 {
   nextTime_ = aNow + kPollInterval;
   if (aNow < blockedUntil_) {
-    // Writing is also withheld: the row's old epoch tells the next placer that it has to wait as
+    // Writing is also withheld: the old epoch in the row makes the next placer wait as
     // well.
     return;
   }
--- a/Libraries/LibKeys/OwnershipPlacer.h
+++ b/Libraries/LibKeys/OwnershipPlacer.h
@@ -68,11 +68,15 @@
   // The former placer is known to send no more commands, so its grants expire within one lease
   // duration.
   void OnFormerPlacerStopped(Instant aNow);
+  // Sets the listed servers of the service, usable or not. Their incarnations reveal restarts.
   void SetServers(Instant aNow, std::vector<KeyServer> aServers);
+  // Adds the requests per key from the load report of one instance.
   void OnLoad(Instant aNow, const std::vector<KeyCount>& aCounts) { load_.Add(aNow, aCounts); }
+  // The outstanding write succeeded.
   void OnWritten(Instant aNow);
   // The write failed or its outcome is unknown; aStored is the row as read afterwards.
   void OnWriteFailed(Instant aNow, KeyOwnership aStored);
+  // A command passed to PlacerActions::SendCommand has ended. Unknown numbers are ignored.
   void OnCommandEnded(Instant aNow, CommandNumber aCommand, const CommandOutcome& aOutcome);
   // Sends the commands and writes that are due. aMayWrite is false while the store is unavailable.
   void OnTime(Instant aNow, bool aMayWrite);
--- a/Libraries/LibKeys/PlacerActions.h
+++ b/Libraries/LibKeys/PlacerActions.h
@@ -27,6 +27,7 @@
 public:
   virtual ~PlacerActions() = default;
 
+  // Sends a command to its server; its result goes to OwnershipPlacer::OnCommandEnded.
   virtual void SendCommand(const KeyCommand& aCommand) = 0;
   // Records that a grant to the server was sent but not acknowledged, so that it may hold keys
   // until aNow + aDuration. To be shared with the other instances in case this one is lost.
--- a/Libraries/LibPermit/DispatchedServer.h
+++ b/Libraries/LibPermit/DispatchedServer.h
@@ -48,7 +48,8 @@
   Duration ExpectedQueueTime(Instant aNow, std::size_t aAhead, Duration aDefaultWork) const;
   // Expected work time of a request at the server's current speed, without any wait for a slot.
   Duration WorkTime(Instant aNow, Duration aDefaultWork) const;
-  // Expected capacity in requests per second, limited by circuit breaker, rate limit and slow start.
+  // Expected capacity in requests per second, limited by circuit breaker, rate limit and slow
+  // start.
   double Throughput(Instant aNow, Duration aDefaultWork) const;
 
   const std::string& Hall() const { return hall_; }
--- a/Libraries/LibPermit/DispatcherAssignment.h
+++ b/Libraries/LibPermit/DispatcherAssignment.h
@@ -14,6 +14,7 @@
 class DispatcherAssignment
 {
 public:
+  // Recomputes the assignment. aPeers are the instances of the roster by address.
   void Assign(const std::map<std::string, FleetPeer>& aPeers,
               const std::vector<std::string>& aServices);
 
--- a/Libraries/LibPermit/PermitClient.h
+++ b/Libraries/LibPermit/PermitClient.h
@@ -30,8 +30,11 @@
 public:
   virtual ~PermitListener() = default;
 
+  // The request may be sent to aServer now.
   virtual void OnPermit(Instant aNow, AttemptNumber aNumber, const std::string& aServer) = 0;
+  // The request is queued at the dispatcher; a permit or a denial follows.
   virtual void OnPermitDelayed(Instant aNow, AttemptNumber aNumber) = 0;
+  // No permit will be issued in time; aWait is the expected time until a server has capacity.
   virtual void OnPermitDenied(Instant aNow, AttemptNumber aNumber, Duration aWait) = 0;
   // The dispatcher was lost. The permit must be requested again, or the request sent without one.
   virtual void OnPermitRequestLost(Instant aNow, AttemptNumber aNumber) = 0;
@@ -47,7 +50,9 @@
   PermitClient(PermitClientActions& aActions, EventSink& aEvents);
 
   void SetListener(PermitListener& aListener) { listener_ = &aListener; }
+  // Sets the instances of the fleet by address.
   void SetPeers(Instant aNow, const std::map<std::string, FleetPeer>& aPeers);
+  // Sets the services that have a dispatcher.
   void SetServices(Instant aNow, std::vector<std::string> aServices);
 
   void OnLinkUp(Instant aNow, const std::string& aDispatcher);
@@ -55,6 +60,7 @@
   void OnMessage(Instant aNow,
                  const std::string& aDispatcher,
                  const MessageFromDispatcher& aMessage);
+  // Probes dispatchers that do not answer and fails over. To be called periodically.
   void OnTime(Instant aNow);
 
   bool CanRequestPermit(const std::string& aService) const override;
--- a/Libraries/LibPermit/PermitDispatcher.h
+++ b/Libraries/LibPermit/PermitDispatcher.h
@@ -39,6 +39,7 @@
   // To be called after each change of the server directory.
   void OnDirectoryChanged(Instant aNow);
 
+  // Handles a message of one instance. Repeated permit requests and unknown numbers are ignored.
   void OnMessage(Instant aNow, CallerId aCaller, const MessageToDispatcher& aMessage);
   // Ends all sends and permit requests of a caller whose link is down.
   void OnCallerGone(Instant aNow, CallerId aCaller);
