--- a/Benchmarks/BenchGateway.cpp
+++ b/Benchmarks/BenchGateway.cpp
@@ -75,7 +75,7 @@
   RequestDesk desk({ "hall", {}, 1 }, directory, actions, permits, events);
   desk.SetInstances(10);
   desk.SetRoutes(now, MakeRoutes(aIsKeyed));
-  desk.SetOwnership(now, KeyBalancer::DealAll("rates", 0, servers));
+  desk.SetOwnership(now, KeyBalancer::AssignAll("rates", 0, servers));
   RequestNumber number = 0;
   for (auto _ : aState) {
     ++number;
@@ -137,13 +137,13 @@
   for (auto _ : aState) {
     ++number;
     now += microseconds(500);
-    PermitAsk ask;
-    ask.number_ = number;
-    ask.service_ = "rates";
-    ask.hall_ = "hall";
-    ask.inTime_ = milliseconds(300);
-    ask.timeLeft_ = milliseconds(1000);
-    dispatcher.OnMessage(now, 1, ask);
+    PermitRequest request;
+    request.number_ = number;
+    request.service_ = "rates";
+    request.hall_ = "hall";
+    request.inTime_ = milliseconds(300);
+    request.timeLeft_ = milliseconds(1000);
+    dispatcher.OnMessage(now, 1, request);
     dispatcher.OnMessage(
       now, 1, SendEnd{ number, SendResult::Answered, milliseconds(50), std::nullopt });
   }
@@ -157,7 +157,7 @@
 BM_EvenOutKeys(benchmark::State& aState)
 {
   const auto servers = MakeServers(static_cast<std::size_t>(aState.range(0)));
-  const auto ownership = KeyBalancer::DealAll("rates", 0, servers);
+  const auto ownership = KeyBalancer::AssignAll("rates", 0, servers);
   KeyLoad load;
   std::vector<KeyCount> counts;
   for (KeyNumber key = 1000; key < 1200; ++key) {
@@ -168,7 +168,7 @@
   const KeyBalancer balancer{ {} };
   std::size_t moved = 0;
   for (auto _ : aState) {
-    const auto next = balancer.EvenOut(ownership, servers, load, ownership.lastFence_);
+    const auto next = balancer.Rebalance(ownership, servers, load, ownership.lastFence_);
     moved = next ? ChangesBetween(ownership, *next).ranges_.size() : 0;
   }
   aState.counters["ranges_changed"] = static_cast<double>(moved);
--- a/Libraries/LibDaemon/GatewayHost.cpp
+++ b/Libraries/LibDaemon/GatewayHost.cpp
@@ -241,15 +241,15 @@
     options.timeout_ = kOrderTimeout;
     options.connectTimeout_ = kOrderConnectTimeout;
     options.mostIdle_ = kOrderIdle;
-    orders_->Send(aOrder.address_,
-                  codec_.EncodeOrder(aOrder),
+    orders_->Send(aCommand.address_,
+                  codec_.EncodeCommand(aCommand),
                   std::move(options),
-                  [this, aService, aOrder](const HttpExchange& aExchange) {
-                    const auto outcome = codec_.DecodeOrder(aOrder, aExchange);
+                  [this, aService, aCommand](const HttpExchange& aExchange) {
+                    const auto outcome = codec_.DecodeCommand(aCommand, aExchange);
                     if (outcome.isLeaving_) {
                       member_.OnServerReportedLeaving(MonotonicNow(), aOrder.server_, aOrder.life_);
                     }
-                    member_.OnOrderEnded(MonotonicNow(), aService, aOrder.number_, outcome);
+                    member_.OnCommandEnded(MonotonicNow(), aService, aCommand.number_, outcome);
                   });
   }
 
@@ -333,9 +333,9 @@
     front_.Desk().OnPermitDenied(aNow, aNumber, aWait);
     front_.ArmTimer();
   }
-  void OnAskLost(Instant aNow, AttemptNumber aNumber) override
+  void OnPermitRequestLost(Instant aNow, AttemptNumber aNumber) override
   {
-    front_.Desk().OnAskLost(aNow, aNumber);
+    front_.Desk().OnPermitRequestLost(aNow, aNumber);
     front_.ArmTimer();
   }
 
--- a/Libraries/LibFleet/FleetMember.cpp
+++ b/Libraries/LibFleet/FleetMember.cpp
@@ -206,7 +206,7 @@
 void
 FleetMember::OnServerReportedLeaving(Instant aNow, const std::string& aServer, std::uint64_t aLife)
 {
-  if (!view_.Directory().NoteLeaving(aNow, aServer, aLife)) {
+  if (!view_.Directory().NoteLeaving(aNow, aServer, aIncarnation)) {
     return;
   }
   const bool isListedAsLeaving = view_.Directory().Find(aServer)->isLeaving_;
--- a/Libraries/LibFleet/FleetMemberPlacer.cpp
+++ b/Libraries/LibFleet/FleetMemberPlacer.cpp
@@ -69,7 +69,7 @@
     placer->placer_.Start(
       aNow, owned == nullptr ? std::nullopt : std::optional(owned->ownership_), uncertainLeases_);
     if (owned != nullptr && owned->isFromCopyOnly_) {
-      placer->placer_.WaitForLostGrants(aNow);
+      placer->placer_.BlockUntilLostGrantsExpire(aNow);
     }
     if (formerPlacer_ == settings_.self_.instance_) {
       placer->placer_.OnFormerPlacerStopped(aNow);
@@ -137,7 +137,7 @@
     KeyServer server;
     server.id_ = id;
     server.address_ = record.address_;
-    server.life_ = record.life_;
+    server.incarnation_ = record.incarnation_;
     server.isUsable_ = record.TakesWork() && !view_.Directory().HasEnded(id);
     if (median) {
       const double atLimit =
@@ -390,13 +390,13 @@
 }
 
 void
-FleetMember::OnOrderEnded(Instant aNow,
-                          const std::string& aService,
-                          OrderNumber aOrder,
-                          const OrderOutcome& aOutcome)
+FleetMember::OnCommandEnded(Instant aNow,
+                            const std::string& aService,
+                            CommandNumber aCommand,
+                            const CommandOutcome& aOutcome)
 {
   if (const auto placer = placers_.find(aService); placer != placers_.end()) {
-    placer->second->placer_.OnOrderEnded(aNow, aOrder, aOutcome);
+    placer->second->placer_.OnCommandEnded(aNow, aCommand, aOutcome);
   }
 }
 
--- a/Libraries/LibFleet/ServicePlacer.h
+++ b/Libraries/LibFleet/ServicePlacer.h
@@ -24,10 +24,10 @@
     if (record == nullptr) {
       return std::nullopt;
     }
-    return ServerLife{ record->address_,
-                       directory.Find(aServer) != nullptr,
-                       record->IsLeaving(),
-                       directory.HasEnded(aServer) };
+    return ServerIncarnation{ record->address_,
+                              directory.Find(aServer) != nullptr,
+                              record->IsLeaving(),
+                              directory.HasEnded(aServer) };
   }
   void Doubt(Instant aNow, const std::string& aServer, Duration aDuration) override
   {
--- a/Libraries/LibKeys/OwnershipPlacer.cpp
+++ b/Libraries/LibKeys/OwnershipPlacer.cpp
@@ -6,37 +6,38 @@
 
 namespace {
 
-// Grants are renewed this many times within their hold, so that one lost placer
-// leaves the next at least half of it to take over.
-constexpr int kRenewalsAHold = 3;
-// The renewals of one server follow each other, so that they share a connection;
-// one that has waited for this long goes beside those under way. A small part of
-// what is left of the hold when a renewal is due.
-constexpr Duration kRenewalPatience = milliseconds(500);
-// An order that failed is sent again after this time.
-constexpr Duration kOrderPause = milliseconds(250);
-// Between two rounds of evening out: the load of each key is a mean over seconds.
+// Renewals per lease duration. After the loss of a placer, at least half of each lease is left for
+// its successor to take over.
+constexpr int kRenewalsPerLease = 3;
+// Renewals for one server are sent one after the other, to share a connection. A renewal that has
+// waited this long is sent in parallel. It is a small part of the lease time left when a renewal is
+// due.
+constexpr Duration kMaxRenewalWait = milliseconds(500);
+// Delay before a failed command is retried.
+constexpr Duration kCommandRetryDelay = milliseconds(250);
+// Interval between rebalancing rounds. The load estimate of a key is an average over seconds.
 constexpr Duration kRebalanceInterval = milliseconds(500);
-// A new placer evens out nothing for this long: loads come with the reports of the
-// others, which also make it known to whom news of moves must go. A report interval
-// and a little.
-constexpr Duration kLoadSettle = milliseconds(1000);
-// A range that has moved stays for this long: its move cost it an owner for about a
-// second, and the load that it brought shows only then.
-constexpr Duration kMoveRest = milliseconds(1500);
-// How often due orders are looked for.
-constexpr Duration kStep = milliseconds(50);
-// Refusals in a row that show, with the other signs, that a server has left.
-constexpr unsigned kProvingRefusals = 3;
-// Fences that are left out when owners are written anew in a later epoch of the store: more
-// than are given out in the seconds by which a copy of the store is old. A takeover gives
-// each range one, which are some thousands, and takes two seconds.
-constexpr FenceNumber kFencesLeftOut = FenceNumber{ 1 } << 20;
-// The first deal waits until no server has come for this long, since each one
-// that comes later must be given keys of the others; but not longer than the
-// second time.
-constexpr Duration kServersSettle = milliseconds(1600);
-constexpr Duration kMostSettle = seconds(5);
+// A new placer does not rebalance for this long. It waits for the load reports of the other
+// instances, which also establish which instances need updates about moves: one report interval
+// plus a margin.
+constexpr Duration kLoadSettleTime = milliseconds(1000);
+// Cooldown of a moved range: the move leaves its keys without an owner for about a second, and the
+// load that it brings becomes visible only afterwards.
+constexpr Duration kMoveCooldown = milliseconds(1500);
+// Polling interval for due commands.
+constexpr Duration kPollInterval = milliseconds(50);
+// Consecutive refused connections that, together with the other signs, prove that a server has
+// left.
+constexpr unsigned kRefusalsToProveLeft = 3;
+// Number of fences skipped when the owners are written again in a later epoch of the store. It
+// exceeds the number of fences issued in the seconds by which a copy of the store lags behind: a
+// takeover issues one per range, a few thousand, and takes two seconds.
+constexpr FenceNumber kEpochFenceGap = FenceNumber{ 1 } << 20;
+// The initial assignment waits until the number of servers has not changed for kServersSettleTime,
+// because each server that joins later must be given keys of the others; it waits kMaxSettleTime at
+// most.
+constexpr Duration kServersSettleTime = milliseconds(1600);
+constexpr Duration kMaxSettleTime = seconds(5);
 
 std::string
 Describe(const KeyRange& aRange)
@@ -46,16 +47,16 @@
          " previous=" + (aRange.previous_.empty() ? "-" : aRange.previous_);
 }
 
-KeyOrder
-MakeOrder(const KeyRange& aRange, const std::string& aServer, const std::string& aAddress)
+KeyCommand
+MakeCommand(const KeyRange& aRange, const std::string& aServer, const std::string& aAddress)
 {
-  KeyOrder order;
-  order.server_ = aServer;
-  order.address_ = aAddress;
-  order.first_ = aRange.first_;
-  order.last_ = aRange.last_;
-  order.fence_ = aRange.fence_;
-  return order;
+  KeyCommand command;
+  command.server_ = aServer;
+  command.address_ = aAddress;
+  command.first_ = aRange.first_;
+  command.last_ = aRange.last_;
+  command.fence_ = aRange.fence_;
+  return command;
 }
 
 } // namespace
@@ -75,29 +76,30 @@
 void
 OwnershipPlacer::Start(Instant aNow,
                        std::optional<KeyOwnership> aOwnership,
-                       const std::map<std::string, Instant>& aDoubts)
+                       const std::map<std::string, Instant>& aUncertainLeases)
 {
   committed_ = {};
   committed_.service_ = service_;
   states_.clear();
   writing_.reset();
-  orders_.Clear();
-  holds_.Start(aDoubts);
+  commands_.Clear();
+  leaseBounds_.Start(aUncertainLeases);
   hasFormerFences_ = aOwnership.has_value();
   nextTime_ = aNow;
   startedAt_ = aNow;
-  nextRebalance_ = aNow + kLoadSettle;
-  fenceTimes_.clear();
-  restedFence_ = aOwnership ? aOwnership->lastFence_ : 0;
-  ordersFrom_ = Instant::min();
+  nextRebalance_ = aNow + kLoadSettleTime;
+  recentFences_.clear();
+  maxMovableFence_ = aOwnership ? aOwnership->lastFence_ : 0;
+  blockedUntil_ = Instant::min();
   if (!aOwnership) {
     return;
   }
-  const auto until = aNow + settings_.renewalAlone_ + Scale(settings_.hold_, settings_.clockRate_);
+  const auto until = aNow + settings_.isolatedRenewalTime_ +
+                     Scale(settings_.leaseDuration_, settings_.clockDriftFactor_);
   for (const auto& range : aOwnership->ranges_) {
-    holds_.SetFormer(range.owner_, until);
+    leaseBounds_.SetFormer(range.owner_, until);
     if (!range.previous_.empty()) {
-      holds_.SetFormer(range.previous_, until);
+      leaseBounds_.SetFormer(range.previous_, until);
     }
   }
   Adopt(std::move(*aOwnership));
@@ -106,37 +108,38 @@
 void
 OwnershipPlacer::OnFormerPlacerStopped(Instant aNow)
 {
-  const auto latest = aNow + Scale(settings_.hold_, settings_.clockRate_);
-  holds_.LimitFormer(latest);
-  ordersFrom_ = std::min(ordersFrom_, latest);
+  const auto latest = aNow + Scale(settings_.leaseDuration_, settings_.clockDriftFactor_);
+  leaseBounds_.LimitFormer(latest);
+  blockedUntil_ = std::min(blockedUntil_, latest);
 }
 
 void
-OwnershipPlacer::WaitForLostGrants(Instant aNow)
+OwnershipPlacer::BlockUntilLostGrantsExpire(Instant aNow)
 {
-  ordersFrom_ = aNow + settings_.renewalAlone_ + Scale(settings_.hold_, settings_.clockRate_);
+  blockedUntil_ = aNow + settings_.isolatedRenewalTime_ +
+                  Scale(settings_.leaseDuration_, settings_.clockDriftFactor_);
 }
 
 void
 OwnershipPlacer::SetServers(Instant aNow, std::vector<KeyServer> aServers)
 {
   if (aServers.size() != servers_.size()) {
-    serversSince_ = aNow;
+    serversChangedAt_ = aNow;
   }
-  NoteLives(aServers);
+  DetectRestarts(aServers);
   servers_ = std::move(aServers);
 }
 
 void
-OwnershipPlacer::NoteLives(const std::vector<KeyServer>& aServers)
+OwnershipPlacer::DetectRestarts(const std::vector<KeyServer>& aServers)
 {
   for (const auto& server : aServers) {
-    if (server.life_ == 0) {
+    if (server.incarnation_ == 0) {
       continue;
     }
-    const auto [known, isNew] = lives_.try_emplace(server.id_, server.life_);
-    if (!isNew && known->second != server.life_) {
-      known->second = server.life_;
+    const auto [known, isNew] = incarnations_.try_emplace(server.id_, server.incarnation_);
+    if (!isNew && known->second != server.incarnation_) {
+      known->second = server.incarnation_;
       restarted_.insert(server.id_);
     }
   }
@@ -175,13 +178,13 @@
   }
   const bool isRaised = hasFormerFences_ || committed_.epoch_ < writing_->epoch_;
   hasFormerFences_ = false;
-  ForgetRaised();
+  DropRaisedServers();
   Adopt(*std::exchange(writing_, std::nullopt));
   if (isRaised) {
-    // The same owners under new fences: nothing has moved.
-    restedFence_ = committed_.lastFence_;
+    // The owners are unchanged, so no range enters its cooldown.
+    maxMovableFence_ = committed_.lastFence_;
   }
-  fenceTimes_.emplace_back(aNow, committed_.lastFence_);
+  recentFences_.emplace_back(aNow, committed_.lastFence_);
   events_.Record(Event::OwnershipWritten,
                  "service=" + service_ + " ranges=" + std::to_string(committed_.ranges_.size()) +
                    " last_fence=" + std::to_string(committed_.lastFence_));
@@ -189,7 +192,7 @@
 }
 
 void
-OwnershipPlacer::ForgetRaised()
+OwnershipPlacer::DropRaisedServers()
 {
   std::erase_if(restarted_, [this](const std::string& aServer) {
     return std::all_of(
@@ -205,15 +208,16 @@
 {
   writing_.reset();
   Adopt(std::move(aStored));
-  nextTime_ = aNow + kOrderPause;
+  nextTime_ = aNow + kCommandRetryDelay;
 }
 
 void
 OwnershipPlacer::OnTime(Instant aNow, bool aMayWrite)
 {
-  nextTime_ = aNow + kStep;
-  if (aNow < ordersFrom_) {
-    // Nothing is written either: the row's epoch tells the next placer to wait as well.
+  nextTime_ = aNow + kPollInterval;
+  if (aNow < blockedUntil_) {
+    // Writing is also withheld: the old epoch in the row makes the next placer wait as
+    // well.
     return;
   }
   for (std::size_t index = 0; index < committed_.ranges_.size(); ++index) {
@@ -234,7 +238,7 @@
 OwnershipPlacer::Plan(Instant aNow)
 {
   if (committed_.ranges_.empty()) {
-    return DealFirst(aNow);
+    return AssignInitially(aNow);
   }
   if (hasFormerFences_ || committed_.epoch_ < epoch_) {
     return RaiseFences();
@@ -246,62 +250,62 @@
     return RaiseFences();
   }
   restarted_.clear();
-  auto settled = ClearSettled();
+  auto settled = DropClearedOwners();
   load_.Refresh(aNow);
   const auto& base = settled ? *settled : committed_;
-  if (auto replaced = KeyBalancer::Replace(base, servers_, load_)) {
+  if (auto replaced = KeyBalancer::ReplaceOwners(base, servers_, load_)) {
     return replaced;
   }
   if (settled) {
     return settled;
   }
-  return EvenOut(aNow);
+  return Rebalance(aNow);
 }
 
 std::optional<KeyOwnership>
-OwnershipPlacer::DealFirst(Instant aNow) const
+OwnershipPlacer::AssignInitially(Instant aNow) const
 {
-  if (aNow - serversSince_ < kServersSettle && aNow - startedAt_ < kMostSettle) {
+  if (aNow - serversChangedAt_ < kServersSettleTime && aNow - startedAt_ < kMaxSettleTime) {
     return std::nullopt;
   }
-  // A first deal may be lost as well, and its fences with it.
-  const auto lastFence = std::max(committed_.lastFence_, epoch_ * kFencesLeftOut);
-  auto first = KeyBalancer::DealAll(service_, lastFence, servers_);
+  // An earlier initial assignment and its fences may have been lost by the store.
+  const auto lastFence = std::max(committed_.lastFence_, epoch_ * kEpochFenceGap);
+  auto first = KeyBalancer::AssignAll(service_, lastFence, servers_);
   first.epoch_ = epoch_;
   return first.ranges_.empty() ? std::nullopt : std::optional(std::move(first));
 }
 
 std::optional<KeyOwnership>
-OwnershipPlacer::EvenOut(Instant aNow)
+OwnershipPlacer::Rebalance(Instant aNow)
 {
-  // NOTE: Ranges on their way do not hold this up: those of a silent server wait for
-  // seconds. They stay as they are, and count at their new owners.
+  // NOTE: Moves in progress do not delay rebalancing, since those of a silent server take seconds.
+  // Ranges that are moving stay where they are and count for their new owners.
   if (aNow < nextRebalance_) {
     return std::nullopt;
   }
   nextRebalance_ = aNow + kRebalanceInterval;
-  return balancer_.EvenOut(committed_, servers_, load_, RestedFence(aNow));
+  return balancer_.Rebalance(committed_, servers_, load_, MaxMovableFence(aNow));
 }
 
-// Every move raises the fence, so that the fences of ranges tell when they moved.
+// Every move raises the fence, so the fence of a range shows when it last moved.
 FenceNumber
-OwnershipPlacer::RestedFence(Instant aNow)
+OwnershipPlacer::MaxMovableFence(Instant aNow)
 {
-  while (!fenceTimes_.empty() && aNow - fenceTimes_.front().first >= kMoveRest) {
-    restedFence_ = fenceTimes_.front().second;
-    fenceTimes_.pop_front();
+  while (!recentFences_.empty() && aNow - recentFences_.front().first >= kMoveCooldown) {
+    maxMovableFence_ = recentFences_.front().second;
+    recentFences_.pop_front();
   }
-  return restedFence_;
+  return maxMovableFence_;
 }
 
 std::optional<KeyOwnership>
-OwnershipPlacer::ClearSettled() const
+OwnershipPlacer::DropClearedOwners() const
 {
   std::optional<KeyOwnership> next;
   for (std::size_t index = 0; index < committed_.ranges_.size(); ++index) {
     const auto& range = committed_.ranges_[index];
     const auto& state = states_[index];
-    // An owner that was lost meanwhile is not waited for; it is replaced next.
+    // An owner that has since been lost is not waited for; its range is reassigned next.
     const bool isOwnerLost = FindUsable(servers_, range.owner_) == nullptr;
     const bool isSettled = state.isGranted_ || (state.isCleared_ && isOwnerLost);
     if (range.previous_.empty() || !isSettled) {
@@ -315,9 +319,9 @@
   return next;
 }
 
-// Late orders of a former placer are refused by a server that has acknowledged a
-// higher fence, so that a takeover needs no long wait later. A server that has started again
-// must not get its keys under the fence of its former life.
+// A server that has acknowledged a higher fence rejects late commands of a former placer, so that
+// no long wait is needed when its keys move later. A restarted server must not be granted its keys
+// under the fence of its earlier incarnation.
 KeyOwnership
 OwnershipPlacer::RaiseFences() const
 {
@@ -325,7 +329,7 @@
   const bool isOfAllRanges = hasFormerFences_ || committed_.epoch_ < epoch_;
   if (next.epoch_ < epoch_) {
     next.epoch_ = epoch_;
-    next.lastFence_ += kFencesLeftOut;
+    next.lastFence_ += kEpochFenceGap;
   }
   for (auto& range : next.ranges_) {
     if (isOfAllRanges || restarted_.contains(range.owner_)) {
@@ -336,7 +340,7 @@
 }
 
 void
-OwnershipPlacer::ForgetFormerHold(const std::string& aServer)
+OwnershipPlacer::DropFormerBounds(const std::string& aServer)
 {
   if (hasFormerFences_) {
     return;
@@ -345,32 +349,32 @@
     const auto& range = committed_.ranges_[index];
     const auto& state = states_[index];
     const bool isUnconfirmed = range.owner_ == aServer && !state.isGranted_;
-    // What it is to let go of it still holds by the former placer's grants. With more
-    // ranges than orders may be under way, some releases go out after all its grants.
+    // The server still holds such a range under the former placer's grant. With more ranges than
+    // commands may be outstanding, some releases are sent after all of the server's grants.
     const bool isUnreleased = range.previous_ == aServer && !state.isCleared_;
     if (isUnconfirmed || isUnreleased) {
       return;
     }
   }
-  holds_.ForgetFormer(aServer);
+  leaseBounds_.DropFormer(aServer);
 }
 
 void
 OwnershipPlacer::Advance(Instant aNow, const KeyRange& aRange, RangeState& aState)
 {
-  if (aState.order_ != 0 || aNow < aState.nextOrder_) {
+  if (aState.command_ != 0 || aNow < aState.nextCommandAt_) {
     return;
   }
   const bool isWaiting = !aRange.previous_.empty() && !aState.isCleared_;
-  if (!orders_.HasRoomFor(isWaiting ? aRange.previous_ : aRange.owner_)) {
+  if (!commands_.CanSendTo(isWaiting ? aRange.previous_ : aRange.owner_)) {
     return;
   }
   if (!isWaiting && restarted_.contains(aRange.owner_)) {
     return;
   }
   const bool isRenewal = aState.isGranted_ && aRange.previous_.empty();
-  if (isRenewal && orders_.HasOrderTo(aRange.owner_) &&
-      aNow < aState.nextOrder_ + kRenewalPatience) {
+  if (isRenewal && commands_.HasCommandTo(aRange.owner_) &&
+      aNow < aState.nextCommandAt_ + kMaxRenewalWait) {
     return;
   }
   if (isWaiting) {
@@ -383,21 +387,22 @@
 const char*
 OwnershipPlacer::ReasonToClear(Instant aNow, const KeyRange& aRange, const RangeState& aState) const
 {
-  // What a grant under way bounds is known when it ends.
-  if (!orders_.HasGrantTo(aRange.previous_, aRange.Span()) &&
-      aNow >= holds_.Of(aRange.previous_, aRange.Span())) {
+  // The lease of an outstanding grant is known only when the grant ends.
+  if (!commands_.HasGrantTo(aRange.previous_, aRange.Span()) &&
+      aNow >= leaseBounds_.LatestExpiry(aRange.previous_, aRange.Span())) {
     return "expired";
   }
-  const auto life = actions_.LifeOf(aRange.previous_);
-  if (!life) {
+  const auto incarnation = actions_.FindIncarnation(aRange.previous_);
+  if (!incarnation) {
     return nullptr;
   }
-  if (life->hasEnded_) {
+  if (incarnation->hasEnded_) {
     return "ended";
   }
-  // A cut link may refuse connections too, but not to a server that announced
-  // its end and is listed no more.
-  const bool hasLeft = life->isLeaving_ && !life->isListed_ && aState.refusals_ >= kProvingRefusals;
+  // A network partition may also cause refused connections, but not for a server that announced its
+  // shutdown and is no longer listed.
+  const bool hasLeft = incarnation->isLeaving_ && !incarnation->isListed_ &&
+                       aState.connectionRefusals_ >= kRefusalsToProveLeft;
   return hasLeft ? "left" : nullptr;
 }
 
@@ -410,13 +415,13 @@
     SendGrant(aNow, aRange, aState);
     return;
   }
-  const auto life = actions_.LifeOf(aRange.previous_);
-  if (!life) {
+  const auto incarnation = actions_.FindIncarnation(aRange.previous_);
+  if (!incarnation) {
     return;
   }
-  auto order = MakeOrder(aRange, aRange.previous_, life->address_);
-  order.isRelease_ = true;
-  SendOrder(aState, std::move(order));
+  auto command = MakeCommand(aRange, aRange.previous_, incarnation->address_);
+  command.isRelease_ = true;
+  StartCommand(aState, std::move(command));
 }
 
 void
@@ -424,107 +429,112 @@
 {
   const auto* server = FindUsable(servers_, aRange.owner_);
   if (server == nullptr) {
-    aState.nextOrder_ = aNow + kOrderPause;
+    aState.nextCommandAt_ = aNow + kCommandRetryDelay;
     return;
   }
-  auto order = MakeOrder(aRange, aRange.owner_, server->address_);
-  order.handover_ = aState.handover_;
-  order.hold_ = settings_.hold_;
-  SendOrder(aState, std::move(order));
+  auto command = MakeCommand(aRange, aRange.owner_, server->address_);
+  command.handover_ = aState.handover_;
+  command.leaseDuration_ = settings_.leaseDuration_;
+  StartCommand(aState, std::move(command));
 }
 
 void
-OwnershipPlacer::SendOrder(RangeState& aState, KeyOrder aOrder)
+OwnershipPlacer::StartCommand(RangeState& aState, KeyCommand aCommand)
 {
-  if (const auto life = lives_.find(aOrder.server_); life != lives_.end()) {
-    aOrder.life_ = life->second;
+  if (const auto incarnation = incarnations_.find(aCommand.server_);
+      incarnation != incarnations_.end()) {
+    aCommand.incarnation_ = incarnation->second;
   }
-  const auto order = orders_.Add(std::move(aOrder));
-  aState.order_ = order.number_;
-  actions_.Order(order);
+  const auto command = commands_.Add(std::move(aCommand));
+  aState.command_ = command.number_;
+  actions_.SendCommand(command);
 }
 
 OwnershipPlacer::RangeState*
-OwnershipPlacer::StateOf(OrderNumber aOrder)
+OwnershipPlacer::FindState(CommandNumber aCommand)
 {
   const auto state = std::find_if(states_.begin(), states_.end(), [&](const RangeState& aState) {
-    return aState.order_ == aOrder;
+    return aState.command_ == aCommand;
   });
   return state == states_.end() ? nullptr : &*state;
 }
 
 void
-OwnershipPlacer::OnOrderEnded(Instant aNow, OrderNumber aOrder, const OrderOutcome& aOutcome)
+OwnershipPlacer::OnCommandEnded(Instant aNow,
+                                CommandNumber aCommand,
+                                const CommandOutcome& aOutcome)
 {
-  const auto found = orders_.Take(aOrder, aOutcome.end_);
+  const auto found = commands_.Take(aCommand, aOutcome.end_);
   if (!found) {
     return;
   }
-  const auto& order = *found;
-  if (!order.isRelease_) {
-    ExtendHold(aNow, order, aOutcome.end_);
+  const auto& command = *found;
+  if (!command.isRelease_) {
+    ExtendLeaseBound(aNow, command, aOutcome.end_);
   }
-  // NOTE: A range that was cut while its order was under way gave its state to
-  // each of its parts.
-  for (auto* state = StateOf(aOrder); state != nullptr; state = StateOf(aOrder)) {
-    state->order_ = 0;
-    if (order.isRelease_) {
+  // NOTE: When a range is split while its command is outstanding, each part inherits the state.
+  for (auto* state = FindState(aCommand); state != nullptr; state = FindState(aCommand)) {
+    state->command_ = 0;
+    if (command.isRelease_) {
       OnReleaseEnded(aNow, *state, aOutcome);
     } else {
       OnGrantEnded(aNow, *state, aOutcome.end_);
     }
   }
-  if (!order.isRelease_ && aOutcome.end_ == OrderEnd::Done) {
-    ForgetFormerHold(order.server_);
+  if (!command.isRelease_ && aOutcome.end_ == CommandStatus::Done) {
+    DropFormerBounds(command.server_);
   }
-  RecordOrderEnd(order, aOutcome.end_);
+  RecordCommandEnd(command, aOutcome.end_);
   nextTime_ = aNow;
 }
 
 void
-OwnershipPlacer::OnReleaseEnded(Instant aNow, RangeState& aState, const OrderOutcome& aOutcome)
+OwnershipPlacer::OnReleaseEnded(Instant aNow, RangeState& aState, const CommandOutcome& aOutcome)
 {
   const auto end = aOutcome.end_;
-  aState.isCleared_ = end == OrderEnd::Done || end == OrderEnd::OtherLife;
+  aState.isCleared_ = end == CommandStatus::Done || end == CommandStatus::OtherIncarnation;
   aState.handover_ = aOutcome.handover_;
-  // A server whose machine is taken away refuses first and is then not reached.
-  const bool isReached = end != OrderEnd::Refused && end != OrderEnd::NotSent;
-  aState.refusals_ = isReached ? 0 : aState.refusals_ + (end == OrderEnd::Refused ? 1 : 0);
-  aState.nextOrder_ = aState.isCleared_ ? aNow : aNow + kOrderPause;
+  // A server whose machine is being removed first refuses connections and then becomes unreachable,
+  // so an unreachable server keeps its count of refusals.
+  const bool isReached = end != CommandStatus::Refused && end != CommandStatus::NotSent;
+  aState.connectionRefusals_ =
+    isReached ? 0 : aState.connectionRefusals_ + (end == CommandStatus::Refused ? 1 : 0);
+  aState.nextCommandAt_ = aState.isCleared_ ? aNow : aNow + kCommandRetryDelay;
 }
 
 void
-OwnershipPlacer::OnGrantEnded(Instant aNow, RangeState& aState, OrderEnd aEnd) const
+OwnershipPlacer::OnGrantEnded(Instant aNow, RangeState& aState, CommandStatus aEnd) const
 {
-  const bool isDone = aEnd == OrderEnd::Done;
+  const bool isDone = aEnd == CommandStatus::Done;
   aState.isGranted_ = aState.isGranted_ || isDone;
-  aState.nextOrder_ = aNow + (isDone ? settings_.hold_ / kRenewalsAHold : kOrderPause);
+  aState.nextCommandAt_ =
+    aNow + (isDone ? settings_.leaseDuration_ / kRenewalsPerLease : kCommandRetryDelay);
 }
 
 void
-OwnershipPlacer::RecordOrderEnd(const KeyOrder& aOrder, OrderEnd aEnd)
+OwnershipPlacer::RecordCommandEnd(const KeyCommand& aCommand, CommandStatus aEnd)
 {
-  // Grants are renewed all the time; those that went well are not worth a line.
-  if (aEnd == OrderEnd::Done && !aOrder.isRelease_) {
+  // Successful grants are not logged, because they are renewed all the time.
+  if (aEnd == CommandStatus::Done && !aCommand.isRelease_) {
     return;
   }
   events_.Record(Event::KeyOrderEnded,
-                 "server=" + aOrder.server_ + " keys=" + std::to_string(aOrder.first_) + ".." +
-                   std::to_string(aOrder.last_) + " fence=" + std::to_string(aOrder.fence_) +
-                   " order=" + (aOrder.isRelease_ ? "release" : "grant") +
-                   " end=" + std::string(kOrderEndNames.NameOf(aEnd)));
+                 "server=" + aCommand.server_ + " keys=" + std::to_string(aCommand.first_) + ".." +
+                   std::to_string(aCommand.last_) + " fence=" + std::to_string(aCommand.fence_) +
+                   " order=" + (aCommand.isRelease_ ? "release" : "grant") +
+                   " end=" + std::string(kCommandStatusNames.NameOf(aEnd)));
 }
 
 void
-OwnershipPlacer::ExtendHold(Instant aNow, const KeyOrder& aGrant, OrderEnd aEnd)
-{
-  const auto hold = Scale(settings_.hold_, settings_.clockRate_);
-  if (aEnd == OrderEnd::Done || aEnd == OrderEnd::HigherFence) {
-    holds_.Extend(aNow, aGrant.server_, aGrant.Span(), aNow + hold);
-  } else if (aEnd == OrderEnd::Unanswered) {
-    const auto latest = settings_.lateOrders_ + hold;
-    holds_.Extend(aNow, aGrant.server_, aGrant.Span(), aNow + latest);
-    actions_.Doubt(aNow, aGrant.server_, latest);
+OwnershipPlacer::ExtendLeaseBound(Instant aNow, const KeyCommand& aGrant, CommandStatus aEnd)
+{
+  const auto lease = Scale(settings_.leaseDuration_, settings_.clockDriftFactor_);
+  if (aEnd == CommandStatus::Done || aEnd == CommandStatus::HigherFence) {
+    leaseBounds_.Extend(aNow, aGrant.server_, aGrant.Span(), aNow + lease);
+  } else if (aEnd == CommandStatus::Unanswered) {
+    const auto latest = settings_.maxCommandDelay_ + lease;
+    leaseBounds_.Extend(aNow, aGrant.server_, aGrant.Span(), aNow + latest);
+    actions_.RecordUncertainLease(aNow, aGrant.server_, latest);
   }
 }
 
--- a/Libraries/LibPermit/PermitClient.h
+++ b/Libraries/LibPermit/PermitClient.h
@@ -2,7 +2,7 @@
 
 #include "LibBase/Event.h"
 #include "LibGateway/PermitSource.h"
-#include "LibPermit/DispatcherRing.h"
+#include "LibPermit/DispatcherAssignment.h"
 
 #include <map>
 #include <string>
@@ -10,43 +10,49 @@
 
 namespace latchslip {
 
-// Carries what a permit client says, and opens its links.
+// Interface through which a PermitClient sends its messages and opens and closes its links.
 class PermitClientActions
 {
 public:
   virtual ~PermitClientActions() = default;
 
-  // Over the link to that dispatcher, which is up.
-  virtual void Tell(const std::string& aDispatcher, const MessageToDispatcher& aMessage) = 0;
-  // Ends in OnLinkUp or OnLinkDown.
-  virtual void Dial(const std::string& aDispatcher) = 0;
-  // Ends in nothing.
-  virtual void HangUp(const std::string& aDispatcher) = 0;
+  // Sends a message over the open link to that dispatcher.
+  virtual void Send(const std::string& aDispatcher, const MessageToDispatcher& aMessage) = 0;
+  // Opens a link; completes in OnLinkUp or OnLinkDown.
+  virtual void Connect(const std::string& aDispatcher) = 0;
+  // Closes the link without a callback.
+  virtual void Disconnect(const std::string& aDispatcher) = 0;
 };
 
-// Hears what became of asks.
+// Receives the outcome of permit requests.
 class PermitListener
 {
 public:
   virtual ~PermitListener() = default;
 
+  // The request may be sent to aServer now.
   virtual void OnPermit(Instant aNow, AttemptNumber aNumber, const std::string& aServer) = 0;
+  // The request is queued at the dispatcher; a permit or a denial follows.
   virtual void OnPermitDelayed(Instant aNow, AttemptNumber aNumber) = 0;
+  // No permit will be issued in time; aWait is the expected time until a server has capacity.
   virtual void OnPermitDenied(Instant aNow, AttemptNumber aNumber, Duration aWait) = 0;
-  // The dispatcher is gone; the ask must be made anew, or done without.
-  virtual void OnAskLost(Instant aNow, AttemptNumber aNumber) = 0;
+  // The dispatcher was lost. The permit must be requested again, or the request sent without one.
+  virtual void OnPermitRequestLost(Instant aNow, AttemptNumber aNumber) = 0;
 };
 
-// Asks the dispatchers of services for permits. It follows which instance is the dispatcher
-// of each, tells a new one what is under way, and notices when one falls silent: the
-// instance then chooses alone. It does no I/O.
+// Requests permits from the dispatchers of services on behalf of one instance. It follows which
+// instance is the dispatcher of each service, reports outstanding sends to a new dispatcher, and
+// fails over when a dispatcher does not answer. While a service has no reachable dispatcher, the
+// instance chooses servers from its local knowledge. Performs no I/O.
 class PermitClient : public PermitSource
 {
 public:
   PermitClient(PermitClientActions& aActions, EventSink& aEvents);
 
   void SetListener(PermitListener& aListener) { listener_ = &aListener; }
+  // Sets the instances of the fleet by address.
   void SetPeers(Instant aNow, const std::map<std::string, FleetPeer>& aPeers);
+  // Sets the services that have a dispatcher.
   void SetServices(Instant aNow, std::vector<std::string> aServices);
 
   void OnLinkUp(Instant aNow, const std::string& aDispatcher);
@@ -54,35 +60,36 @@
   void OnMessage(Instant aNow,
                  const std::string& aDispatcher,
                  const MessageFromDispatcher& aMessage);
+  // Probes dispatchers that do not answer and fails over. To be called periodically.
   void OnTime(Instant aNow);
 
-  bool CanAsk(const std::string& aService) const override;
-  void Ask(Instant aNow, const PermitAsk& aAsk) override;
+  bool CanRequestPermit(const std::string& aService) const override;
+  void RequestPermit(Instant aNow, const PermitRequest& aRequest) override;
   void Withdraw(AttemptNumber aNumber) override;
   void OnUnanswered(Instant aNow, const std::string& aService) override;
-  void TellSend(Instant aNow, const SendNotice& aNotice) override;
-  void TellEnd(const SendEnd& aEnd) override;
+  void ReportSend(Instant aNow, const SendNotice& aNotice) override;
+  void ReportSendEnd(const SendEnd& aEnd) override;
 
 private:
   enum class LinkState
   {
     Down,
-    Dialled,
+    Connecting,
     Up,
   };
 
-  // What is known of one dispatcher.
+  // State of the link to one dispatcher.
   struct Link
   {
     LinkState state_ = LinkState::Down;
-    // Since when it does not answer; Instant::max() when it does.
-    Instant silentSince_ = Instant::max();
-    // It is passed over until then.
+    // Start of the period without an answer; Instant::max() when the dispatcher answers.
+    Instant unansweredSince_ = Instant::max();
+    // The dispatcher is not selected before this time.
     Instant failedUntil_ = Instant::min();
     Instant nextProbe_ = Instant::min();
   };
 
-  // A send under way, as a new dispatcher is told of it.
+  // An outstanding send, as it is reported to a new dispatcher.
   struct RunningSend
   {
     std::string service_;
@@ -91,34 +98,34 @@
     Instant deadline_{ 0 };
   };
 
-  struct OpenAsk
+  struct OpenRequest
   {
     std::string service_;
     Instant deadline_{ 0 };
   };
 
-  // Finds the dispatcher of each service anew.
-  void Assign(Instant aNow);
-  void Choose(Instant aNow);
-  // Empty when there is none.
-  std::string FirstOf(Instant aNow, const std::string& aService) const;
+  // Recomputes the candidates of each service and selects dispatchers.
+  void UpdateCandidates(Instant aNow);
+  void SelectDispatchers(Instant aNow);
+  // The first candidate for the service that has not failed recently; empty when there is none.
+  std::string FirstCandidate(Instant aNow, const std::string& aService) const;
   bool IsUp(const std::string& aDispatcher) const;
-  // Passes a dispatcher over for a while.
-  static void Fail(Instant aNow, Link& aLink);
-  void TellRunning(Instant aNow, const std::string& aService);
-  void LoseAsks(Instant aNow, const std::string& aService);
-  void TellDispatcherOf(const std::string& aService, const MessageToDispatcher& aMessage);
+  // Marks the link as down and excludes the dispatcher for a while.
+  static void MarkFailed(Instant aNow, Link& aLink);
+  void ReportRunning(Instant aNow, const std::string& aService);
+  void DropRequests(Instant aNow, const std::string& aService);
+  void SendToDispatcher(const std::string& aService, const MessageToDispatcher& aMessage);
 
   PermitClientActions& actions_;
   EventSink& events_;
   PermitListener* listener_ = nullptr;
   std::map<std::string, FleetPeer> peers_;
   std::vector<std::string> services_;
-  DispatcherRing ring_;
-  // By service.
+  DispatcherAssignment assignment_;
+  // The selected dispatcher by service.
   std::map<std::string, std::string, std::less<>> dispatchers_;
   std::map<std::string, Link> links_;
-  std::map<AttemptNumber, OpenAsk> asks_;
+  std::map<AttemptNumber, OpenRequest> requests_;
   std::map<AttemptNumber, RunningSend> running_;
 };
 
--- a/Tests/LibFleet/TestFleetMember.cpp
+++ b/Tests/LibFleet/TestFleetMember.cpp
@@ -31,7 +31,7 @@
   Show(FleetTable::Servers, 12, { { "s1", 12, "200" } });
   ASSERT_NE(member_.Directory().Find("s1"), nullptr);
   Show(FleetTable::Servers, 13, { { "s1", 13, "300" } });
-  EXPECT_EQ(member_.Directory().Find("s1")->life_, 300U);
+  EXPECT_EQ(member_.Directory().Find("s1")->incarnation_, 300U);
 }
 
 TEST_F(FleetMemberTest, AnswersAnnounceThatAServerLeaves_IsLoggedOncePerIncarnation)
@@ -92,7 +92,7 @@
       }
       const auto orders = fleet_.orders_;
       for (const auto& order : orders) {
-        member_.OnOrderEnded(now_, "rates", order.number_, { OrderEnd::Done });
+        member_.OnCommandEnded(now_, "rates", order.number_, { CommandStatus::Done });
       }
     }
   }
@@ -256,8 +256,8 @@
     while (now_ < end) {
       Advance(milliseconds(50));
       for (; answered < fleet_.orders_.size(); ++answered) {
-        member_.OnOrderEnded(
-          now_, "rates", fleet_.orders_[answered].number_, { OrderEnd::Done, "" });
+        member_.OnCommandEnded(
+          now_, "rates", fleet_.orders_[answered].number_, { CommandStatus::Done, "" });
       }
     }
   };
@@ -279,7 +279,8 @@
     member_.OnReport(now_, ReportOf("i2", kOther));
     Advance(milliseconds(50));
     for (; answered < fleet_.orders_.size(); ++answered) {
-      member_.OnOrderEnded(now_, "rates", fleet_.orders_[answered].number_, { OrderEnd::Done, "" });
+      member_.OnCommandEnded(
+        now_, "rates", fleet_.orders_[answered].number_, { CommandStatus::Done, "" });
     }
   }
   // Sixty-four ranges, renewed every five thirds of a second for twenty seconds.
--- a/Tests/LibKeys/PlacerWorld.h
+++ b/Tests/LibKeys/PlacerWorld.h
@@ -11,14 +11,14 @@
 
 namespace latchslip {
 
-// Servers that hold keys, a row in a store, and placers, on a hand-turned clock.
-// It checks after each step that no key is held by two servers that are up, and
-// that fences rise with each change of the holder.
+// Simulates servers that hold keys, a row in a store and placers, on a simulated clock. After each
+// step it checks that no key is held by two running servers, and that the fence rises with each
+// change of the holder.
 class PlacerWorld : public EventSink
 {
 public:
   static constexpr Duration kStep = milliseconds(10);
-  static constexpr Duration kWay = milliseconds(2);
+  static constexpr Duration kOneWayLatency = milliseconds(2);
 
   struct Holding
   {
@@ -33,13 +33,14 @@
     bool isUp_ = true;
     bool isListed_ = true;
     bool isLeaving_ = false;
-    // Nobody reaches it, and it reaches nobody.
-    bool isCut_ = false;
-    // Orders are taken late and not answered.
-    bool isLate_ = false;
-    // Tells its starts under one id apart.
-    std::uint64_t life_ = 1;
-    // How long its work goes on after a release, whose answer waits for it.
+    // Partitioned from all placers.
+    bool isPartitioned_ = false;
+    // Commands are executed late and not acknowledged.
+    bool respondsLate_ = false;
+    // Distinguishes the incarnations that run under one id.
+    std::uint64_t incarnation_ = 1;
+    // How long the work in progress continues after a release, which is acknowledged only after
+    // that.
     Duration workTime_{ 0 };
     std::map<KeyNumber, Holding> held_;
     std::map<KeyNumber, FenceNumber> seen_;
@@ -53,15 +54,15 @@
       , world_(aWorld)
     {
     }
-    void Order(const KeyOrder& aOrder) override { world_.Deliver(*this, aOrder); }
-    void Doubt(Instant, const std::string& aServer, Duration aHolds) override
+    void SendCommand(const KeyCommand& aCommand) override { world_.Deliver(*this, aCommand); }
+    void RecordUncertainLease(Instant, const std::string& aServer, Duration aDuration) override
     {
-      world_.doubts_[aServer] = world_.now_ + aHolds;
+      world_.uncertainLeases_[aServer] = world_.now_ + aDuration;
     }
     void Write(const KeyOwnership& aOwnership) override { written_ = aOwnership; }
-    std::optional<ServerLife> LifeOf(const std::string& aServer) const override
+    std::optional<ServerIncarnation> FindIncarnation(const std::string& aServer) const override
     {
-      return world_.LifeOf(aServer);
+      return world_.FindIncarnation(aServer);
     }
 
     OwnershipPlacer placer_;
@@ -87,31 +88,31 @@
     return server;
   }
 
-  // The server starts again under its id, and knows nothing of before.
+  // Restarts the server under its id with empty state.
   static void Restart(Server& aServer)
   {
     aServer.held_.clear();
     aServer.seen_.clear();
     aServer.isUp_ = true;
-    ++aServer.life_;
+    ++aServer.incarnation_;
   }
 
-  // Makes a new placer the one that the row names; the former is told nothing. It knows
-  // what stands in the store.
+  // Makes a new placer the one named in the row, without notice to the former one. The new placer
+  // knows only what is in the store.
   Placer& TakeOver()
   {
     auto& placer = TakeOverKnowing(stored_);
     if (stored_ && stored_->epoch_ < epoch_) {
-      placer.placer_.WaitForLostGrants(now_);
+      placer.placer_.BlockUntilLostGrantsExpire(now_);
     }
     return placer;
   }
 
-  // The same of an instance that has heard of all writes.
+  // Like TakeOver, for an instance that has received all writes.
   Placer& TakeOverRemembering() { return TakeOverKnowing(latest_); }
 
   void TakeCopy() { copy_ = stored_; }
-  // The store goes on from the copy.
+  // Restores the store from the copy, in a new epoch.
   void ReturnFromCopy()
   {
     stored_ = copy_;
@@ -129,7 +130,7 @@
     const auto end = now_ + aTime;
     while (now_ < end && !testing::Test::HasFailure()) {
       now_ += kStep;
-      CarryOut();
+      ExecuteDue();
       for (const auto& placer : placers_) {
         Run(*placer);
       }
@@ -137,7 +138,7 @@
     }
   }
 
-  // How many keys a server that is up holds under the row's fence.
+  // Number of keys that a running server holds as the owner in the row.
   std::size_t ServedKeys() const
   {
     std::size_t served = 0;
@@ -151,13 +152,13 @@
     return served;
   }
 
-  // Keys stand for blocks of this many, so that a step is quick.
+  // Each simulated key stands for a block of this many, to keep a step cheap.
   static constexpr KeyNumber kBlock = 256;
   static constexpr std::size_t kBlocks = (kLastKey + 1) / kBlock;
 
   Instant now_ = seconds(1000);
   std::map<std::string, Server> servers_;
-  std::map<std::string, Instant> doubts_;
+  std::map<std::string, Instant> uncertainLeases_;
   std::optional<KeyOwnership> stored_;
   // The last write, which the store may have lost.
   std::optional<KeyOwnership> latest_;
@@ -166,12 +167,12 @@
   OwnershipPlacerSettings settings_;
   std::vector<std::unique_ptr<Placer>> placers_;
   std::size_t changes_ = 0;
-  // Orders that were, or will be, taken late.
-  std::size_t lateOrders_ = 0;
-  // Until when releases find no way to their servers.
+  // Number of commands sent to servers that execute them late.
+  std::size_t lateCommands_ = 0;
+  // Releases fail as not sent until then.
   Instant releasesUnsentUntil_ = Instant::min();
-  // Orders that were under way to one server at once, at the most.
-  std::size_t mostTogether_ = 0;
+  // Maximum number of events (commands or answers) outstanding at once for one server.
+  std::size_t maxOutstanding_ = 0;
   std::minstd_rand random_;
 
 private:
@@ -181,7 +182,7 @@
     auto& placer = *placers_.back();
     placer.isRunning_ = true;
     named_ = &placer;
-    placer.placer_.Start(now_, aOwnership, doubts_);
+    placer.placer_.Start(now_, aOwnership, uncertainLeases_);
     return placer;
   }
 
@@ -189,27 +190,28 @@
   {
     Instant at_{ 0 };
     Placer* placer_ = nullptr;
-    KeyOrder order_;
-    // The server takes the order; else its answer arrives.
+    KeyCommand command_;
+    // Arrival of the command at the server; otherwise arrival of its answer.
     bool isArrival_ = true;
     bool isAnswered_ = true;
-    OrderOutcome outcome_;
+    CommandOutcome outcome_;
   };
 
-  std::optional<ServerLife> LifeOf(const std::string& aServer) const
+  std::optional<ServerIncarnation> FindIncarnation(const std::string& aServer) const
   {
     const auto found = servers_.find(aServer);
     if (found == servers_.end()) {
       return std::nullopt;
     }
-    ServerLife life{
+    ServerIncarnation incarnation{
       found->second.address_, found->second.isListed_, found->second.isLeaving_, false
     };
     for (const auto& [id, other] : servers_) {
-      life.hasEnded_ =
-        life.hasEnded_ || (id > aServer && other.address_ == life.address_ && other.isListed_);
+      incarnation.hasEnded_ =
+        incarnation.hasEnded_ ||
+        (id > aServer && other.address_ == incarnation.address_ && other.isListed_);
     }
-    return life;
+    return incarnation;
   }
 
   void Run(Placer& aPlacer)
@@ -220,8 +222,8 @@
     std::vector<KeyServer> listed;
     for (const auto& [id, server] : servers_) {
       if (server.isListed_) {
-        const bool isUsable = !server.isLeaving_ && !LifeOf(id)->hasEnded_;
-        listed.push_back({ id, server.address_, 1, isUsable, server.life_ });
+        const bool isUsable = !server.isLeaving_ && !FindIncarnation(id)->hasEnded_;
+        listed.push_back({ id, server.address_, 1, isUsable, server.incarnation_ });
       }
     }
     aPlacer.placer_.SetEpoch(epoch_);
@@ -242,35 +244,35 @@
     aPlacer.placer_.OnWritten(now_);
   }
 
-  void Deliver(Placer& aPlacer, const KeyOrder& aOrder)
+  void Deliver(Placer& aPlacer, const KeyCommand& aCommand)
   {
-    const auto found = servers_.find(aOrder.server_);
-    const bool isReached = found != servers_.end() && !found->second.isCut_;
-    Pending pending{ now_ + kWay, &aPlacer, aOrder, true, true, {} };
-    const bool isUnsent = aOrder.isRelease_ && now_ < releasesUnsentUntil_;
+    const auto found = servers_.find(aCommand.server_);
+    const bool isReached = found != servers_.end() && !found->second.isPartitioned_;
+    Pending pending{ now_ + kOneWayLatency, &aPlacer, aCommand, true, true, {} };
+    const bool isUnsent = aCommand.isRelease_ && now_ < releasesUnsentUntil_;
     if (!isReached || isUnsent) {
       pending.isArrival_ = false;
-      pending.outcome_.end_ = OrderEnd::NotSent;
+      pending.outcome_.end_ = CommandStatus::NotSent;
     } else if (!found->second.isUp_) {
       pending.isArrival_ = false;
-      pending.outcome_.end_ = OrderEnd::Refused;
-    } else if (found->second.isLate_) {
-      ++lateOrders_;
+      pending.outcome_.end_ = CommandStatus::Refused;
+    } else if (found->second.respondsLate_) {
+      ++lateCommands_;
       pending.isAnswered_ = false;
       pending.at_ = now_ + seconds(2) + milliseconds(random_() % 10000);
-      Pending lost{ now_ + milliseconds(1500), &aPlacer, aOrder, false, true, {} };
-      lost.outcome_.end_ = OrderEnd::Unanswered;
+      Pending lost{ now_ + milliseconds(1500), &aPlacer, aCommand, false, true, {} };
+      lost.outcome_.end_ = CommandStatus::Unanswered;
       pending_.push_back(lost);
     }
     pending_.push_back(pending);
     const auto together =
       std::count_if(pending_.begin(), pending_.end(), [&](const Pending& aEntry) {
-        return aEntry.order_.server_ == aOrder.server_;
+        return aEntry.command_.server_ == aCommand.server_;
       });
-    mostTogether_ = std::max(mostTogether_, static_cast<std::size_t>(together));
+    maxOutstanding_ = std::max(maxOutstanding_, static_cast<std::size_t>(together));
   }
 
-  void CarryOut()
+  void ExecuteDue()
   {
     std::vector<Pending> due;
     std::erase_if(pending_, [&](const Pending& aEntry) {
@@ -282,9 +284,9 @@
     });
     for (auto& entry : due) {
       if (entry.isArrival_) {
-        auto& server = servers_.at(entry.order_.server_);
-        entry.outcome_ = Take(server, entry.order_);
-        if (entry.order_.isRelease_ && server.workTime_ > Duration(0)) {
+        auto& server = servers_.at(entry.command_.server_);
+        entry.outcome_ = Execute(server, entry.command_);
+        if (entry.command_.isRelease_ && server.workTime_ > Duration(0)) {
           entry.isArrival_ = false;
           entry.at_ = now_ + server.workTime_;
           pending_.push_back(entry);
@@ -292,43 +294,44 @@
         }
       }
       if (entry.isAnswered_ && entry.placer_->isRunning_) {
-        entry.placer_->placer_.OnOrderEnded(now_, entry.order_.number_, entry.outcome_);
+        entry.placer_->placer_.OnCommandEnded(now_, entry.command_.number_, entry.outcome_);
       }
     }
   }
 
-  OrderOutcome Take(Server& aServer, const KeyOrder& aOrder)
+  CommandOutcome Execute(Server& aServer, const KeyCommand& aCommand)
   {
     if (!aServer.isUp_) {
-      return { OrderEnd::Refused, "" };
+      return { CommandStatus::Refused, "" };
     }
-    const auto first = (aOrder.first_ + kBlock - 1) / kBlock * kBlock;
-    for (KeyNumber key = first; !aOrder.isRelease_ && key <= aOrder.last_; key += kBlock) {
-      if (aServer.seen_[key] > aOrder.fence_) {
-        return { OrderEnd::HigherFence, "" };
+    const auto first = (aCommand.first_ + kBlock - 1) / kBlock * kBlock;
+    for (KeyNumber key = first; !aCommand.isRelease_ && key <= aCommand.last_; key += kBlock) {
+      if (aServer.seen_[key] > aCommand.fence_) {
+        return { CommandStatus::HigherFence, "" };
       }
     }
-    for (KeyNumber key = first; key <= aOrder.last_; key += kBlock) {
-      aServer.seen_[key] = std::max(aServer.seen_[key], aOrder.fence_);
-      if (aOrder.isRelease_) {
+    for (KeyNumber key = first; key <= aCommand.last_; key += kBlock) {
+      aServer.seen_[key] = std::max(aServer.seen_[key], aCommand.fence_);
+      if (aCommand.isRelease_) {
         aServer.held_.erase(key);
         continue;
       }
       const auto held = aServer.held_.find(key);
       const bool isNew = held == aServer.held_.end() || held->second.until_ <= now_;
-      const auto holder = aServer.id_ + " life " + std::to_string(aServer.life_);
+      const auto holder = aServer.id_ + " incarnation " + std::to_string(aServer.incarnation_);
       if (isNew && holders_[key] != holder) {
-        EXPECT_GT(aOrder.fence_, fences_[key]) << "key " << key << " at " << holder;
+        EXPECT_GT(aCommand.fence_, fences_[key]) << "key " << key << " at " << holder;
         holders_[key] = holder;
       }
-      fences_[key] = std::max(fences_[key], aOrder.fence_);
-      // A server's clock may run slow.
+      fences_[key] = std::max(fences_[key], aCommand.fence_);
+      // Clock drift of the server.
       constexpr double kSlow = 1.02;
-      aServer.held_[key] = { aOrder.fence_,
-                             now_ + Duration(static_cast<Duration::rep>(
-                                      static_cast<double>(aOrder.hold_.count()) * kSlow)) };
+      aServer.held_[key] = { aCommand.fence_,
+                             now_ +
+                               Duration(static_cast<Duration::rep>(
+                                 static_cast<double>(aCommand.leaseDuration_.count()) * kSlow)) };
     }
-    return { OrderEnd::Done, aOrder.isRelease_ ? "warm" : "" };
+    return { CommandStatus::Done, aCommand.isRelease_ ? "warm" : "" };
   }
 
   void Check()
--- a/Tests/LibKeys/TestKeyBalancer.cpp
+++ b/Tests/LibKeys/TestKeyBalancer.cpp
@@ -10,8 +10,8 @@
 namespace {
 
 constexpr Instant kNow = seconds(100);
-// No range has moved lately.
-constexpr FenceNumber kAnyFence = std::numeric_limits<FenceNumber>::max();
+// No range is in its cooldown.
+constexpr FenceNumber kAllMovable = std::numeric_limits<FenceNumber>::max();
 
 std::vector<KeyServer>
 MakeServers(const std::vector<std::string>& aIds)
@@ -30,7 +30,7 @@
   {
     std::map<std::string, double> loads;
     for (const auto& range : aOwnership.ranges_) {
-      loads[range.owner_] += load_.Of(range.first_, range.last_);
+      loads[range.owner_] += load_.Between(range.first_, range.last_);
     }
     return loads;
   }
@@ -46,8 +46,8 @@
     EXPECT_EQ(next, kLastKey + 1);
   }
 
-  // As if all moves had ended.
-  static KeyOwnership Settle(KeyOwnership aOwnership)
+  // Completes all moves.
+  static KeyOwnership CompleteMoves(KeyOwnership aOwnership)
   {
     for (auto& range : aOwnership.ranges_) {
       range.previous_.clear();
@@ -58,63 +58,63 @@
   std::vector<KeyServer> servers_ = MakeServers({ "a", "b", "c", "d" });
   KeyLoad load_;
   KeyBalancer balancer_{ {} };
-  KeyOwnership dealt_ = KeyBalancer::DealAll("rates", 10, servers_);
+  KeyOwnership assigned_ = KeyBalancer::AssignAll("rates", 10, servers_);
 };
 
-TEST_F(KeysOfFourServers, Dealt_EveryKeyHasAnOwnerAndFencesRise)
+TEST_F(KeysOfFourServers, InitialAssignment_EveryKeyHasAnOwnerAndFencesIncrease)
 {
-  ExpectWhole(dealt_);
-  EXPECT_EQ(LoadByServer(dealt_).size(), 4U);
-  for (const auto& range : dealt_.ranges_) {
+  ExpectWhole(assigned_);
+  EXPECT_EQ(LoadByServer(assigned_).size(), 4U);
+  for (const auto& range : assigned_.ranges_) {
     EXPECT_GT(range.fence_, 10U);
     EXPECT_TRUE(range.previous_.empty());
   }
 }
 
-TEST_F(KeysOfFourServers, NoServerIsUsable_NothingIsDealt)
+TEST_F(KeysOfFourServers, NoServerIsUsable_NothingIsAssigned)
 {
   for (auto& server : servers_) {
     server.isUsable_ = false;
   }
-  EXPECT_TRUE(KeyBalancer::DealAll("rates", 0, servers_).ranges_.empty());
-  EXPECT_FALSE(KeyBalancer::Replace(dealt_, servers_, load_));
+  EXPECT_TRUE(KeyBalancer::AssignAll("rates", 0, servers_).ranges_.empty());
+  EXPECT_FALSE(KeyBalancer::ReplaceOwners(assigned_, servers_, load_));
 }
 
 TEST_F(KeysOfFourServers, LoadIsEven_NothingMoves)
 {
-  EXPECT_FALSE(balancer_.EvenOut(dealt_, servers_, load_, kAnyFence));
+  EXPECT_FALSE(balancer_.Rebalance(assigned_, servers_, load_, kAllMovable));
 }
 
-TEST_F(KeysOfFourServers, ServerLeaves_ItsKeysGoToOthersUnderHigherFences)
+TEST_F(KeysOfFourServers, ServerLeaves_ItsKeysAreReassignedUnderHigherFences)
 {
   servers_[1].isUsable_ = false;
-  const auto next = KeyBalancer::Replace(dealt_, servers_, load_);
+  const auto next = KeyBalancer::ReplaceOwners(assigned_, servers_, load_);
   ASSERT_TRUE(next);
   ExpectWhole(*next);
   for (std::size_t index = 0; index < next->ranges_.size(); ++index) {
     const auto& range = next->ranges_[index];
     EXPECT_NE(range.owner_, "b");
-    if (dealt_.ranges_[index].owner_ == "b") {
+    if (assigned_.ranges_[index].owner_ == "b") {
       EXPECT_EQ(range.previous_, "b");
-      EXPECT_GT(range.fence_, dealt_.lastFence_);
+      EXPECT_GT(range.fence_, assigned_.lastFence_);
     } else {
-      EXPECT_EQ(range, dealt_.ranges_[index]);
+      EXPECT_EQ(range, assigned_.ranges_[index]);
     }
   }
 }
 
 TEST_F(KeysOfFourServers, OwnerLeavesWhileFormerMayStillHold_RangeWaits)
 {
-  dealt_.ranges_[1].previous_ = "x";
-  const auto moving = dealt_.ranges_[1];
+  assigned_.ranges_[1].previous_ = "x";
+  const auto moving = assigned_.ranges_[1];
   ASSERT_EQ(moving.owner_, "b");
   servers_[1].isUsable_ = false;
-  const auto next = KeyBalancer::Replace(dealt_, servers_, load_);
+  const auto next = KeyBalancer::ReplaceOwners(assigned_, servers_, load_);
   ASSERT_TRUE(next);
   EXPECT_EQ(next->ranges_[1], moving);
 }
 
-TEST_F(KeysOfFourServers, KeysGetHot_TheyAreSpreadWithinAFewRounds)
+TEST_F(KeysOfFourServers, KeysBecomeHot_AreSpreadWithinAFewRounds)
 {
   std::vector<KeyCount> counts;
   for (KeyNumber key = 200; key < 400; ++key) {
@@ -122,21 +122,21 @@
   }
   load_.Add(kNow, counts);
   load_.Refresh(kNow);
-  auto ownership = dealt_;
+  auto ownership = assigned_;
   for (int round = 0; round < 4; ++round) {
-    const auto next = balancer_.EvenOut(ownership, servers_, load_, kAnyFence);
+    const auto next = balancer_.Rebalance(ownership, servers_, load_, kAllMovable);
     if (!next) {
       break;
     }
     ExpectWhole(*next);
-    ownership = Settle(*next);
+    ownership = CompleteMoves(*next);
   }
   for (const auto& [server, load] : LoadByServer(ownership)) {
     EXPECT_LT(load, 1.3 * load_.Total() / 4) << server;
   }
 }
 
-TEST_F(KeysOfFourServers, HotRangeHasMovedLately_ItStays)
+TEST_F(KeysOfFourServers, HotRangeIsInCooldown_IsNotMoved)
 {
   std::vector<KeyCount> counts;
   for (KeyNumber key = 200; key < 400; ++key) {
@@ -144,31 +144,31 @@
   }
   load_.Add(kNow, counts);
   load_.Refresh(kNow);
-  EXPECT_TRUE(balancer_.EvenOut(dealt_, servers_, load_, dealt_.ranges_.front().fence_));
-  const auto lower = dealt_.ranges_.front().fence_ - 1;
-  EXPECT_FALSE(balancer_.EvenOut(dealt_, servers_, load_, lower));
+  EXPECT_TRUE(balancer_.Rebalance(assigned_, servers_, load_, assigned_.ranges_.front().fence_));
+  const auto lower = assigned_.ranges_.front().fence_ - 1;
+  EXPECT_FALSE(balancer_.Rebalance(assigned_, servers_, load_, lower));
 }
 
-TEST_F(KeysOfFourServers, OneKeyIsTheLoad_ItIsNotMovedBackAndForth)
+TEST_F(KeysOfFourServers, OneKeyIsAllOfTheLoad_IsNotMovedBackAndForth)
 {
   load_.Add(kNow, { { 77, 1000 } });
   load_.Refresh(kNow);
-  auto ownership = dealt_;
+  auto ownership = assigned_;
   std::string owner = ownership.Find(77)->owner_;
   int changes = 0;
   for (int round = 0; round < 20; ++round) {
-    const auto next = balancer_.EvenOut(ownership, servers_, load_, kAnyFence);
+    const auto next = balancer_.Rebalance(ownership, servers_, load_, kAllMovable);
     if (!next) {
       break;
     }
-    ownership = Settle(*next);
+    ownership = CompleteMoves(*next);
     changes += ownership.Find(77)->owner_ == owner ? 0 : 1;
     owner = ownership.Find(77)->owner_;
   }
   EXPECT_LE(changes, 1);
 }
 
-TEST_F(KeysOfFourServers, OneKeyIsMostOfTheLoad_ItGoesToTheStrongestWhichIsRelievedOfOthers)
+TEST_F(KeysOfFourServers, OneKeyIsMostOfTheLoad_MovesToTheHighestWeightWhichIsRelievedOfOthers)
 {
   servers_[2].weight_ = 1.5;
   std::vector<KeyCount> counts{ { 77, 500 } };
@@ -177,35 +177,35 @@
   }
   load_.Add(kNow, counts);
   load_.Refresh(kNow);
-  auto ownership = dealt_;
+  auto ownership = assigned_;
   ASSERT_NE(ownership.Find(77)->owner_, "c");
   for (int round = 0; round < 8; ++round) {
-    if (const auto next = balancer_.EvenOut(ownership, servers_, load_, kAnyFence)) {
+    if (const auto next = balancer_.Rebalance(ownership, servers_, load_, kAllMovable)) {
       ExpectWhole(*next);
-      ownership = Settle(*next);
+      ownership = CompleteMoves(*next);
     }
   }
   EXPECT_EQ(ownership.Find(77)->owner_, "c");
-  // Its own part, with the tolerance; with the key alone it has most of that.
+  // Its fair share plus the tolerance; the hot key alone is most of that.
   constexpr double kWeights = 4.5;
   EXPECT_LT(LoadByServer(ownership)["c"], 1.25 * load_.Total() * servers_[2].weight_ / kWeights);
 }
 
-TEST_F(KeysOfFourServers, OneServerCannotBeRelieved_TheOthersAreEvenedOutAllTheSame)
+TEST_F(KeysOfFourServers, OneServerCannotBeRelieved_OthersAreStillRebalanced)
 {
-  // All of c is one key that nobody else could take; a has two busy ranges.
-  std::vector<KeyCount> counts{ { dealt_.ranges_[2].first_, 1000 } };
+  // The whole load of c is one key that no other server could take; a has two busy ranges.
+  std::vector<KeyCount> counts{ { assigned_.ranges_[2].first_, 1000 } };
   for (const std::size_t index : { 0U, 4U }) {
     for (KeyNumber key = 0; key < 100; ++key) {
-      counts.push_back({ dealt_.ranges_[index].first_ + key, 3 });
+      counts.push_back({ assigned_.ranges_[index].first_ + key, 3 });
     }
   }
   load_.Add(kNow, counts);
   load_.Refresh(kNow);
-  auto ownership = dealt_;
+  auto ownership = assigned_;
   for (int round = 0; round < 6; ++round) {
-    if (const auto next = balancer_.EvenOut(ownership, servers_, load_, kAnyFence)) {
-      ownership = Settle(*next);
+    if (const auto next = balancer_.Rebalance(ownership, servers_, load_, kAllMovable)) {
+      ownership = CompleteMoves(*next);
     }
   }
   const auto loads = LoadByServer(ownership);
@@ -229,63 +229,63 @@
   }
 
   std::vector<KeyServer> servers_ = MakeMany();
-  KeyOwnership dealt_ = KeyBalancer::DealAll("rates", 10, servers_);
+  KeyOwnership assigned_ = KeyBalancer::AssignAll("rates", 10, servers_);
   KeyLoad load_;
 };
 
-TEST_F(KeysOfManyServers, NeighbouringKeysGetHot_OneRoundSpreadsThem)
+TEST_F(KeysOfManyServers, NeighbouringKeysBecomeHot_AreSpreadInOneRound)
 {
   std::vector<KeyCount> counts;
   for (KeyNumber key = 0; key < kLastKey; key += 32) {
     counts.push_back({ key, 10 });
   }
-  // As much as a tenth of all the others together, at one server.
+  // A tenth of the load of all other keys, concentrated on one server.
   for (KeyNumber key = 0; key < 200; ++key) {
-    counts.push_back({ dealt_.ranges_[70].first_ + key, 10 });
+    counts.push_back({ assigned_.ranges_[70].first_ + key, 10 });
   }
   load_.Add(kNow, counts);
   load_.Refresh(kNow);
-  const auto next = KeyBalancer({}).EvenOut(dealt_, servers_, load_, kAnyFence);
+  const auto next = KeyBalancer({}).Rebalance(assigned_, servers_, load_, kAllMovable);
   ASSERT_TRUE(next);
   std::map<std::string, double> loads;
   for (const auto& range : next->ranges_) {
-    loads[range.owner_] += load_.Of(range.first_, range.last_);
+    loads[range.owner_] += load_.Between(range.first_, range.last_);
   }
   const double mean = load_.Total() / kServers;
-  // The busiest had 16 times the mean.
+  // The most loaded server had 16 times the mean.
   for (const auto& [server, share] : loads) {
     EXPECT_LT(share, 1.5 * mean) << server;
   }
 }
 
-TEST_F(KeysOfManyServers, LoadsDifferByChance_NothingMoves)
+TEST_F(KeysOfManyServers, LoadsDifferByNoise_NothingMoves)
 {
   std::minstd_rand random(7);
-  // Six requests a second to each server on average, over twenty seconds.
+  // On average six requests a second to each server, over twenty seconds.
   for (int step = 0; step < 200; ++step) {
     for (std::size_t request = 0; request < 6 * kServers / 10; ++request) {
       load_.Add(kNow, { { std::uniform_int_distribution<KeyNumber>(0, kLastKey)(random), 1 } });
     }
     load_.Refresh(kNow + step * Duration(milliseconds(100)));
   }
-  EXPECT_FALSE(KeyBalancer({}).EvenOut(dealt_, servers_, load_, kAnyFence));
+  EXPECT_FALSE(KeyBalancer({}).Rebalance(assigned_, servers_, load_, kAllMovable));
 }
 
-TEST_F(KeysOfFourServers, ServerJoins_GetsItsPart)
+TEST_F(KeysOfFourServers, ServerJoins_GetsItsFairShare)
 {
   servers_ = MakeServers({ "a", "b", "c", "d", "e" });
-  auto ownership = dealt_;
+  auto ownership = assigned_;
   for (int round = 0; round < 8; ++round) {
-    if (const auto next = balancer_.EvenOut(ownership, servers_, load_, kAnyFence)) {
-      ownership = Settle(*next);
+    if (const auto next = balancer_.Rebalance(ownership, servers_, load_, kAllMovable)) {
+      ownership = CompleteMoves(*next);
     }
   }
   EXPECT_GT(LoadByServer(ownership)["e"], 0.7 * load_.Total() / 5);
 }
 
-TEST_F(KeysOfFourServers, ManyRoundsOfChange_RangesStayFew)
+TEST_F(KeysOfFourServers, ManyRoundsOfChange_NumberOfRangesIsBounded)
 {
-  auto ownership = dealt_;
+  auto ownership = assigned_;
   for (KeyNumber round = 0; round < 200; ++round) {
     const auto now = kNow + round * Duration(milliseconds(500));
     std::vector<KeyCount> counts;
@@ -294,9 +294,9 @@
     }
     load_.Add(now, counts);
     load_.Refresh(now);
-    if (const auto next = balancer_.EvenOut(ownership, servers_, load_, kAnyFence)) {
+    if (const auto next = balancer_.Rebalance(ownership, servers_, load_, kAllMovable)) {
       ExpectWhole(*next);
-      ownership = Settle(*next);
+      ownership = CompleteMoves(*next);
     }
   }
   EXPECT_LE(ownership.ranges_.size(), 160U);
--- a/Tests/LibKeys/TestOwnershipPlacer.cpp
+++ b/Tests/LibKeys/TestOwnershipPlacer.cpp
@@ -18,8 +18,8 @@
     world_.Pass(seconds(4));
   }
 
-  // The store comes back from a copy, and the placer is lost with it.
-  PlacerWorld::Placer& TakeOverFromACopy()
+  // Restores the store from a copy and replaces the placer.
+  PlacerWorld::Placer& TakeOverFromCopy()
   {
     world_.TakeCopy();
     world_.ReturnFromCopy();
@@ -31,8 +31,7 @@
 
   void ExpectAllServed() const { EXPECT_EQ(world_.ServedKeys(), PlacerWorld::kBlocks); }
 
-  // How long until all keys are served again, up to a minute. The world stands still
-  // after a failure.
+  // Time until all keys are served again, one minute at most. The simulation stops after a failure.
   Duration TimeUntilServed()
   {
     const auto begin = world_.now_;
@@ -60,12 +59,12 @@
   EXPECT_EQ(world_.changes_, changes);
 }
 
-TEST_F(PlacedKeysOfThreeServers, TimePasses_RenewalsOfOneServerFollowEachOther)
+TEST_F(PlacedKeysOfThreeServers, TimePasses_RenewalsOfOneServerAreSequential)
 {
   world_.Pass(seconds(3));
-  world_.mostTogether_ = 0;
+  world_.maxOutstanding_ = 0;
   world_.Pass(seconds(10));
-  EXPECT_EQ(world_.mostTogether_, 1U);
+  EXPECT_EQ(world_.maxOutstanding_, 1U);
   ExpectAllServed();
 }
 
@@ -76,17 +75,17 @@
   ExpectAllServed();
 }
 
-TEST_F(PlacedKeysOfThreeServers, ServerLeaves_KeysPassOnWithinMoments)
+TEST_F(PlacedKeysOfThreeServers, ServerLeaves_KeysMoveAtOnce)
 {
   world_.servers_.at("s1").isLeaving_ = true;
   world_.Pass(milliseconds(100));
   EXPECT_LT(TimeUntilServed(), milliseconds(500));
 }
 
-TEST_F(PlacedKeysOfThreeServers, ServerIsSilentAndUnlisted_KeysPassOnAfterItsGrantsRanOut)
+TEST_F(PlacedKeysOfThreeServers, ServerIsSilentAndUnlisted_KeysMoveAfterItsGrantsExpire)
 {
   auto& lost = world_.servers_.at("s1");
-  lost.isCut_ = true;
+  lost.isPartitioned_ = true;
   lost.isListed_ = false;
   world_.Pass(milliseconds(100));
   const auto time = TimeUntilServed();
@@ -94,10 +93,10 @@
   EXPECT_LT(time, seconds(6));
 }
 
-TEST_F(PlacedKeysOfThreeServers, KeysOfASilentServerWait_TheOthersAreEvenedOutMeanwhile)
+TEST_F(PlacedKeysOfThreeServers, KeysOfASilentServerWait_OthersAreRebalancedMeanwhile)
 {
   auto& lost = world_.servers_.at("s1");
-  lost.isCut_ = true;
+  lost.isPartitioned_ = true;
   lost.isListed_ = false;
   world_.Pass(milliseconds(200));
   std::vector<KeyCount> counts;
@@ -115,7 +114,7 @@
   EXPECT_GT(3 * passedOn, counts.size());
 }
 
-TEST_F(PlacedKeysOfThreeServers, PlacerTakesOver_LoadIsEvenedOutOnlyAfterTheReportsOfAll)
+TEST_F(PlacedKeysOfThreeServers, PlacerTakesOver_LoadIsRebalancedOnlyAfterAllReports)
 {
   world_.Stop(*placer_);
   placer_ = &world_.TakeOver();
@@ -128,7 +127,7 @@
   EXPECT_NE(owners, (std::vector{ ownerOf(5), ownerOf(300), ownerOf(10) }));
 }
 
-TEST_F(PlacedKeysOfThreeServers, NewLifeHasTheAddress_KeysPassOnAtOnce)
+TEST_F(PlacedKeysOfThreeServers, NewIncarnationHasTheAddress_KeysMoveAtOnce)
 {
   world_.servers_.at("s1").isUp_ = false;
   world_.servers_.at("s1").isListed_ = false;
@@ -153,7 +152,8 @@
   }
 }
 
-// A grant under the former fence would give the keys to another life.
+// Guards against granting the keys to a restarted server under the fence of its earlier
+// incarnation.
 TEST_F(PlacedKeysOfThreeServers, ServerStartsAgainWhileTheStoreIsDown_GetsItsKeysAfterItsReturn)
 {
   world_.isStoreDown_ = true;
@@ -175,7 +175,7 @@
   EXPECT_EQ(world_.ServedKeys(), PlacerWorld::kBlocks);
 }
 
-TEST_F(PlacedKeysOfThreeServers, ServerThatSaidItLeavesRefuses_KeysPassOnSoon)
+TEST_F(PlacedKeysOfThreeServers, LeavingServerRefusesConnections_KeysMoveSoon)
 {
   auto& left = world_.servers_.at("s1");
   left.isUp_ = false;
@@ -185,54 +185,54 @@
   EXPECT_LT(TimeUntilServed(), milliseconds(1500));
 }
 
-TEST_F(PlacedKeysOfThreeServers, ServerThatSaidItLeavesRefusesAndIsThenNotReached_KeysPassOnSoon)
+TEST_F(PlacedKeysOfThreeServers, LeavingServerRefusesAndIsThenUnreachable_KeysMoveSoon)
 {
   auto& left = world_.servers_.at("s1");
   left.isUp_ = false;
   left.isLeaving_ = true;
   world_.Pass(milliseconds(800));
-  left.isCut_ = true;
+  left.isPartitioned_ = true;
   world_.Pass(milliseconds(600));
   left.isListed_ = false;
   world_.Pass(milliseconds(100));
   EXPECT_LT(TimeUntilServed(), milliseconds(500));
 }
 
-TEST_F(PlacedKeysOfThreeServers, OrdersAreTakenLate_LateGrantsMeetHigherFences)
+TEST_F(PlacedKeysOfThreeServers, CommandsAreExecutedLate_LateGrantsMeetHigherFences)
 {
-  world_.servers_.at("s1").isLate_ = true;
+  world_.servers_.at("s1").respondsLate_ = true;
   world_.Pass(seconds(3));
-  world_.servers_.at("s1").isLate_ = false;
+  world_.servers_.at("s1").respondsLate_ = false;
   world_.servers_.at("s1").isLeaving_ = true;
   world_.Pass(seconds(20));
   ExpectAllServed();
 }
 
-TEST_F(PlacedKeysOfThreeServers, SilentServerWithLateOrders_KeysWaitForThem)
+TEST_F(PlacedKeysOfThreeServers, SilentServerWithLateCommands_KeysWaitForThem)
 {
   auto& server = world_.servers_.at("s1");
-  server.isLate_ = true;
+  server.respondsLate_ = true;
   world_.Pass(seconds(2));
-  server.isCut_ = true;
+  server.isPartitioned_ = true;
   server.isListed_ = false;
   world_.Pass(milliseconds(100));
   EXPECT_GT(TimeUntilServed(), seconds(10));
 }
 
-TEST_F(PlacedKeysOfThreeServers, OneGrantOfASilentServerWasNotAnswered_OnlyItsKeysWait)
+TEST_F(PlacedKeysOfThreeServers, OneGrantOfASilentServerIsUnacknowledged_OnlyItsKeysWait)
 {
   auto& server = world_.servers_.at("s1");
-  server.isLate_ = true;
-  for (int step = 0; step < 500 && world_.lateOrders_ == 0; ++step) {
+  server.respondsLate_ = true;
+  for (int step = 0; step < 500 && world_.lateCommands_ == 0; ++step) {
     world_.Pass(milliseconds(10));
   }
-  const auto late = world_.lateOrders_;
+  const auto late = world_.lateCommands_;
   ASSERT_GT(late, 0U);
-  server.isLate_ = false;
-  server.isCut_ = true;
+  server.respondsLate_ = false;
+  server.isPartitioned_ = true;
   server.isListed_ = false;
   world_.Pass(seconds(6));
-  // A service is first dealt in 64 ranges.
+  // The initial assignment has 64 ranges.
   EXPECT_EQ(world_.ServedKeys(), PlacerWorld::kBlocks - late * PlacerWorld::kBlocks / 64);
   EXPECT_GT(TimeUntilServed(), seconds(6));
 }
@@ -257,20 +257,20 @@
   PlacerWorld world_;
 };
 
-TEST_F(PlacedKeysOfManyServers, HalfLeaveWhileAtWork_AllLetGoTogether)
+TEST_F(PlacedKeysOfManyServers, HalfLeaveWhileWorking_AllReleaseInParallel)
 {
   for (int number = 0; number < kServers; number += 2) {
     world_.servers_.at(IdOf(number)).isLeaving_ = true;
   }
-  // The work, and the steps before and after it.
+  // The work in progress, plus the steps before and after it.
   world_.Pass(milliseconds(1100));
   EXPECT_EQ(world_.ServedKeys(), PlacerWorld::kBlocks);
 }
 
-TEST_F(PlacedKeysOfManyServers, SomeAnswerNothing_GrantsOfTheOthersAreRenewed)
+TEST_F(PlacedKeysOfManyServers, SomeDoNotAnswer_GrantsOfOthersAreRenewed)
 {
   for (int number = 0; number < 32; ++number) {
-    world_.servers_.at(IdOf(number)).isLate_ = true;
+    world_.servers_.at(IdOf(number)).respondsLate_ = true;
   }
   std::size_t least = PlacerWorld::kBlocks;
   for (int step = 0; step < 100; ++step) {
@@ -280,22 +280,22 @@
   EXPECT_GE(least, PlacerWorld::kBlocks * (kServers - 32) / kServers);
 }
 
-TEST(OwnershipPlacer, ServerLeavesWhileItsFirstGrantsAreUnderWay_KeysWaitForThem)
+TEST(OwnershipPlacer, ServerLeavesWhileItsFirstGrantsAreOutstanding_KeysWaitForThem)
 {
   PlacerWorld world;
-  world.AddServer("s1", "s1:80").isLate_ = true;
-  // So many that its orders do not fill the placer's allowance.
+  world.AddServer("s1", "s1:80").respondsLate_ = true;
+  // Enough servers that the commands to s1 do not use up the limit of the placer.
   for (const auto* id : { "s2", "s3", "s4", "s5", "s6", "s7", "s8" }) {
     world.AddServer(id, std::string(id) + ":80");
   }
   world.TakeOver();
-  // Long enough to be dealt, too short for the first answers to be missed.
+  // Long enough for the initial assignment, too short for the first grants to time out.
   world.Pass(milliseconds(2200));
   world.servers_.at("s1").isLeaving_ = true;
   world.Pass(seconds(40));
 }
 
-TEST_F(PlacedKeysOfThreeServers, PlacerIsKilled_NextRenewsAndMovesNothing)
+TEST_F(PlacedKeysOfThreeServers, PlacerIsKilled_SuccessorRenewsAndMovesNothing)
 {
   const auto before = *world_.stored_;
   world_.Stop(*placer_);
@@ -308,7 +308,7 @@
   }
 }
 
-TEST_F(PlacedKeysOfThreeServers, FormerPlacerGoesOn_ItsOrdersDoNoHarm)
+TEST_F(PlacedKeysOfThreeServers, FormerPlacerContinues_ItsCommandsAreHarmless)
 {
   world_.isStoreDown_ = true;
   world_.Pass(seconds(1));
@@ -319,7 +319,7 @@
   ExpectAllServed();
 }
 
-TEST_F(PlacedKeysOfThreeServers, PlacerIsKilledWithinAMove_NextEndsIt)
+TEST_F(PlacedKeysOfThreeServers, PlacerIsKilledDuringAMove_SuccessorCompletesIt)
 {
   world_.servers_.at("s1").isLeaving_ = true;
   world_.Pass(milliseconds(20));
@@ -329,8 +329,9 @@
   ExpectAllServed();
 }
 
-// A server acknowledges what it still owns while the keys that it is to let go of wait
-// for their first order: so many orders are due at a takeover that not all go out at once.
+// Guards against dropping the bounds of a former placer's grants too early: a server acknowledges
+// the ranges that it still owns while those that it must release wait for their first command,
+// because a takeover has more commands due than may be outstanding.
 TEST_F(PlacedKeysOfThreeServers, PlacerIsLostWithinAMoveAndReleasesMustWait_KeysWaitForThem)
 {
   auto ownership = *world_.stored_;
@@ -342,14 +343,15 @@
   }
   world_.Stop(*placer_);
   world_.stored_ = ownership;
-  // The first releases are not sent; by the time of the next its grants have been answered.
+  // The first releases are not sent; by the time of the next ones, the grants of s1 are
+  // acknowledged.
   world_.releasesUnsentUntil_ = world_.now_ + milliseconds(100);
   world_.TakeOver();
   world_.Pass(seconds(2));
   ExpectAllServed();
 }
 
-TEST_F(PlacedKeysOfThreeServers, NewOwnerIsLostWithinAMove_KeysGoOnToAnother)
+TEST_F(PlacedKeysOfThreeServers, NewOwnerIsLostDuringAMove_KeysMoveToAnother)
 {
   world_.servers_.at("s1").isLeaving_ = true;
   world_.Pass(milliseconds(20));
@@ -359,10 +361,10 @@
   ExpectAllServed();
 }
 
-TEST_F(PlacedKeysOfThreeServers, FormerPlacerIsKnownToHaveStopped_SilentServerWaitsForOneHold)
+TEST_F(PlacedKeysOfThreeServers, FormerPlacerHasStopped_KeysOfSilentServerWaitOneLease)
 {
   auto& lost = world_.servers_.at("s1");
-  lost.isCut_ = true;
+  lost.isPartitioned_ = true;
   world_.Stop(*placer_);
   world_.Pass(seconds(2));
   auto& next = world_.TakeOver();
@@ -372,7 +374,7 @@
   EXPECT_LT(TimeUntilServed(), seconds(6));
 }
 
-TEST_F(PlacedKeysOfThreeServers, AllServersEndAtOnce_NewOnesServeAllKeys)
+TEST_F(PlacedKeysOfThreeServers, AllServersStopAtOnce_NewOnesServeAllKeys)
 {
   for (auto& [id, server] : world_.servers_) {
     server.isUp_ = false;
@@ -386,7 +388,7 @@
   ExpectAllServed();
 }
 
-// Faults in random order; the world checks the owners at each step.
+// Injects faults in random order; PlacerWorld checks the holders at each step.
 class WalkOfFaults : public testing::TestWithParam<std::uint32_t>
 {
 protected:
@@ -397,7 +399,7 @@
     return server->second;
   }
 
-  void Strike()
+  void InjectFault()
   {
     auto& server = AnyServer();
     switch (world_.random_() % 9) {
@@ -405,10 +407,10 @@
         server.isLeaving_ = true;
         break;
       case 1:
-        server.isCut_ = !server.isCut_;
+        server.isPartitioned_ = !server.isPartitioned_;
         break;
       case 2:
-        server.isLate_ = !server.isLate_;
+        server.respondsLate_ = !server.respondsLate_;
         break;
       case 3:
         server.isListed_ = !server.isListed_ && server.isUp_;
@@ -446,7 +448,7 @@
 
   void Join(const std::string& aAddress)
   {
-    // Ids rise, so that of two lives at one address the later is known.
+    // Ids increase, which identifies the later of two incarnations at one address.
     world_.AddServer("t" + std::to_string(1000 + ++joined_), aAddress);
   }
 
@@ -472,15 +474,15 @@
   world_.TakeOver();
   world_.Pass(seconds(4));
   for (int step = 0; step < 60 && !HasFailure(); ++step) {
-    Strike();
+    InjectFault();
     world_.Pass(milliseconds(50 + world_.random_() % 1500));
   }
-  // When the faults end, all keys are served again.
+  // All keys are served again after the faults end.
   world_.isStoreDown_ = false;
   for (auto& [id, server] : world_.servers_) {
-    server.isCut_ = false;
-    server.isLate_ = false;
-    // Records of servers that are down lapse.
+    server.isPartitioned_ = false;
+    server.respondsLate_ = false;
+    // Records of stopped servers expire.
     server.isListed_ = server.isListed_ && server.isUp_;
   }
   Join("last:80");
@@ -488,10 +490,7 @@
   EXPECT_EQ(world_.ServedKeys(), PlacerWorld::kBlocks);
 }
 
-// Placers lost one after the other, each with moves under way that its successor finds half
-// done: hot keys that wander cause them, neighbours merge, and servers take a while to let go.
-TEST_F(PlacedKeysOfThreeServers,
-       StoreComesBackFromAnOlderCopy_OwnersAreWrittenAgainUnderHigherFences)
+TEST_F(PlacedKeysOfThreeServers, StoreIsRestoredFromACopy_OwnersAreWrittenAgainUnderHigherFences)
 {
   const auto before = *world_.stored_;
   world_.TakeCopy();
@@ -506,9 +505,9 @@
   EXPECT_EQ(world_.ServedKeys(), PlacerWorld::kBlocks);
 }
 
-TEST_F(PlacedKeysOfThreeServers, CopyIsAllThatANewPlacerKnows_ItWaitsUntilLostGrantsHaveRunOut)
+TEST_F(PlacedKeysOfThreeServers, NewPlacerKnowsOnlyTheCopy_WaitsUntilLostGrantsExpire)
 {
-  auto& next = TakeOverFromACopy();
+  auto& next = TakeOverFromCopy();
   world_.Pass(seconds(10));
   EXPECT_EQ(world_.ServedKeys(), 0U);
   world_.Pass(seconds(2));
@@ -516,14 +515,17 @@
   EXPECT_TRUE(next.isRunning_);
 }
 
-TEST_F(PlacedKeysOfThreeServers, FormerPlacerHasStopped_CopyIsUsedAfterOneHold)
+TEST_F(PlacedKeysOfThreeServers, FormerPlacerHasStopped_CopyIsUsedAfterOneLease)
 {
-  auto& next = TakeOverFromACopy();
+  auto& next = TakeOverFromCopy();
   next.placer_.OnFormerPlacerStopped(world_.now_);
   world_.Pass(milliseconds(6000));
   EXPECT_EQ(world_.ServedKeys(), PlacerWorld::kBlocks);
 }
 
+// Replaces placers one after the other while moves are in progress, which each successor has to
+// finish. Hot key ranges that change cause the moves, adjacent ranges are merged, and servers take
+// a while to release keys.
 class WalkOfLostPlacers : public testing::TestWithParam<std::uint32_t>
 {
 protected:
@@ -540,8 +542,8 @@
     world_.Pass(seconds(4));
   }
 
-  // Some neighbouring keys get most of the load.
-  void HeatUp()
+  // Gives most of the load to a range of neighbouring keys.
+  void AddHotRange()
   {
     std::vector<KeyCount> counts;
     const auto first = static_cast<KeyNumber>(world_.random_() % (kLastKey - 4096));
@@ -565,7 +567,7 @@
 TEST_P(WalkOfLostPlacers, MovesOverlap_NoKeyHasTwoHolders)
 {
   for (int step = 0; step < 40 && !HasFailure(); ++step) {
-    HeatUp();
+    AddHotRange();
     world_.Pass(milliseconds(10 * (1 + world_.random_() % 60)));
     if (world_.random_() % 3 == 0) {
       world_.releasesUnsentUntil_ = world_.now_ + milliseconds(world_.random_() % 300);
@@ -580,13 +582,13 @@
 
 using WalkOfStoreReturns = WalkOfLostPlacers;
 
-// The store comes back from copies that lack the last moves, and placers are lost with it:
-// sometimes for one that remembers what was written, sometimes for one that has just started.
-// A lost placer still renews for as long as it may without the store.
+// The store is restored from copies that lack the last moves, and placers are lost with it. The
+// successor has either received all writes or has just started, and a lost placer still renews
+// grants for as long as it may without the store.
 TEST_P(WalkOfStoreReturns, WritesAreLost_NoKeyHasTwoHoldersAndFencesRise)
 {
   for (int step = 0; step < 12 && !HasFailure(); ++step) {
-    HeatUp();
+    AddHotRange();
     world_.TakeCopy();
     world_.Pass(milliseconds(10 * (1 + world_.random_() % 300)));
     world_.ReturnFromCopy();
@@ -600,7 +602,7 @@
       world_.Pass(milliseconds(world_.random_() % 6000));
       world_.Stop(*former);
     }
-    HeatUp();
+    AddHotRange();
     world_.Pass(milliseconds(10 * (1 + world_.random_() % 200)));
   }
   world_.Pass(seconds(20));
--- a/Tests/LibPermit/DispatcherFixture.h
+++ b/Tests/LibPermit/DispatcherFixture.h
@@ -12,7 +12,7 @@
 
 namespace latchslip {
 
-// Writes down what a dispatcher answers.
+// Records the answers of a dispatcher.
 class RecordedAnswers : public DispatcherActions
 {
 public:
@@ -21,22 +21,22 @@
     answers_.emplace_back(aCaller, aMessage);
   }
 
-  void NoteLeaving(const std::string& aServer, std::uint64_t aLife) override
+  void NoteLeaving(const std::string& aServer, std::uint64_t aIncarnation) override
   {
-    leaving_.emplace(aServer, aLife);
+    leaving_.emplace(aServer, aIncarnation);
   }
 
   std::vector<std::pair<CallerId, MessageFromDispatcher>> answers_;
-  // The servers that are said to leave, each with its life.
+  // Servers reported as leaving, with their incarnations.
   std::set<std::pair<std::string, std::uint64_t>> leaving_;
 };
 
-// A dispatcher of the service "plain", whose servers the test lists, on a hand-turned clock.
+// A dispatcher for the service "plain" on a simulated clock; each test lists its servers.
 class DispatcherOfAService : public testing::Test
 {
 protected:
   static constexpr CallerId kCaller = 1;
-  // A server in its slow start takes so many requests a second.
+  // Requests per second that a server in slow start accepts.
   static constexpr double kSlowStartRate = 5;
 
   DispatcherOfAService()
@@ -59,21 +59,21 @@
     dispatcher_.OnDirectoryChanged(now_);
   }
 
-  // Asks and gives the number of the ask.
-  AttemptNumber Ask(const std::string& aServer = "",
-                    Duration aInTime = milliseconds(300),
-                    unsigned aPriority = 1,
-                    CallerId aCaller = kCaller)
+  // Requests a permit and returns the number of the request.
+  AttemptNumber Request(const std::string& aServer = "",
+                        Duration aInTime = milliseconds(300),
+                        unsigned aPriority = 1,
+                        CallerId aCaller = kCaller)
   {
-    PermitAsk ask;
-    ask.number_ = ++lastNumber_;
-    ask.service_ = "plain";
-    ask.server_ = aServer;
-    ask.hall_ = "hall";
-    ask.priority_ = aPriority;
-    ask.inTime_ = aInTime;
-    ask.timeLeft_ = aInTime + milliseconds(700);
-    dispatcher_.OnMessage(now_, aCaller, ask);
+    PermitRequest request;
+    request.number_ = ++lastNumber_;
+    request.service_ = "plain";
+    request.server_ = aServer;
+    request.hall_ = "hall";
+    request.priority_ = aPriority;
+    request.inTime_ = aInTime;
+    request.timeLeft_ = aInTime + milliseconds(700);
+    dispatcher_.OnMessage(now_, aCaller, request);
     return lastNumber_;
   }
 
@@ -86,7 +86,7 @@
     dispatcher_.OnMessage(now_, aCaller, SendEnd{ aNumber, aResult, aLatency, aStatus });
   }
 
-  // Ends a send whose answer names how many requests a second the server takes.
+  // Ends a send whose answer names a rate limit of the server, in requests per second.
   void EndWithLimit(AttemptNumber aNumber, double aRateLimit, CallerId aCaller = kCaller)
   {
     SendEnd end{ aNumber, SendResult::Answered, milliseconds(20), std::nullopt };
@@ -94,7 +94,7 @@
     dispatcher_.OnMessage(now_, aCaller, end);
   }
 
-  // The server that an ask was permitted; empty for none.
+  // The server for which a permit was issued; empty for none.
   std::string PermittedTo(AttemptNumber aNumber) const
   {
     for (const auto& [caller, answer] : actions_.answers_) {
--- a/Tests/LibPermit/TestDispatchUnderLoad.cpp
+++ b/Tests/LibPermit/TestDispatchUnderLoad.cpp
@@ -1,12 +1,11 @@
-// The pattern: a service whose servers are asked for all that their slots bear, by many
-// instances of which each hears of one server every few seconds. Servers differ in speed,
-// and one in five is three times slower at any moment, another one every 0.4 s, since they
-// share their machines. What a server cannot queue it resets, which makes the outcome of a
-// request unknown.
+// Simulates a service at full load, with many instances, each of which gets an answer from a given
+// server only every few seconds. Server speeds differ, and at any time one in five servers is three
+// times slower, another one every 0.4 s, because servers share their machines. A server whose queue
+// is full resets the connection, which leaves the outcome of the request unknown.
 //
-// The figures are those of a deployment of middle size, as its operators' sheet has them: 34
-// servers of 3 slots with a queue of 12; work of 90 ms, in time within 300 ms, given up after
-// a second; an answer in time is worth 1, a late one 0.5.
+// The parameters are those of a medium-size deployment: 34 servers with 3 slots and a queue of 12;
+// work of 90 ms, in time within 300 ms, given up after a second; an answer in time counts 1, a late
+// one 0.5.
 
 #include "LibPermit/PermitDispatcher.h"
 
@@ -28,29 +27,29 @@
 constexpr Duration kInTime = milliseconds(300);
 constexpr Duration kTimeLeft = milliseconds(1000);
 constexpr double kSpeeds[] = { 0.7, 0.7, 1.6 };
-constexpr double kSpellShare = 0.2;
-constexpr double kSpellFactor = 3;
-constexpr Duration kSpell = milliseconds(400);
-// One way between an instance and the dispatcher or a server.
-constexpr Duration kWay = milliseconds(2);
+constexpr double kSlowShare = 0.2;
+constexpr double kSlowFactor = 3;
+constexpr Duration kSlowInterval = milliseconds(400);
+// One-way latency between an instance and the dispatcher or a server.
+constexpr Duration kOneWayLatency = milliseconds(2);
 constexpr Duration kDay = seconds(20);
 
-// What became of the requests of a day.
+// Outcome of the requests of a simulated day.
 struct DayResult
 {
-  double worth_ = 0;
+  double value_ = 0;
   std::size_t requests_ = 0;
   std::size_t resets_ = 0;
   std::size_t refused_ = 0;
 
-  double MeanWorth() const { return worth_ / static_cast<double>(requests_); }
+  double MeanValue() const { return value_ / static_cast<double>(requests_); }
 };
 
-// A service's servers and the instances that send to them, on a hand-turned clock.
+// Servers of a service and the instances that send to them, on a simulated clock.
 class LoadWorld : private DispatcherActions
 {
 public:
-  // aLoad: requests for what the servers can do at their mean speeds.
+  // aLoad is the request rate relative to the capacity of the servers at their mean speeds.
   LoadWorld(unsigned aSeed, double aLoad)
     : random_(aSeed)
     , load_(aLoad)
@@ -66,22 +65,22 @@
       now_, std::make_shared<const RouteTable>(RouteTable::Create(configuration).value()));
   }
 
-  // Each instance sends to the better of two servers, by their usual speeds, which is all
-  // that it can know.
-  DayResult PlayAlone()
+  // Without a dispatcher: each instance sends to the better of two random servers by their normal
+  // speeds, which is all that an instance can know.
+  DayResult RunWithoutDispatcher()
   {
     send_ = [this](std::size_t aRequest) {
       const auto one = random_() % kServers;
       const auto other = random_() % kServers;
       Arrive(aRequest, SpeedOf(one) <= SpeedOf(other) ? one : other);
     };
-    return Play();
+    return Run();
   }
 
-  DayResult PlayWithDispatcher()
+  DayResult RunWithDispatcher()
   {
-    send_ = [this](std::size_t aRequest) { Ask(aRequest); };
-    return Play();
+    send_ = [this](std::size_t aRequest) { RequestPermit(aRequest); };
+    return Run();
   }
 
 private:
@@ -117,13 +116,13 @@
     steps_.push({ now_ + aTime, ++order_, std::move(aAct) });
   }
 
-  DayResult Play()
+  DayResult Run()
   {
     for (std::size_t server = 0; server < kServers; ++server) {
-      Spell(server);
+      ChangeSpeed(server);
     }
     NextRequest();
-    Look();
+    CheckQueue();
     const auto end = now_ + kDay;
     while (!steps_.empty() && steps_.top().at_ < end) {
       auto step = steps_.top();
@@ -134,17 +133,17 @@
     return result_;
   }
 
-  void Look()
+  void CheckQueue()
   {
     dispatcher_.OnTime(now_);
-    In(milliseconds(5), [this] { Look(); });
+    In(milliseconds(5), [this] { CheckQueue(); });
   }
 
-  void Spell(std::size_t aServer)
+  void ChangeSpeed(std::size_t aServer)
   {
-    std::bernoulli_distribution isSlow(kSpellShare);
-    servers_[aServer].pace_ = isSlow(random_) ? kSpellFactor : 1;
-    In(kSpell, [this, aServer] { Spell(aServer); });
+    std::bernoulli_distribution isSlow(kSlowShare);
+    servers_[aServer].pace_ = isSlow(random_) ? kSlowFactor : 1;
+    In(kSlowInterval, [this, aServer] { ChangeSpeed(aServer); });
   }
 
   void NextRequest()
@@ -153,7 +152,7 @@
     for (std::size_t server = 0; server < kServers; ++server) {
       rate += kSlots / (ToSeconds(kWork) * SpeedOf(server));
     }
-    rate *= load_ / (1 + kSpellShare * (kSpellFactor - 1));
+    rate *= load_ / (1 + kSlowShare * (kSlowFactor - 1));
     std::exponential_distribution<double> pause(rate);
     constexpr double kMicroseconds = 1e6;
     In(Duration(static_cast<Duration::rep>(pause(random_) * kMicroseconds)), [this] {
@@ -164,16 +163,17 @@
     });
   }
 
-  void Ask(std::size_t aRequest)
+  void RequestPermit(std::size_t aRequest)
   {
-    PermitAsk ask;
-    ask.number_ = aRequest;
-    ask.service_ = "rates";
-    ask.hall_ = "hall";
-    ask.inTime_ = kInTime;
-    ask.timeLeft_ = kTimeLeft;
-    In(kWay,
-       [this, aRequest, ask] { dispatcher_.OnMessage(now_, 1 + aRequest % kInstances, ask); });
+    PermitRequest request;
+    request.number_ = aRequest;
+    request.service_ = "rates";
+    request.hall_ = "hall";
+    request.inTime_ = kInTime;
+    request.timeLeft_ = kTimeLeft;
+    In(kOneWayLatency, [this, aRequest, request] {
+      dispatcher_.OnMessage(now_, 1 + aRequest % kInstances, request);
+    });
   }
 
   void NoteLeaving(const std::string&, std::uint64_t) override {}
@@ -181,7 +181,7 @@
   {
     if (const auto* permit = std::get_if<Permit>(&aMessage)) {
       const auto server = static_cast<std::size_t>(std::stoul(permit->server_.substr(1)));
-      In(kWay, [this, request = permit->number_, server] { Arrive(request, server); });
+      In(kOneWayLatency, [this, request = permit->number_, server] { Arrive(request, server); });
     } else if (std::holds_alternative<PermitDenial>(aMessage)) {
       ++result_.refused_;
     }
@@ -197,7 +197,7 @@
       server.waiting_.push_back(aRequest);
     } else {
       ++result_.resets_;
-      TellEnd(aRequest, SendResult::Broken, aServer);
+      ReportSendEnd(aRequest, SendResult::Broken, aServer);
     }
   }
 
@@ -205,7 +205,7 @@
   {
     auto& server = servers_[aServer];
     ++server.running_;
-    // Of mean 1; most lie within a factor of two.
+    // Mean 1; most values lie within a factor of two.
     constexpr double kSigma = 0.6;
     std::lognormal_distribution<double> spread(-kSigma * kSigma / 2, kSigma);
     const auto work = Scale(kWork, SpeedOf(aServer) * server.pace_ * spread(random_));
@@ -216,21 +216,21 @@
   {
     auto& server = servers_[aServer];
     --server.running_;
-    const auto age = now_ + kWay - requests_[aRequest].begin_;
+    const auto age = now_ + kOneWayLatency - requests_[aRequest].begin_;
     if (age <= kInTime) {
-      result_.worth_ += 1;
+      result_.value_ += 1;
     } else if (age <= kTimeLeft) {
-      result_.worth_ += 0.5;
+      result_.value_ += 0.5;
     }
     if (!server.waiting_.empty()) {
       const auto next = server.waiting_.front();
       server.waiting_.pop_front();
       Start(next, aServer);
     }
-    TellEnd(aRequest, SendResult::Answered, aServer);
+    ReportSendEnd(aRequest, SendResult::Answered, aServer);
   }
 
-  void TellEnd(std::size_t aRequest, SendResult aResult, std::size_t aServer)
+  void ReportSendEnd(std::size_t aRequest, SendResult aResult, std::size_t aServer)
   {
     const auto& server = servers_[aServer];
     const ServerStatus status{ static_cast<unsigned>(server.running_),
@@ -238,7 +238,7 @@
                                kSlots,
                                server.pace_ };
     const SendEnd end{ aRequest, aResult, now_ - requests_[aRequest].sent_, status };
-    In(2 * kWay,
+    In(2 * kOneWayLatency,
        [this, aRequest, end] { dispatcher_.OnMessage(now_, 1 + aRequest % kInstances, end); });
   }
 
@@ -258,22 +258,22 @@
 class ServiceAtFullWork : public testing::TestWithParam<unsigned>
 {};
 
-TEST_P(ServiceAtFullWork, DispatcherSeesAllSends_MoreIsInTimeThanAlone)
+TEST_P(ServiceAtFullWork, DispatcherSeesAllSends_MoreIsInTimeThanWithout)
 {
-  const auto alone = LoadWorld(GetParam(), 0.9).PlayAlone();
-  const auto dispatched = LoadWorld(GetParam(), 0.9).PlayWithDispatcher();
-  RecordProperty("alone", std::to_string(alone.MeanWorth()));
-  RecordProperty("dispatched", std::to_string(dispatched.MeanWorth()));
-  EXPECT_GT(dispatched.MeanWorth(), alone.MeanWorth() + 0.1);
-  EXPECT_GT(dispatched.MeanWorth(), 0.85);
+  const auto alone = LoadWorld(GetParam(), 0.9).RunWithoutDispatcher();
+  const auto dispatched = LoadWorld(GetParam(), 0.9).RunWithDispatcher();
+  RecordProperty("alone", std::to_string(alone.MeanValue()));
+  RecordProperty("dispatched", std::to_string(dispatched.MeanValue()));
+  EXPECT_GT(dispatched.MeanValue(), alone.MeanValue() + 0.1);
+  EXPECT_GT(dispatched.MeanValue(), 0.85);
 }
 
-TEST_P(ServiceAtFullWork, AskedForAFifthMore_NothingIsResetAndTheRestIsInTime)
+TEST_P(ServiceAtFullWork, OverloadedByAFifth_NothingIsResetAndServedRequestsAreInTime)
 {
-  const auto dispatched = LoadWorld(GetParam(), 1.2).PlayWithDispatcher();
-  RecordProperty("dispatched", std::to_string(dispatched.MeanWorth()));
+  const auto dispatched = LoadWorld(GetParam(), 1.2).RunWithDispatcher();
+  RecordProperty("dispatched", std::to_string(dispatched.MeanValue()));
   EXPECT_EQ(dispatched.resets_, 0U);
-  EXPECT_GT(dispatched.MeanWorth(), 0.65);
+  EXPECT_GT(dispatched.MeanValue(), 0.65);
   EXPECT_LT(dispatched.refused_, dispatched.requests_ / 3);
 }
 
--- a/Tests/LibPermit/TestPermitClient.cpp
+++ b/Tests/LibPermit/TestPermitClient.cpp
@@ -8,18 +8,18 @@
 
 namespace {
 
-// Writes down what a client says and what its asks came to.
+// Records the messages of a client and the outcomes of its permit requests.
 class RecordedClient
   : public PermitClientActions
   , public PermitListener
 {
 public:
-  void Tell(const std::string& aDispatcher, const MessageToDispatcher& aMessage) override
+  void Send(const std::string& aDispatcher, const MessageToDispatcher& aMessage) override
   {
-    told_.emplace_back(aDispatcher, aMessage);
+    sent_.emplace_back(aDispatcher, aMessage);
   }
-  void Dial(const std::string& aDispatcher) override { dialled_.push_back(aDispatcher); }
-  void HangUp(const std::string& aDispatcher) override { hungUp_.insert(aDispatcher); }
+  void Connect(const std::string& aDispatcher) override { connected_.push_back(aDispatcher); }
+  void Disconnect(const std::string& aDispatcher) override { disconnected_.insert(aDispatcher); }
   void OnPermit(Instant, AttemptNumber aNumber, const std::string& aServer) override
   {
     permits_[aNumber] = aServer;
@@ -29,18 +29,18 @@
   {
     denied_.insert(aNumber);
   }
-  void OnAskLost(Instant, AttemptNumber aNumber) override { lost_.insert(aNumber); }
+  void OnPermitRequestLost(Instant, AttemptNumber aNumber) override { lost_.insert(aNumber); }
 
-  std::vector<std::pair<std::string, MessageToDispatcher>> told_;
-  std::vector<std::string> dialled_;
-  std::set<std::string> hungUp_;
+  std::vector<std::pair<std::string, MessageToDispatcher>> sent_;
+  std::vector<std::string> connected_;
+  std::set<std::string> disconnected_;
   std::map<AttemptNumber, std::string> permits_;
   std::set<AttemptNumber> delayed_;
   std::set<AttemptNumber> denied_;
   std::set<AttemptNumber> lost_;
 };
 
-// A client in a fleet of three instances, any of which may be the dispatcher.
+// A client in a fleet of three instances, each of which may be the dispatcher.
 class ClientOfADispatcher : public testing::Test
 {
 protected:
@@ -55,15 +55,15 @@
     client_.SetPeers(now_, peers);
   }
 
-  void LinkUp() { client_.OnLinkUp(now_, recorded_.dialled_.back()); }
+  void LinkUp() { client_.OnLinkUp(now_, recorded_.connected_.back()); }
 
-  void Ask(AttemptNumber aNumber)
+  void Request(AttemptNumber aNumber)
   {
-    PermitAsk ask;
-    ask.number_ = aNumber;
-    ask.service_ = "plain";
-    ask.timeLeft_ = seconds(1);
-    client_.Ask(now_, ask);
+    PermitRequest request;
+    request.number_ = aNumber;
+    request.service_ = "plain";
+    request.timeLeft_ = seconds(1);
+    client_.RequestPermit(now_, request);
   }
 
   void Pass(Duration aTime)
@@ -81,90 +81,90 @@
   PermitClient client_{ recorded_, events_ };
 };
 
-TEST_F(ClientOfADispatcher, LinkIsNotUpYet_CannotBeAsked)
+TEST_F(ClientOfADispatcher, LinkIsNotUpYet_PermitsCannotBeRequested)
 {
-  ASSERT_EQ(recorded_.dialled_.size(), 1U);
-  EXPECT_FALSE(client_.CanAsk("plain"));
+  ASSERT_EQ(recorded_.connected_.size(), 1U);
+  EXPECT_FALSE(client_.CanRequestPermit("plain"));
   LinkUp();
-  EXPECT_TRUE(client_.CanAsk("plain"));
-  EXPECT_FALSE(client_.CanAsk("other"));
+  EXPECT_TRUE(client_.CanRequestPermit("plain"));
+  EXPECT_FALSE(client_.CanRequestPermit("other"));
 }
 
-TEST_F(ClientOfADispatcher, PermitComes_IsHandedOnOnce)
+TEST_F(ClientOfADispatcher, PermitArrives_IsReportedOnce)
 {
   LinkUp();
-  Ask(5);
-  client_.OnMessage(now_, recorded_.dialled_[0], Permit{ 5, "s1" });
-  client_.OnMessage(now_, recorded_.dialled_[0], Permit{ 5, "s2" });
+  Request(5);
+  client_.OnMessage(now_, recorded_.connected_[0], Permit{ 5, "s1" });
+  client_.OnMessage(now_, recorded_.connected_[0], Permit{ 5, "s2" });
   EXPECT_EQ(recorded_.permits_[5], "s1");
-  // The second one is given back.
-  const auto* end = std::get_if<SendEnd>(&recorded_.told_.back().second);
+  // The second permit is returned unused.
+  const auto* end = std::get_if<SendEnd>(&recorded_.sent_.back().second);
   ASSERT_NE(end, nullptr);
   EXPECT_EQ(end->result_, SendResult::Cancelled);
 }
 
-TEST_F(ClientOfADispatcher, PermitComesAfterTheAskWasWithdrawn_IsGivenBack)
+TEST_F(ClientOfADispatcher, PermitArrivesAfterWithdrawal_IsReturned)
 {
   LinkUp();
-  Ask(5);
+  Request(5);
   client_.Withdraw(5);
-  client_.OnMessage(now_, recorded_.dialled_[0], Permit{ 5, "s1" });
+  client_.OnMessage(now_, recorded_.connected_[0], Permit{ 5, "s1" });
   EXPECT_TRUE(recorded_.permits_.empty());
-  EXPECT_NE(std::get_if<SendEnd>(&recorded_.told_.back().second), nullptr);
+  EXPECT_NE(std::get_if<SendEnd>(&recorded_.sent_.back().second), nullptr);
 }
 
-TEST_F(ClientOfADispatcher, LinkBreaks_AsksAreLostAndTheNextOneIsToldWhatIsUnderWay)
+TEST_F(ClientOfADispatcher, LinkFails_RequestsAreLostAndNextDispatcherLearnsOfRunningSends)
 {
   LinkUp();
-  Ask(5);
-  client_.OnMessage(now_, recorded_.dialled_[0], Permit{ 5, "s1" });
-  Ask(6);
-  client_.OnLinkDown(now_, recorded_.dialled_[0]);
+  Request(5);
+  client_.OnMessage(now_, recorded_.connected_[0], Permit{ 5, "s1" });
+  Request(6);
+  client_.OnLinkDown(now_, recorded_.connected_[0]);
   EXPECT_EQ(recorded_.lost_, std::set<AttemptNumber>{ 6 });
-  ASSERT_EQ(recorded_.dialled_.size(), 2U);
-  EXPECT_NE(recorded_.dialled_[1], recorded_.dialled_[0]);
-  recorded_.told_.clear();
+  ASSERT_EQ(recorded_.connected_.size(), 2U);
+  EXPECT_NE(recorded_.connected_[1], recorded_.connected_[0]);
+  recorded_.sent_.clear();
   LinkUp();
-  ASSERT_EQ(recorded_.told_.size(), 1U);
-  const auto* notice = std::get_if<SendNotice>(&recorded_.told_[0].second);
+  ASSERT_EQ(recorded_.sent_.size(), 1U);
+  const auto* notice = std::get_if<SendNotice>(&recorded_.sent_[0].second);
   ASSERT_NE(notice, nullptr);
   EXPECT_EQ(notice->server_, "s1");
-  client_.TellEnd({ 5, SendResult::Answered, milliseconds(10), std::nullopt });
-  EXPECT_NE(std::get_if<SendEnd>(&recorded_.told_.back().second), nullptr);
+  client_.ReportSendEnd({ 5, SendResult::Answered, milliseconds(10), std::nullopt });
+  EXPECT_NE(std::get_if<SendEnd>(&recorded_.sent_.back().second), nullptr);
 }
 
-TEST_F(ClientOfADispatcher, DispatcherFallsSilent_IsNotAskedAndThenPassedOver)
+TEST_F(ClientOfADispatcher, DispatcherDoesNotAnswer_IsNotUsedAndThenFailedOver)
 {
   LinkUp();
-  Ask(5);
+  Request(5);
   client_.OnUnanswered(now_, "plain");
-  EXPECT_FALSE(client_.CanAsk("plain"));
+  EXPECT_FALSE(client_.CanRequestPermit("plain"));
   Pass(milliseconds(200));
-  EXPECT_NE(std::get_if<DispatcherProbe>(&recorded_.told_.back().second), nullptr);
-  EXPECT_TRUE(recorded_.hungUp_.empty());
+  EXPECT_NE(std::get_if<DispatcherProbe>(&recorded_.sent_.back().second), nullptr);
+  EXPECT_TRUE(recorded_.disconnected_.empty());
   Pass(milliseconds(300));
-  EXPECT_TRUE(recorded_.hungUp_.contains(recorded_.dialled_[0]));
-  EXPECT_EQ(recorded_.dialled_.size(), 2U);
+  EXPECT_TRUE(recorded_.disconnected_.contains(recorded_.connected_[0]));
+  EXPECT_EQ(recorded_.connected_.size(), 2U);
 }
 
-TEST_F(ClientOfADispatcher, SilentDispatcherAnswersAgain_IsAskedAgain)
+TEST_F(ClientOfADispatcher, DispatcherAnswersAgain_IsUsedAgain)
 {
   LinkUp();
-  Ask(5);
+  Request(5);
   client_.OnUnanswered(now_, "plain");
   Pass(milliseconds(100));
-  client_.OnMessage(now_, recorded_.dialled_[0], DispatcherSign{});
-  EXPECT_TRUE(client_.CanAsk("plain"));
+  client_.OnMessage(now_, recorded_.connected_[0], DispatcherSign{});
+  EXPECT_TRUE(client_.CanRequestPermit("plain"));
   Pass(seconds(2));
-  EXPECT_TRUE(recorded_.hungUp_.empty());
+  EXPECT_TRUE(recorded_.disconnected_.empty());
 }
 
-TEST_F(ClientOfADispatcher, FormerDispatcherIsBack_ItIsTheDispatcherAgain)
+TEST_F(ClientOfADispatcher, FormerDispatcherReturns_IsSelectedAgain)
 {
   LinkUp();
-  client_.OnLinkDown(now_, recorded_.dialled_[0]);
+  client_.OnLinkDown(now_, recorded_.connected_[0]);
   Pass(milliseconds(1100));
-  EXPECT_EQ(recorded_.dialled_.back(), recorded_.dialled_.front());
+  EXPECT_EQ(recorded_.connected_.back(), recorded_.connected_.front());
 }
 
 } // namespace
--- a/Tests/Platform/Soak/FaultInjector.cpp
+++ b/Tests/Platform/Soak/FaultInjector.cpp
@@ -527,7 +527,7 @@
   if (backend.IsUp()) {
     backend.RestoreRecord();
   } else {
-    BeginLife(aServer);
+    BeginIncarnation(aServer);
   }
 }
 
--- a/Tests/Platform/TestPlatformCodec.cpp
+++ b/Tests/Platform/TestPlatformCodec.cpp
@@ -193,8 +193,8 @@
 {
   const auto owner = Decode(421, { { "X-Instance-Id", "i-1" }, { "X-Not-Executed", "1" } });
   EXPECT_EQ(owner.end_, AttemptEnd::WrongServer);
-  EXPECT_FALSE(owner.isOtherLife_);
-  EXPECT_TRUE(Decode(421, { { "X-Instance-Id", "i-2" } }).isOtherLife_);
+  EXPECT_FALSE(owner.isOtherIncarnation_);
+  EXPECT_TRUE(Decode(421, { { "X-Instance-Id", "i-2" } }).isOtherIncarnation_);
 }
 
 TEST_F(AttemptCodec, ExchangeFails_SentAndNotSentAreDistinguished)
@@ -240,22 +240,22 @@
 class CommandCodec : public testing::Test
 {
 protected:
-  OrderEnd Decode(unsigned aStatus, std::vector<HttpHeader> aHeaders = {}) const
+  CommandStatus Decode(unsigned aStatus, std::vector<HttpHeader> aHeaders = {}) const
   {
     HttpExchange exchange;
     exchange.end_ = ExchangeEnd::Complete;
     exchange.response_.status_ = aStatus;
     exchange.response_.headers_ = std::move(aHeaders);
-    return codec_.DecodeOrder(order_, exchange).end_;
+    return codec_.DecodeCommand(command_, exchange).end_;
   }
 
   const PlatformCodec codec_;
-  KeyOrder order_{ 1, "i-1", "10.0.0.1:80", 4096, 8191, 12, false, "warm", milliseconds(4000) };
+  KeyCommand command_{ 1, "i-1", "10.0.0.1:80", 4096, 8191, 12, false, "warm", milliseconds(4000) };
 };
 
 TEST_F(CommandCodec, Grant_EncodesKeysFenceLeaseAndHandover)
 {
-  const auto request = codec_.EncodeOrder(order_);
+  const auto request = codec_.EncodeCommand(command_);
   EXPECT_EQ(request.target_, "/api/grant");
   EXPECT_EQ(*request.body_,
             R"({"from":4096,"targetVersion":8191,"fence":12,"holdMs":4000,"handover":"warm"})");
@@ -263,8 +263,8 @@
 
 TEST_F(CommandCodec, Release_EncodesKeysAndFence)
 {
-  order_.isRelease_ = true;
-  const auto request = codec_.EncodeOrder(order_);
+  command_.isRelease_ = true;
+  const auto request = codec_.EncodeCommand(command_);
   EXPECT_EQ(request.target_, "/api/release");
   EXPECT_EQ(*request.body_, R"({"from":4096,"targetVersion":8191,"fence":12})");
 }
@@ -288,20 +288,20 @@
   exchange.end_ = ExchangeEnd::Complete;
   exchange.response_.status_ = 200;
   exchange.response_.headers_ = { { "Server-Leaving", "1" } };
-  EXPECT_TRUE(codec_.DecodeOrder(order_, exchange).isLeaving_);
+  EXPECT_TRUE(codec_.DecodeCommand(command_, exchange).isLeaving_);
   exchange.response_.headers_.emplace_back("X-Instance-Id", "i-2");
-  EXPECT_FALSE(codec_.DecodeOrder(order_, exchange).isLeaving_);
+  EXPECT_FALSE(codec_.DecodeCommand(command_, exchange).isLeaving_);
 }
 
 TEST_F(CommandCodec, NoAnswer_OnlyASentCommandMayTakeEffectLater)
 {
   HttpExchange exchange;
   exchange.end_ = ExchangeEnd::Broken;
-  EXPECT_EQ(codec_.DecodeOrder(order_, exchange).end_, OrderEnd::Unanswered);
+  EXPECT_EQ(codec_.DecodeCommand(command_, exchange).end_, CommandStatus::Unanswered);
   exchange.end_ = ExchangeEnd::NotSent;
-  EXPECT_EQ(codec_.DecodeOrder(order_, exchange).end_, OrderEnd::NotSent);
+  EXPECT_EQ(codec_.DecodeCommand(command_, exchange).end_, CommandStatus::NotSent);
   exchange.isRefused_ = true;
-  EXPECT_EQ(codec_.DecodeOrder(order_, exchange).end_, OrderEnd::Refused);
+  EXPECT_EQ(codec_.DecodeCommand(command_, exchange).end_, CommandStatus::Refused);
 }
 
 TEST_F(AttemptCodec, LoadReport_IsReadWithOrWithoutServiceTime)
