--- a/Benchmarks/BenchGateway.cpp
+++ b/Benchmarks/BenchGateway.cpp
@@ -1,6 +1,6 @@
 // The gateway's decisions, by the count of servers.
 
-#include "LibGateway/RequestDesk.h"
+#include "LibGateway/GatewayRouter.h"
 #include "LibKeys/KeyBalancer.h"
 #include "LibKeys/OwnershipPlacer.h"
 #include "LibPermit/PermitDispatcher.h"
@@ -20,12 +20,12 @@
 class CountedActions : public RequestActions
 {
 public:
-  void Send(const AttemptOrder& aOrder) override { last_ = aOrder.number_; }
+  void Send(const AttemptCommand& aOrder) override { last_ = aOrder.number_; }
   void Cancel(AttemptNumber) override {}
   void Deliver(RequestNumber, AttemptNumber) override { ++delivered_; }
   void Refuse(RequestNumber, const Refusal&) override {}
   bool HasConnection(const std::string&) const override { return true; }
-  void NoteLeaving(const std::string&, std::uint64_t) override {}
+  void RecordLeaving(const std::string&, std::uint64_t) override {}
   void CountKey(const std::string&, KeyNumber) override {}
 
   AttemptNumber last_ = 0;
@@ -42,7 +42,7 @@
   route.host_ = "a.example";
   route.pathPrefix_ = "/rates/";
   route.isRepeatable_ = true;
-  route.mostAttempts_ = 2;
+  route.maxAttempts_ = 2;
   route.targets_ = { { "rates", 1 } };
   configuration.routes_ = { route };
   return std::make_shared<const RouteTable>(RouteTable::Create(configuration).value());
@@ -71,11 +71,11 @@
   for (const auto& server : servers) {
     directory.Put(now, { server.id_, "rates", server.address_, "hall", 4, false, 1 });
   }
-  NoPermits permits;
-  RequestDesk desk({ "hall", {}, 1 }, directory, actions, permits, events);
-  desk.SetInstances(10);
-  desk.SetRoutes(now, MakeRoutes(aIsKeyed));
-  desk.SetOwnership(now, KeyBalancer::DealAll("rates", 0, servers));
+  NullPermitSource permits;
+  GatewayRouter router({ "hall", {}, 1 }, directory, actions, permits, events);
+  router.SetInstances(10);
+  router.SetRoutes(now, MakeRoutes(aIsKeyed));
+  router.SetOwnership(now, KeyBalancer::DealAll("rates", 0, servers));
   RequestNumber number = 0;
   for (auto _ : aState) {
     ++number;
@@ -85,8 +85,8 @@
     request.host_ = "a.example";
     request.path_ = "/rates/1";
     request.key_ = static_cast<KeyNumber>((number * 7919) % (kLastKey + 1));
-    desk.OnRequest(now, std::move(request));
-    desk.OnAttemptEnded(
+    router.OnRequest(now, std::move(request));
+    router.OnAttemptEnded(
       now + microseconds(300), actions.last_, { AttemptEnd::Answered, 200, false, std::nullopt });
   }
   aState.counters["answered_share"] =
@@ -111,7 +111,7 @@
 class CountedPermits : public DispatcherActions
 {
 public:
-  void NoteLeaving(const std::string&, std::uint64_t) override {}
+  void RecordLeaving(const std::string&, std::uint64_t) override {}
   void Answer(CallerId, const MessageFromDispatcher& aMessage) override
   {
     permits_ += std::holds_alternative<Permit>(aMessage) ? 1 : 0;
--- a/Libraries/LibDaemon/GatewayCodec.h
+++ b/Libraries/LibDaemon/GatewayCodec.h
@@ -20,8 +20,8 @@
   virtual RoutedRequest DecodeRequest(RequestNumber aNumber, const HttpRequest& aRequest) const = 0;
   // The request as it goes to a server.
   virtual HttpRequest EncodeAttempt(const HttpRequest& aRequest,
-                                    const AttemptOrder& aOrder) const = 0;
-  virtual AttemptOutcome DecodeAttempt(const AttemptOrder& aOrder,
+                                    const AttemptCommand& aOrder) const = 0;
+  virtual AttemptOutcome DecodeAttempt(const AttemptCommand& aOrder,
                                        const HttpExchange& aExchange) const = 0;
   // A server's answer as it goes to the client.
   virtual HttpResponse EncodeAnswer(HttpResponse aAnswer) const = 0;
--- a/Libraries/LibDaemon/GatewayFront.cpp
+++ b/Libraries/LibDaemon/GatewayFront.cpp
@@ -6,18 +6,18 @@
 
 namespace {
 
-// Connections to one server; the desk's limits lie far below.
+// Connections to one server; the router's limits lie far below.
 constexpr std::size_t kMostConnections = 64;
 // A server that does not take a connection in this time is passed over: many
 // times the way there and back within a region.
 constexpr Duration kConnectTimeout = milliseconds(150);
-// The desk gives up first; this only bounds an exchange it has forgotten.
+// The router gives up first; this only bounds an exchange it has forgotten.
 constexpr Duration kExchangeGrace = milliseconds(100);
 
 } // namespace
 
 GatewayFront::GatewayFront(boost::asio::io_context& aContext,
-                           RequestDeskSettings aSettings,
+                           GatewayRouterSettings aSettings,
                            const GatewayCodec& aCodec,
                            const ServerDirectory& aDirectory,
                            PermitSource& aPermits,
@@ -30,11 +30,11 @@
   , observer_(std::move(aObserver))
   , leavingObserver_(std::move(aLeavingObserver))
   , client_(HttpClient::Create(aContext, kMostConnections))
-  , desk_(std::move(aSettings), aDirectory, *this, aPermits, aEvents)
+  , router_(std::move(aSettings), aDirectory, *this, aPermits, aEvents)
   , timer_(
       aContext,
-      [this] { return desk_.NextTime(); },
-      [this](Instant aNow) { desk_.OnTime(aNow); })
+      [this] { return router_.NextTime(); },
+      [this](Instant aNow) { router_.OnTime(aNow); })
 {
 }
 
@@ -44,7 +44,7 @@
   auto routed = codec_.DecodeRequest(aId, aRequest);
   const auto now = MonotonicNow();
   requests_[aId] = { routed, std::move(aRequest), std::move(aRespond), now };
-  desk_.OnRequest(now, std::move(routed));
+  router_.OnRequest(now, std::move(routed));
   timer_.Arm();
 }
 
@@ -52,12 +52,12 @@
 GatewayFront::OnGone(std::uint64_t aId)
 {
   requests_.erase(aId);
-  desk_.OnClientGone(MonotonicNow(), aId);
+  router_.OnClientGone(MonotonicNow(), aId);
   timer_.Arm();
 }
 
 void
-GatewayFront::Send(const AttemptOrder& aOrder)
+GatewayFront::Send(const AttemptCommand& aOrder)
 {
   const auto request = requests_.find(aOrder.request_);
   if (request == requests_.end()) {
@@ -86,7 +86,7 @@
   }
   const auto outcome = codec_.DecodeAttempt(attempt->second.order_, aExchange);
   attempt->second.answer_ = std::move(aExchange.response_);
-  desk_.OnAttemptEnded(MonotonicNow(), aAttempt, outcome);
+  router_.OnAttemptEnded(MonotonicNow(), aAttempt, outcome);
   attempts_.erase(aAttempt);
   timer_.Arm();
 }
--- a/Libraries/LibDaemon/GatewayFront.h
+++ b/Libraries/LibDaemon/GatewayFront.h
@@ -4,7 +4,7 @@
 #include "LibDaemon/GatewayMetrics.h"
 #include "LibDaemon/LeavingObserver.h"
 #include "LibFleet/FleetMember.h"
-#include "LibGateway/RequestDesk.h"
+#include "LibGateway/GatewayRouter.h"
 #include "LibNet/DueTimer.h"
 #include "LibNet/HttpServer.h"
 
@@ -15,7 +15,7 @@
 
 namespace latchslip {
 
-// Carries clients' requests to servers and the answers back, as the request desk
+// Carries clients' requests to servers and the answers back, as the request router
 // decides.
 class GatewayFront
   : public HttpHandler
@@ -26,7 +26,7 @@
   using KeyObserver = std::function<void(const std::string& aService, KeyNumber aKey)>;
 
   GatewayFront(boost::asio::io_context& aContext,
-               RequestDeskSettings aSettings,
+               GatewayRouterSettings aSettings,
                const GatewayCodec& aCodec,
                const ServerDirectory& aDirectory,
                PermitSource& aPermits,
@@ -38,11 +38,11 @@
   void OnRequest(std::uint64_t aId, HttpRequest aRequest, HttpResponder aRespond) override;
   void OnGone(std::uint64_t aId) override;
 
-  RequestDesk& Desk() { return desk_; }
-  const RequestDesk& Desk() const { return desk_; }
+  GatewayRouter& Router() { return router_; }
+  const GatewayRouter& Router() const { return router_; }
   // Closes idle connections that servers are about to close.
   void PruneIdle() { client_->PruneIdle(); }
-  // To be called after the desk was told of something from outside.
+  // To be called after the router was told of something from outside.
   void ArmTimer() { timer_.Arm(); }
 
 private:
@@ -58,12 +58,12 @@
   // A send to a server that is under way.
   struct RunningAttempt
   {
-    AttemptOrder order_;
+    AttemptCommand order_;
     ExchangeId exchange_ = 0;
     HttpResponse answer_;
   };
 
-  void Send(const AttemptOrder& aOrder) override;
+  void Send(const AttemptCommand& aOrder) override;
   void Cancel(AttemptNumber aAttempt) override;
   void Deliver(RequestNumber aRequest, AttemptNumber aAttempt) override;
   void Refuse(RequestNumber aRequest, const Refusal& aRefusal) override;
@@ -71,7 +71,7 @@
   {
     return client_->HasIdle(aAddress);
   }
-  void NoteLeaving(const std::string& aServer, std::uint64_t aLife) override
+  void RecordLeaving(const std::string& aServer, std::uint64_t aLife) override
   {
     leavingObserver_(aServer, aLife);
   }
@@ -84,7 +84,7 @@
   KeyObserver observer_;
   LeavingObserver leavingObserver_;
   std::unique_ptr<HttpClient> client_;
-  RequestDesk desk_;
+  GatewayRouter router_;
   DueTimer timer_;
   std::unordered_map<RequestNumber, ClientRequest> requests_;
   std::unordered_map<AttemptNumber, RunningAttempt> attempts_;
--- a/Libraries/LibDaemon/GatewayHost.cpp
+++ b/Libraries/LibDaemon/GatewayHost.cpp
@@ -61,26 +61,26 @@
                settings_.peerAddress_,
                settings_.permitPort_,
                member_.Directory(),
-               NoteLeaving(),
+               RecordLeaving(),
                aEvents)
     , front_(
         aContext,
-        settings_.desk_,
+        settings_.router_,
         aCodec,
         member_.Directory(),
         permits_.Client(),
         aEvents,
         metrics_,
         [this](const std::string& aService, KeyNumber aKey) { member_.CountKey(aService, aKey); },
-        NoteLeaving())
+        RecordLeaving())
     , orders_(HttpClient::Create(aContext, kMostOrderConnections))
     , peers_(aContext, member_, [this] { return RenderMetrics(); })
     , timer_(aContext)
   {
     permits_.Client().SetListener(*this);
-    front_.Desk().SetGroupGate(member_.Gate());
+    front_.Router().SetGroupAdmission(member_.Gate());
     if (settings_.member_.apiKeyBound_) {
-      front_.Desk().SetApiKeysProvenUntil(Instant::min());
+      front_.Router().SetApiKeysProvenUntil(Instant::min());
     }
   }
 
@@ -105,7 +105,7 @@
   void Reload(const GatewayHostSettings& aSettings) override
   {
     settings_.stopGrace_ = aSettings.stopGrace_;
-    front_.Desk().SetRetryTerms(aSettings.desk_.retries_);
+    front_.Router().SetRetryParameters(aSettings.router_.retries_);
     events_.Record(Event::SettingsReloaded, "");
   }
 
@@ -144,10 +144,10 @@
   {
     return metrics_.Render(
       events_,
-      front_.Desk().Tally(),
+      front_.Router().Statistics(),
       store_.Calls(),
-      { { "requests_under_way", static_cast<double>(front_.Desk().UnderWay()) },
-        { "requests_waiting", static_cast<double>(front_.Desk().Waiting()) },
+      { { "requests_under_way", static_cast<double>(front_.Router().InFlight()) },
+        { "requests_waiting", static_cast<double>(front_.Router().Waiting()) },
         { "is_placer", member_.IsPlacer() ? 1 : 0 },
         { "is_ready", IsReady() ? 1 : 0 },
         { "servers_listed", static_cast<double>(member_.Directory().All().size()) } });
@@ -188,7 +188,7 @@
       isClosing_ = true;
       clientServer_->BeginClose();
     }
-    const bool isQuiet = front_.Desk().UnderWay() == 0 && clientServer_->Connections() == 0;
+    const bool isQuiet = front_.Router().InFlight() == 0 && clientServer_->Connections() == 0;
     if (!stop_.IsOver(aNow, settings_.stopGrace_, isQuiet)) {
       return false;
     }
@@ -228,7 +228,7 @@
     });
   }
 
-  LeavingObserver NoteLeaving()
+  LeavingObserver RecordLeaving()
   {
     return [this](const std::string& aServer, std::uint64_t aLife) {
       member_.OnToldLeaving(MonotonicNow(), aServer, aLife);
@@ -278,37 +278,37 @@
       });
   }
 
-  void SendUses(const std::string& aAddress, const UseReport& aReport) override
+  void SendUses(const std::string& aAddress, const UsageReport& aReport) override
   {
     peers_.SendUses(aAddress, aReport);
   }
 
-  void OnApiKeysProven(Instant aUntil) override { front_.Desk().SetApiKeysProvenUntil(aUntil); }
+  void OnApiKeysProven(Instant aUntil) override { front_.Router().SetApiKeysProvenUntil(aUntil); }
 
   void OnRoutes(std::shared_ptr<const RouteTable> aRoutes) override
   {
     ApplyLimits(aRoutes->Configuration().limits_);
     permits_.Dispatcher().SetRoutes(MonotonicNow(), aRoutes);
     permits_.Client().SetServices(MonotonicNow(), NamesOf(aRoutes->Configuration().services_));
-    front_.Desk().SetRoutes(MonotonicNow(), std::move(aRoutes));
+    front_.Router().SetRoutes(MonotonicNow(), std::move(aRoutes));
   }
 
   void OnDirectoryChanged() override
   {
     permits_.Dispatcher().OnDirectoryChanged(MonotonicNow());
-    front_.Desk().OnDirectoryChanged(MonotonicNow());
+    front_.Router().OnDirectoryChanged(MonotonicNow());
   }
 
   void OnOwnership(const KeyOwnership& aOwnership) override
   {
-    front_.Desk().SetOwnership(MonotonicNow(), aOwnership);
+    front_.Router().SetOwnership(MonotonicNow(), aOwnership);
   }
 
-  void OnNewsStale(bool aIsStale) override { front_.Desk().SetNewsStale(aIsStale); }
+  void OnNewsStale(bool aIsStale) override { front_.Router().SetUpdatesStale(aIsStale); }
 
   void OnInstances(const std::map<std::string, FleetPeer>& aPeers) override
   {
-    front_.Desk().SetInstances(aPeers.size());
+    front_.Router().SetInstances(aPeers.size());
     if (settings_.permitPort_ != 0) {
       permits_.Client().SetPeers(MonotonicNow(), aPeers);
     }
@@ -317,28 +317,28 @@
   // What becomes of asks for permits.
   void OnPermit(Instant aNow, AttemptNumber aNumber, const std::string& aServer) override
   {
-    front_.Desk().OnPermit(aNow, aNumber, aServer);
+    front_.Router().OnPermit(aNow, aNumber, aServer);
     front_.ArmTimer();
   }
   void OnPermitDelayed(Instant aNow, AttemptNumber aNumber) override
   {
-    front_.Desk().OnPermitDelayed(aNow, aNumber);
+    front_.Router().OnPermitDelayed(aNow, aNumber);
     front_.ArmTimer();
   }
   void OnPermitDenied(Instant aNow, AttemptNumber aNumber, Duration aWait) override
   {
-    front_.Desk().OnPermitDenied(aNow, aNumber, aWait);
+    front_.Router().OnPermitDenied(aNow, aNumber, aWait);
     front_.ArmTimer();
   }
   void OnAskLost(Instant aNow, AttemptNumber aNumber) override
   {
-    front_.Desk().OnAskLost(aNow, aNumber);
+    front_.Router().OnAskLost(aNow, aNumber);
     front_.ArmTimer();
   }
 
   ServerWork TakeWorkOf(const std::string& aServer) override
   {
-    return front_.Desk().TakeWorkOf(aServer);
+    return front_.Router().TakeWorkOf(aServer);
   }
 
   // What the store says.
--- a/Libraries/LibDaemon/GatewayHost.h
+++ b/Libraries/LibDaemon/GatewayHost.h
@@ -27,13 +27,13 @@
   std::size_t clientConnections_ = 1024;
   // How long a stopping instance may run on.
   Duration stopGrace_ = seconds(6);
-  RequestDeskSettings desk_;
+  GatewayRouterSettings router_;
   FleetMemberSettings member_;
 };
 
 // One entry instance that routes straight to the servers: listeners, timers and
 // the connections to other instances, around the decisions of FleetMember and
-// RequestDesk.
+// GatewayRouter.
 class GatewayHost
 {
 public:
--- a/Libraries/LibDaemon/GatewayMetrics.cpp
+++ b/Libraries/LibDaemon/GatewayMetrics.cpp
@@ -55,7 +55,7 @@
 }
 
 void
-WriteRoutes(std::ostream& aText, const RequestTally& aTally)
+WriteRoutes(std::ostream& aText, const RequestStatistics& aTally)
 {
   WriteType(aText, "route_answers_total", "counter");
   for (const auto& [name, route] : aTally.Routes()) {
@@ -80,23 +80,23 @@
 }
 
 void
-WriteGroups(std::ostream& aText, const RequestTally& aTally)
+WriteGroups(std::ostream& aText, const RequestStatistics& aTally)
 {
   WriteType(aText, "group_requests_total", "counter");
   for (const auto& [name, group] : aTally.Groups()) {
     aText << "latchslip_group_requests_total{group=\"" << name << "\",end=\"passed\"} "
-          << group.passed_ << '\n';
+          << group.admitted_ << '\n';
     WriteCounts(aText,
                 "group_requests_total",
                 "group=\"" + name + "\",",
                 "end",
                 kRefusalReasonNames,
-                group.barred_);
+                group.rejected_);
   }
 }
 
 void
-WriteServers(std::ostream& aText, const RequestTally& aTally)
+WriteServers(std::ostream& aText, const RequestStatistics& aTally)
 {
   WriteType(aText, "server_sends_total", "counter");
   for (const auto& [name, server] : aTally.Servers()) {
@@ -129,7 +129,7 @@
 
 std::string
 GatewayMetrics::Render(const LineLog& aLog,
-                       const RequestTally& aTally,
+                       const RequestStatistics& aTally,
                        const StoreCallCounts& aCalls,
                        const std::map<std::string, double>& aGauges) const
 {
--- a/Libraries/LibDaemon/GatewayMetrics.h
+++ b/Libraries/LibDaemon/GatewayMetrics.h
@@ -3,7 +3,7 @@
 #include "LibBase/Time.h"
 #include "LibDaemon/LineLog.h"
 #include "LibFleet/FleetStore.h"
-#include "LibGateway/RequestTally.h"
+#include "LibGateway/RequestStatistics.h"
 
 #include <cstdint>
 #include <map>
@@ -21,7 +21,7 @@
   // aLog gives the counts of events, aTally those by route and server, aCalls the
   // calls of the store; aGauges are further values by name.
   std::string Render(const LineLog& aLog,
-                     const RequestTally& aTally,
+                     const RequestStatistics& aTally,
                      const StoreCallCounts& aCalls,
                      const std::map<std::string, double>& aGauges) const;
 
--- a/Libraries/LibDaemon/PeerCalls.cpp
+++ b/Libraries/LibDaemon/PeerCalls.cpp
@@ -154,13 +154,14 @@
 }
 
 void
-PeerCalls::SendUses(const std::string& aAddress, const UseReport& aReport)
+PeerCalls::SendUses(const std::string& aAddress, const UsageReport& aReport)
 {
   client_->Send(aAddress,
-                MakePost(kUsesPath, SerializeUseReport(aReport)),
+                MakePost(kUsesPath, SerializeUsageReport(aReport)),
                 kPeerTimeout,
                 [this](const HttpExchange& aExchange) {
-                  member_.OnUsesAnswered(MonotonicNow(), ReadAnswer(aExchange, ParseParts));
+                  member_.OnUsesAnswered(MonotonicNow(),
+                                         ReadAnswer(aExchange, ParseAdmittedShares));
                 });
 }
 
@@ -198,12 +199,12 @@
 HttpResponse
 PeerCalls::AnswerUses(const HttpRequest& aRequest)
 {
-  const auto report = ParseUseReport(*aRequest.body_);
+  const auto report = ParseUsageReport(*aRequest.body_);
   if (!report) {
     return MakeHttpResponse(kBadRequest, report.error().Describe());
   }
-  const auto parts = member_.OnUses(MonotonicNow(), report.value());
-  return parts ? MakeHttpResponse(kOk, SerializeParts(*parts))
+  const auto parts = member_.OnUsage(MonotonicNow(), report.value());
+  return parts ? MakeHttpResponse(kOk, SerializeAdmittedShares(*parts))
                : MakeHttpResponse(kConflict, "is not the placer\n");
 }
 
--- a/Libraries/LibDaemon/PeerCalls.h
+++ b/Libraries/LibDaemon/PeerCalls.h
@@ -24,7 +24,7 @@
   void SendReport(const std::string& aAddress, const InstanceReport& aReport);
   void SendNews(const std::vector<NewsBranch>& aBranches, const FleetNews& aNews);
   void FetchNews(const std::string& aAddress, const TableVersions& aVersions);
-  void SendUses(const std::string& aAddress, const UseReport& aReport);
+  void SendUses(const std::string& aAddress, const UsageReport& aReport);
 
   void OnRequest(std::uint64_t aId, HttpRequest aRequest, HttpResponder aRespond) override;
   void OnGone(std::uint64_t) override {}
--- a/Libraries/LibDaemon/PermitLinks.h
+++ b/Libraries/LibDaemon/PermitLinks.h
@@ -56,7 +56,7 @@
   void Dial(const std::string& aDispatcher) override;
   void HangUp(const std::string& aDispatcher) override;
   void Answer(CallerId aCaller, const MessageFromDispatcher& aMessage) override;
-  void NoteLeaving(const std::string& aServer, std::uint64_t aLife) override
+  void RecordLeaving(const std::string& aServer, std::uint64_t aLife) override
   {
     leavingObserver_(aServer, aLife);
   }
--- a/Libraries/LibFleet/ConfigurationDuty.cpp
+++ b/Libraries/LibFleet/ConfigurationDuty.cpp
@@ -48,7 +48,7 @@
 {
   if (view_.Epoch() != proofEpoch_) {
     proofEpoch_ = view_.Epoch();
-    proofsFrom_ = aNow + kReturnAfterOutage;
+    proofsFrom_ = aNow + kReregistrationTime;
   }
   if (!NeedsProofs()) {
     return;
--- a/Libraries/LibFleet/FleetMember.cpp
+++ b/Libraries/LibFleet/FleetMember.cpp
@@ -120,7 +120,7 @@
     relay_.OnFailure(RelayEnd::Announced);
     ChooseFollowing(aNow);
   }
-  limits_.OnParts(aNow, aNews.parts_);
+  limits_.OnAdmittedShares(aNow, aNews.parts_);
   for (const auto& doubt : aNews.doubts_) {
     NoteDoubt(aNow, doubt);
   }
@@ -201,7 +201,7 @@
 void
 FleetMember::OnToldLeaving(Instant aNow, const std::string& aServer, std::uint64_t aLife)
 {
-  if (!view_.Directory().NoteLeaving(aNow, aServer, aLife)) {
+  if (!view_.Directory().RecordLeaving(aNow, aServer, aLife)) {
     return;
   }
   const bool isListedSo = view_.Directory().Find(aServer)->isLeaving_;
--- a/Libraries/LibFleet/FleetMember.h
+++ b/Libraries/LibFleet/FleetMember.h
@@ -10,8 +10,8 @@
 #include "LibFleet/ServerSpeeds.h"
 #include "LibFleet/StartWait.h"
 #include "LibKeys/OwnershipPlacer.h"
-#include "LibLimit/LimitKeeper.h"
-#include "LibLimit/LimitMember.h"
+#include "LibLimit/LimitCoordinator.h"
+#include "LibLimit/LimitEnforcer.h"
 
 #include <map>
 #include <memory>
@@ -45,7 +45,7 @@
   // OnConfigurationRead.
   virtual void ReadConfigurationVersion() = 0;
   // Tells the keeper of the groups' limits; the answer goes to OnUsesAnswered.
-  virtual void SendUses(const std::string& aAddress, const UseReport& aReport) = 0;
+  virtual void SendUses(const std::string& aAddress, const UsageReport& aReport) = 0;
 
   virtual void OnRoutes(std::shared_ptr<const RouteTable> aRoutes) = 0;
   virtual void OnDirectoryChanged() = 0;
@@ -123,9 +123,9 @@
   void OnConfigurationRead(Instant aNow, Instant aAskedAt, std::optional<RowVersion> aVersion);
   // What another instance has met of the groups with limits; the answer is for it. No value
   // when this instance is not the placer, who is their keeper.
-  std::optional<GroupParts> OnUses(Instant aNow, const UseReport& aReport);
+  std::optional<AdmittedShares> OnUsage(Instant aNow, const UsageReport& aReport);
   // No value when no answer came.
-  void OnUsesAnswered(Instant aNow, const std::optional<GroupParts>& aParts);
+  void OnUsesAnswered(Instant aNow, const std::optional<AdmittedShares>& aParts);
   void CountKey(const std::string& aService, KeyNumber aKey);
   void OnTime(Instant aNow);
 
@@ -137,7 +137,7 @@
   // honoured.
   bool IsServing(Instant aNow) const;
   // Holds the groups' requests to their limits.
-  GroupGate& Gate() { return limits_; }
+  GroupAdmission& Gate() { return limits_; }
 
 private:
   class ServicePlacer;
@@ -194,7 +194,7 @@
 
   // What concerns the groups' limits, in LimitDuty.cpp.
   void FollowLimits(Instant aNow);
-  void StartKeeper(Instant aNow);
+  void StartLimitCoordinator(Instant aNow);
 
   // The placer's part, in PlacerDuty.cpp.
   void Claim();
@@ -286,9 +286,9 @@
   Instant proofsFrom_ = Instant::min();
   StoreEpoch proofEpoch_ = 0;
   Instant reportedAt_ = Instant::min();
-  LimitMember limits_;
+  LimitEnforcer limits_;
   // Counts only while this instance is the placer.
-  LimitKeeper keeper_;
+  LimitCoordinator keeper_;
   // Until when servers may hold keys by orders that they take late.
   std::map<std::string, Instant> doubts_;
   // The instance that was the placer before this one.
--- a/Libraries/LibFleet/FleetNews.cpp
+++ b/Libraries/LibFleet/FleetNews.cpp
@@ -110,7 +110,7 @@
   }
   PutProof(aNews.proof_, document);
   if (!aNews.parts_.empty()) {
-    document["parts"] = SerializeParts(aNews.parts_);
+    document["parts"] = SerializeAdmittedShares(aNews.parts_);
   }
   return boost::json::serialize(document);
 }
@@ -154,7 +154,7 @@
   BOOST_OUTCOME_TRY(news.proof_, ProofFromJson(value.as_object()));
   if (value.as_object().contains("parts")) {
     BOOST_OUTCOME_TRY(const auto parts, reader.Text("parts"));
-    BOOST_OUTCOME_TRY(news.parts_, ParseParts(parts));
+    BOOST_OUTCOME_TRY(news.parts_, ParseAdmittedShares(parts));
   }
   return news;
 }
--- a/Libraries/LibFleet/FleetNews.h
+++ b/Libraries/LibFleet/FleetNews.h
@@ -6,7 +6,7 @@
 #include "LibFleet/ConfigurationProof.h"
 #include "LibFleet/FleetStore.h"
 #include "LibKeys/KeyOwnership.h"
-#include "LibLimit/GroupUse.h"
+#include "LibLimit/GroupUsage.h"
 
 #include <boost/json.hpp>
 #include <optional>
@@ -61,7 +61,7 @@
   // Only told to those who ask, who know how old it is then.
   std::optional<ConfigurationProof> proof_;
   // Of the groups that ask for more than their limits.
-  GroupParts parts_;
+  AdmittedShares parts_;
 };
 
 std::string
--- a/Libraries/LibFleet/FleetView.cpp
+++ b/Libraries/LibFleet/FleetView.cpp
@@ -63,7 +63,7 @@
   if (epoch_) {
     events_.Record(Event::StoreCameBack,
                    "epoch=" + std::to_string(epoch) + " before=" + std::to_string(*epoch_));
-    directory_.OnStoreCameBack(aNow);
+    directory_.OnStoreRolledBack(aNow);
   }
   epoch_ = epoch;
 }
--- a/Libraries/LibFleet/LimitDuty.cpp
+++ b/Libraries/LibFleet/LimitDuty.cpp
@@ -10,60 +10,60 @@
 FleetMember::FollowLimits(Instant aNow)
 {
   if (!election_.IsPlacer()) {
-    if (election_.Current() && limits_.IsTellDue(aNow)) {
+    if (election_.Current() && limits_.IsReportDue(aNow)) {
       actions_.SendUses(election_.Current()->address_,
-                        { settings_.self_.address_, limits_.TakeUses(aNow) });
+                        { settings_.self_.address_, limits_.TakeUsage(aNow) });
     }
     return;
   }
-  limits_.OnKeeperHeard(aNow);
-  if (limits_.IsTellDue(aNow)) {
-    const auto uses = limits_.TakeUses(aNow);
-    keeper_.OnUses(aNow, uses);
-    limits_.OnParts(aNow, keeper_.PartsOf(aNow, uses));
+  limits_.OnCoordinatorContact(aNow);
+  if (limits_.IsReportDue(aNow)) {
+    const auto uses = limits_.TakeUsage(aNow);
+    keeper_.OnUsage(aNow, uses);
+    limits_.OnAdmittedShares(aNow, keeper_.AdmittedSharesOf(aNow, uses));
   }
   FleetNews news;
-  news.parts_ = keeper_.TakeShort(aNow);
+  news.parts_ = keeper_.TakeRestrictedShares(aNow);
   for (const auto& part : news.parts_) {
     events_.Record(Event::GroupOverLimit,
-                   "group=" + part.group_ + " part=" + std::to_string(part.part_) +
-                     " late_part=" + std::to_string(part.latePart_));
+                   "group=" + part.group_ + " part=" + std::to_string(part.share_) +
+                     " late_part=" + std::to_string(part.lateShare_));
   }
   if (!news.parts_.empty()) {
-    limits_.OnParts(aNow, news.parts_);
+    limits_.OnAdmittedShares(aNow, news.parts_);
     Spread(news);
   }
 }
 
 void
-FleetMember::StartKeeper(Instant aNow)
+FleetMember::StartLimitCoordinator(Instant aNow)
 {
-  keeper_ = LimitKeeper(settings_.limitWindow_);
+  keeper_ = LimitCoordinator(settings_.limitWindow_);
   if (view_.Routes()) {
     keeper_.SetGroups(aNow, view_.Routes()->Configuration().groups_);
   }
   for (const auto& [address, peer] : roster_.Peers()) {
-    keeper_.OnHeard(aNow, address);
+    keeper_.OnInstanceContact(aNow, address);
   }
 }
 
-std::optional<GroupParts>
-FleetMember::OnUses(Instant aNow, const UseReport& aReport)
+std::optional<AdmittedShares>
+FleetMember::OnUsage(Instant aNow, const UsageReport& aReport)
 {
   if (!election_.IsPlacer()) {
     return std::nullopt;
   }
-  keeper_.OnHeard(aNow, aReport.address_);
-  keeper_.OnUses(aNow, aReport.uses_);
-  return keeper_.PartsOf(aNow, aReport.uses_);
+  keeper_.OnInstanceContact(aNow, aReport.address_);
+  keeper_.OnUsage(aNow, aReport.usages_);
+  return keeper_.AdmittedSharesOf(aNow, aReport.usages_);
 }
 
 void
-FleetMember::OnUsesAnswered(Instant aNow, const std::optional<GroupParts>& aParts)
+FleetMember::OnUsesAnswered(Instant aNow, const std::optional<AdmittedShares>& aParts)
 {
   if (aParts) {
-    limits_.OnKeeperHeard(aNow);
-    limits_.OnParts(aNow, *aParts);
+    limits_.OnCoordinatorContact(aNow);
+    limits_.OnAdmittedShares(aNow, *aParts);
   }
 }
 
--- a/Libraries/LibFleet/PlacerDuty.cpp
+++ b/Libraries/LibFleet/PlacerDuty.cpp
@@ -135,7 +135,7 @@
     server.id_ = id;
     server.address_ = record.address_;
     server.life_ = record.life_;
-    server.isUsable_ = record.TakesWork() && !view_.Directory().HasEnded(id);
+    server.isUsable_ = record.AcceptsWork() && !view_.Directory().HasEnded(id);
     if (typical) {
       const double atLimit = kCountedOnLimit * speeds_.RateLimitOf(aNow, id) * ToSeconds(*typical);
       server.weight_ = std::min(record.slots_ * SpeedOf(record, *typical), atLimit);
@@ -285,7 +285,7 @@
   for (const auto& [address, peer] : roster_.Peers()) {
     heardInstances_.try_emplace(address, HeardInstance{ aNow, peer.processorShare_ });
   }
-  StartKeeper(aNow);
+  StartLimitCoordinator(aNow);
   FleetNews news;
   news.placer_ = aRow;
   Spread(news);
--- a/Libraries/LibFleet/ReportDuty.cpp
+++ b/Libraries/LibFleet/ReportDuty.cpp
@@ -90,7 +90,7 @@
   heard.processorShare_ = aReport.processorShare_;
   strongestShare_ = std::max(strongestShare_, aReport.processorShare_);
   if (election_.IsPlacer()) {
-    keeper_.OnHeard(aNow, aReport.address_);
+    keeper_.OnInstanceContact(aNow, aReport.address_);
     roster_.Put({ aReport.address_, aReport.hall_, aReport.processorShare_ });
     if (aReport.lacksTables_) {
       lacking_.insert(aReport.address_);
@@ -175,7 +175,7 @@
 {
   if (aAnswer) {
     placerHeardAt_ = aNow;
-    limits_.OnKeeperHeard(aNow);
+    limits_.OnCoordinatorContact(aNow);
     TakeProof(aNow, aAnswer->proof_, aRoundTrip);
   }
   // A placer without the store is as good as any other while the store is away
--- a/Libraries/LibGateway/CallerChecks.cpp
+++ b/Libraries/LibGateway/CallerChecks.cpp
@@ -1,7 +1,7 @@
-// Whether a caller may have its request served: the part of RequestDesk that looks at groups,
+// Whether a caller may have its request served: the part of GatewayRouter that looks at groups,
 // API keys and limits.
 
-#include "LibGateway/RequestDesk.h"
+#include "LibGateway/GatewayRouter.h"
 
 namespace latchslip {
 
@@ -17,7 +17,7 @@
 } // namespace
 
 bool
-RequestDesk::TryIdentify(Instant aNow, PendingRequest& aPending)
+GatewayRouter::TryIdentify(Instant aNow, PendingRequest& aPending)
 {
   aPending.routes_ = routes_;
   const auto& request = aPending.request_;
@@ -32,13 +32,13 @@
 }
 
 bool
-RequestDesk::TryPassGate(Instant aNow, PendingRequest& aPending)
+GatewayRouter::TryPassGate(Instant aNow, PendingRequest& aPending)
 {
   const auto* group = aPending.group_;
   if (group == nullptr) {
     return true;
   }
-  if (!gate_->TryPass(aNow, *group, aPending.isLate_)) {
+  if (!gate_->TryAdmit(aNow, *group, aPending.isLate_)) {
     Bar(aNow, aPending, RefusalReason::OverLimit);
     return false;
   }
@@ -47,7 +47,7 @@
 }
 
 void
-RequestDesk::Bar(Instant aNow, PendingRequest& aPending, RefusalReason aReason)
+GatewayRouter::Bar(Instant aNow, PendingRequest& aPending, RefusalReason aReason)
 {
   if (aPending.group_ != nullptr) {
     tally_.OnGroup(aPending.group_->name_, aReason);
@@ -57,7 +57,7 @@
 
 // The answer to a caller without a known key does not reveal whether the route exists.
 std::optional<RefusalReason>
-RequestDesk::BarOf(Instant aNow, const Route* aRoute, const CallerGroup* aGroup) const
+GatewayRouter::BarOf(Instant aNow, const Route* aRoute, const CallerGroup* aGroup) const
 {
   const bool needsKey = NeedsApiKey(*routes_, aRoute);
   if (needsKey && aNow >= apiKeysUntil_) {
@@ -70,14 +70,14 @@
 }
 
 bool
-RequestDesk::IsApiKeyProven(Instant aNow, const PendingRequest& aPending) const
+GatewayRouter::IsApiKeyProven(Instant aNow, const PendingRequest& aPending) const
 {
   const bool needsKey = NeedsApiKey(*aPending.routes_, aPending.route_);
   return !needsKey || (!aPending.isRevoked_ && aNow < apiKeysUntil_);
 }
 
 void
-RequestDesk::RefuseRevoked(Instant aNow)
+GatewayRouter::RefuseRevoked(Instant aNow)
 {
   std::vector<RequestNumber> revoked;
   for (auto& [number, pending] : pending_) {
--- a/Libraries/LibGateway/RequestDesk.cpp
+++ b/Libraries/LibGateway/GatewayRouter.cpp
@@ -1,4 +1,4 @@
-#include "LibGateway/RequestDesk.h"
+#include "LibGateway/GatewayRouter.h"
 
 #include <algorithm>
 
@@ -80,7 +80,7 @@
   return aRoute == nullptr ? kNoRoute : aRoute->Name();
 }
 
-QueuePlace<RequestNumber>
+QueuePosition<RequestNumber>
 PlaceOf(const PendingRequest& aPending)
 {
   return { aPending.Rank(), aPending.isLate_, aPending.deadline_, aPending.request_.number_ };
@@ -94,11 +94,11 @@
 
 } // namespace
 
-RequestDesk::RequestDesk(RequestDeskSettings aSettings,
-                         const ServerDirectory& aDirectory,
-                         RequestActions& aActions,
-                         PermitSource& aPermits,
-                         EventSink& aEvents)
+GatewayRouter::GatewayRouter(GatewayRouterSettings aSettings,
+                             const ServerDirectory& aDirectory,
+                             RequestActions& aActions,
+                             PermitSource& aPermits,
+                             EventSink& aEvents)
   : settings_(std::move(aSettings))
   , directory_(aDirectory)
   , actions_(aActions)
@@ -109,7 +109,7 @@
 }
 
 void
-RequestDesk::OnRequest(Instant aNow, RoutedRequest aRequest)
+GatewayRouter::OnRequest(Instant aNow, RoutedRequest aRequest)
 {
   const auto number = aRequest.number_;
   auto& pending = pending_[number];
@@ -127,7 +127,7 @@
 
 // The request may have waited for the first configuration.
 void
-RequestDesk::Admit(Instant aNow, PendingRequest& aPending)
+GatewayRouter::Admit(Instant aNow, PendingRequest& aPending)
 {
   if (!TryIdentify(aNow, aPending)) {
     return;
@@ -153,7 +153,7 @@
 }
 
 void
-RequestDesk::OnAttemptEnded(Instant aNow, AttemptNumber aAttempt, const AttemptOutcome& aOutcome)
+GatewayRouter::OnAttemptEnded(Instant aNow, AttemptNumber aAttempt, const AttemptOutcome& aOutcome)
 {
   const auto attempt = attempts_.find(aAttempt);
   if (attempt == attempts_.end()) {
@@ -163,7 +163,7 @@
   attempts_.erase(attempt);
   auto& pending = pending_.at(number);
   if (aOutcome.isLeaving_) {
-    actions_.NoteLeaving(pending.server_, pending.serverLife_);
+    actions_.RecordLeaving(pending.server_, pending.serverLife_);
   }
   const auto service = pending.service_->name_;
   const auto result = ToSendResult(aOutcome);
@@ -171,7 +171,7 @@
                      result,
                      aNow - pending.sentAt_,
                      aOutcome.server_,
-                     aOutcome.rest_.value_or(Duration(0)),
+                     aOutcome.backoff_.value_or(Duration(0)),
                      aOutcome.isLeaving_ ? std::optional(pending.serverLife_) : std::nullopt,
                      aOutcome.rateLimit_ });
   if (const auto load = loads_.find(pending.server_); load != loads_.end()) {
@@ -185,7 +185,7 @@
   tally_.OnAttempt(pending.server_, aOutcome.end_);
   pending.attempt_ = 0;
   pending.runs_ += MayHaveRun(aOutcome.end_) ? 1 : 0;
-  if (pending.isGone_) {
+  if (pending.isClientGone_) {
     Finish(number);
   } else {
     SettleAttempt(aNow, pending, aOutcome);
@@ -194,29 +194,30 @@
 }
 
 void
-RequestDesk::NoteRest(Instant aNow,
-                      const PendingRequest& aPending,
-                      const AttemptOutcome& aOutcome,
-                      ServerLoad& aLoad)
+GatewayRouter::NoteRest(Instant aNow,
+                        const PendingRequest& aPending,
+                        const AttemptOutcome& aOutcome,
+                        ServerLoad& aLoad)
 {
-  if (aOutcome.rest_ && aLoad.BeginRest(aNow, *aOutcome.rest_)) {
+  if (aOutcome.backoff_ && aLoad.StartBackoff(aNow, *aOutcome.backoff_)) {
     events_.Record(Event::ServerAskedForRest,
                    "server=" + aPending.server_ + " request=" + aPending.request_.id_ +
-                     " rest_us=" + std::to_string(aOutcome.rest_->count()));
+                     " rest_us=" + std::to_string(aOutcome.backoff_->count()));
   }
 }
 
 void
-RequestDesk::NoteRateLimit(Instant aNow,
-                           const PendingRequest& aPending,
-                           const AttemptOutcome& aOutcome,
-                           ServerLoad& aLoad)
+GatewayRouter::NoteRateLimit(Instant aNow,
+                             const PendingRequest& aPending,
+                             const AttemptOutcome& aOutcome,
+                             ServerLoad& aLoad)
 {
   if (!aOutcome.rateLimit_) {
     return;
   }
   const auto rate = *aOutcome.rateLimit_;
-  if (aLoad.NamedLimit().OnTold(aNow, aPending.sentAt_, rate, 1 / static_cast<double>(Sharers()))) {
+  if (aLoad.NamedLimit().OnAdvertised(
+        aNow, aPending.sentAt_, rate, 1 / static_cast<double>(InstanceCount()))) {
     events_.Record(Event::ServerLimitsRate,
                    "server=" + aPending.server_ + " request=" + aPending.request_.id_ +
                      " rate_per_s=" + (rate == kNoRateLimit ? "none" : std::to_string(rate)));
@@ -224,7 +225,7 @@
 }
 
 void
-RequestDesk::SettleAttempt(Instant aNow, PendingRequest& aPending, const AttemptOutcome& aOutcome)
+GatewayRouter::SettleAttempt(Instant aNow, PendingRequest& aPending, const AttemptOutcome& aOutcome)
 {
   const bool isAnswered = aOutcome.end_ == AttemptEnd::Answered;
   const bool isGoodAnswer = isAnswered && !IsServerError(aOutcome);
@@ -253,13 +254,13 @@
 }
 
 void
-RequestDesk::Retry(Instant aNow, PendingRequest& aPending, const AttemptOutcome& aOutcome)
+GatewayRouter::Retry(Instant aNow, PendingRequest& aPending, const AttemptOutcome& aOutcome)
 {
   events_.Record(Event::GatewayRetry,
                  "request=" + aPending.request_.id_ + " server=" + aPending.server_ +
                    " end=" + std::string(kAttemptEndNames.NameOf(aOutcome.end_)) + " status=" +
                    std::to_string(aOutcome.status_) + " sends=" + std::to_string(aPending.sends_) +
-                   " rest_us=" + std::to_string(aOutcome.rest_.value_or(Duration(0)).count()));
+                   " rest_us=" + std::to_string(aOutcome.backoff_.value_or(Duration(0)).count()));
   aPending.tried_.push_back(aPending.server_);
   if (aOutcome.end_ == AttemptEnd::WrongServer && !aOutcome.isOtherLife_) {
     aPending.notBefore_ = aNow + kWrongOwnerPause;
@@ -270,17 +271,17 @@
 }
 
 bool
-RequestDesk::TryTakeRetry(Instant aNow, PendingRequest& aPending, const AttemptOutcome& aOutcome)
+GatewayRouter::TryTakeRetry(Instant aNow, PendingRequest& aPending, const AttemptOutcome& aOutcome)
 {
   const auto& route = *aPending.route_;
   const bool isAllowed =
     (route.isRepeatable_ || !MayHaveRun(aOutcome.end_)) && IsApiKeyProven(aNow, aPending);
   const bool hasAttempts =
-    aPending.runs_ < route.mostAttempts_ && aPending.sends_ < route.mostAttempts_ + kSpareSends;
+    aPending.runs_ < route.maxAttempts_ && aPending.sends_ < route.maxAttempts_ + kSpareSends;
   if (!isAllowed || !hasAttempts || aNow + kLeastSendTime >= aPending.deadline_) {
     return false;
   }
-  if (PauseLeft(aNow, aPending) + kLeastSendTime >= aPending.deadline_ - aNow) {
+  if (RemainingDelay(aNow, aPending) + kLeastSendTime >= aPending.deadline_ - aNow) {
     return false;
   }
   // A request that never reached a server is no additional load, so it takes nothing from the
@@ -290,7 +291,7 @@
 }
 
 void
-RequestDesk::OnClientGone(Instant aNow, RequestNumber aRequest)
+GatewayRouter::OnClientGone(Instant aNow, RequestNumber aRequest)
 {
   const auto found = pending_.find(aRequest);
   if (found == pending_.end()) {
@@ -303,7 +304,7 @@
   }
   const auto service = pending.service_->name_;
   if (pending.attempt_ != 0 && !pending.route_->isRepeatable_) {
-    pending.isGone_ = true;
+    pending.isClientGone_ = true;
     return;
   }
   if (pending.attempt_ != 0) {
@@ -317,7 +318,7 @@
 }
 
 void
-RequestDesk::OnTime(Instant aNow)
+GatewayRouter::OnTime(Instant aNow)
 {
   std::set<std::string> services;
   while (!timers_.empty() && timers_.begin()->first <= aNow) {
@@ -345,13 +346,13 @@
 }
 
 std::optional<Instant>
-RequestDesk::NextTime() const
+GatewayRouter::NextTime() const
 {
   return timers_.empty() ? std::nullopt : std::optional(timers_.begin()->first);
 }
 
 void
-RequestDesk::GiveUp(Instant aNow, PendingRequest& aPending)
+GatewayRouter::GiveUp(Instant aNow, PendingRequest& aPending)
 {
   actions_.Cancel(aPending.attempt_);
   permits_.TellEnd(
@@ -363,7 +364,7 @@
   attempts_.erase(aPending.attempt_);
   aPending.attempt_ = 0;
   ++aPending.runs_;
-  if (aPending.isGone_) {
+  if (aPending.isClientGone_) {
     Finish(aPending.request_.number_);
     return;
   }
@@ -371,14 +372,14 @@
 }
 
 void
-RequestDesk::RefuseWaiting(Instant aNow, PendingRequest& aPending)
+GatewayRouter::RefuseWaiting(Instant aNow, PendingRequest& aPending)
 {
   LeaveQueue(aPending);
   Refuse(aNow, aPending, aPending.runs_ > 0 ? RefusalReason::OutcomeUnknown : aPending.obstacle_);
 }
 
 void
-RequestDesk::Refuse(Instant aNow, PendingRequest& aPending, RefusalReason aReason)
+GatewayRouter::Refuse(Instant aNow, PendingRequest& aPending, RefusalReason aReason)
 {
   const auto number = aPending.request_.number_;
   events_.Record(
@@ -389,7 +390,7 @@
       " service=" + (aPending.service_ == nullptr ? "-" : aPending.service_->name_) +
       " server=" + (aPending.server_.empty() ? "-" : aPending.server_) +
       " owner=" + (aPending.owner_.empty() ? "-" : aPending.owner_) +
-      " told_wait_us=" + std::to_string(aPending.toldWait_.value_or(Duration(0)).count()) +
+      " told_wait_us=" + std::to_string(aPending.dispatcherWait_.value_or(Duration(0)).count()) +
       " sends=" + std::to_string(aPending.sends_) + " runs=" + std::to_string(aPending.runs_) +
       " age_us=" + std::to_string((aNow - aPending.arrival_).count()) +
       " time_left_us=" + std::to_string(aPending.request_.timeLeft_.value_or(Duration(0)).count()));
@@ -399,7 +400,7 @@
 }
 
 Duration
-RequestDesk::RetryAfterOf(Instant aNow, PendingRequest& aPending)
+GatewayRouter::RetryAfterOf(Instant aNow, PendingRequest& aPending)
 {
   std::uniform_real_distribution<double> draw(kLeastSpread, kMostSpread);
   if (!aPending.routes_) {
@@ -413,7 +414,8 @@
   const auto given = aPending.request_.timeLeft_.value_or(aPending.route_->timeLimit_);
   const auto left = std::max(Duration(0), Duration(aPending.arrival_ + given - aNow));
   const auto most = Scale(left, kRetryAfterOfTimeLeft);
-  const auto wait = aPending.toldWait_ ? aPending.toldWait_ : ExpectedWait(aNow, aPending);
+  const auto wait =
+    aPending.dispatcherWait_ ? aPending.dispatcherWait_ : ExpectedWait(aNow, aPending);
   if (!wait) {
     return most;
   }
@@ -423,7 +425,7 @@
 }
 
 void
-RequestDesk::Finish(RequestNumber aRequest)
+GatewayRouter::Finish(RequestNumber aRequest)
 {
   auto& pending = pending_.at(aRequest);
   LeaveQueue(pending);
@@ -433,7 +435,7 @@
 }
 
 bool
-RequestDesk::TrySend(Instant aNow, PendingRequest& aPending)
+GatewayRouter::TrySend(Instant aNow, PendingRequest& aPending)
 {
   if (aNow < aPending.notBefore_) {
     return false;
@@ -446,11 +448,11 @@
 }
 
 bool
-RequestDesk::TrySendAlone(Instant aNow, PendingRequest& aPending)
+GatewayRouter::TrySendAlone(Instant aNow, PendingRequest& aPending)
 {
   ServerCandidate chosen{};
   const auto choice = ChooseServer(aNow, aPending, chosen);
-  if (choice == Choice::Found && aPending.isLate_ && !chosen.load_->HasSpareRoom()) {
+  if (choice == Choice::Found && aPending.isLate_ && !chosen.load_->HasSpareCapacity()) {
     aPending.obstacle_ = RefusalReason::NoCapacity;
     return false;
   }
@@ -470,14 +472,14 @@
 }
 
 std::optional<Duration>
-RequestDesk::TimeToSend(Instant aNow, const PendingRequest& aPending)
+GatewayRouter::TimeToSend(Instant aNow, const PendingRequest& aPending)
 {
   const Duration left = aPending.deadline_ - aNow - kWayBack;
   return left < kLeastSendTime ? std::nullopt : std::optional(left);
 }
 
 RefusalReason
-RequestDesk::ObstacleOf(Choice aChoice)
+GatewayRouter::ObstacleOf(Choice aChoice)
 {
   switch (aChoice) {
     case Choice::NoServer:
@@ -492,11 +494,11 @@
 }
 
 void
-RequestDesk::SendTo(Instant aNow,
-                    PendingRequest& aPending,
-                    const ServerCandidate& aServer,
-                    AttemptNumber aAttempt,
-                    Duration aTimeLeft)
+GatewayRouter::SendTo(Instant aNow,
+                      PendingRequest& aPending,
+                      const ServerCandidate& aServer,
+                      AttemptNumber aAttempt,
+                      Duration aTimeLeft)
 {
   LeaveQueue(aPending);
   const auto number = aPending.request_.number_;
@@ -519,7 +521,7 @@
 }
 
 void
-RequestDesk::WaitOrRefuse(Instant aNow, PendingRequest& aPending)
+GatewayRouter::WaitOrRefuse(Instant aNow, PendingRequest& aPending)
 {
   const auto wait = ExpectedWait(aNow, aPending);
   const auto latency = ExpectedLatency(aPending);
@@ -537,7 +539,7 @@
 }
 
 std::optional<Duration>
-RequestDesk::ExpectedWait(Instant aNow, PendingRequest& aPending)
+GatewayRouter::ExpectedWait(Instant aNow, PendingRequest& aPending)
 {
   const auto wait = aPending.service_->isKeyed_ ? ExpectedWaitForOwner(aNow, aPending)
                                                 : ExpectedWaitForAny(aNow, aPending);
@@ -545,34 +547,34 @@
     return wait;
   }
   const Duration pause = std::max(aPending.notBefore_, aNow) - aNow;
-  return std::max({ *wait, PauseLeft(aNow, aPending), pause });
+  return std::max({ *wait, RemainingDelay(aNow, aPending), pause });
 }
 
 Duration
-RequestDesk::RestLeft(Instant aNow, PendingRequest& aPending)
+GatewayRouter::RemainingBackoff(Instant aNow, PendingRequest& aPending)
 {
   return LeastOfServers(
-    aNow, aPending, [aNow](const ServerLoad& aLoad) { return aLoad.RestLeft(aNow); });
+    aNow, aPending, [aNow](const ServerLoad& aLoad) { return aLoad.RemainingBackoff(aNow); });
 }
 
 Duration
-RequestDesk::PauseLeft(Instant aNow, PendingRequest& aPending)
+GatewayRouter::RemainingDelay(Instant aNow, PendingRequest& aPending)
 {
   // A dispatcher allocates the full rate of a server, of which this instance alone has only a
   // share.
   if (permits_.CanAsk(aPending.service_->name_)) {
-    return RestLeft(aNow, aPending);
+    return RemainingBackoff(aNow, aPending);
   }
   const auto ahead = WaitingAhead(aPending);
   return LeastOfServers(aNow, aPending, [aNow, ahead](const ServerLoad& aLoad) {
-    return aLoad.PauseLeft(aNow, ahead);
+    return aLoad.RemainingDelay(aNow, ahead);
   });
 }
 
 Duration
-RequestDesk::LeastOfServers(Instant aNow,
-                            PendingRequest& aPending,
-                            const std::function<Duration(const ServerLoad&)>& aTimeOf)
+GatewayRouter::LeastOfServers(Instant aNow,
+                              PendingRequest& aPending,
+                              const std::function<Duration(const ServerLoad&)>& aTimeOf)
 {
   if (aPending.service_->isKeyed_) {
     ServerCandidate owner{};
@@ -581,7 +583,7 @@
   }
   auto least = Duration::max();
   for (const auto& server : StateOf(aPending.service_->name_).servers_) {
-    if (!server.record_->TakesWork()) {
+    if (!server.record_->AcceptsWork()) {
       continue;
     }
     least = std::min(least, aTimeOf(*server.load_));
@@ -593,7 +595,7 @@
 }
 
 std::optional<Duration>
-RequestDesk::ExpectedWaitForOwner(Instant aNow, const PendingRequest& aPending)
+GatewayRouter::ExpectedWaitForOwner(Instant aNow, const PendingRequest& aPending)
 {
   const auto& service = aPending.service_->name_;
   const auto ownership = ownership_.find(service);
@@ -606,18 +608,18 @@
     return std::nullopt;
   }
   const auto* record = directory_.Find(range->owner_);
-  if (!range->previous_.empty() || record == nullptr || !record->TakesWork()) {
+  if (!range->previous_.empty() || record == nullptr || !record->AcceptsWork()) {
     return moveTimes_[service].Remaining(WaitingForMove(aNow, service, *range, record));
   }
   const auto& load = LoadOf(*record, *aPending.service_);
-  return load.ExpectedTurn(aNow, WaitingAhead(aPending), ExpectedLatency(aPending));
+  return load.ExpectedQueueTime(aNow, WaitingAhead(aPending), ExpectedLatency(aPending));
 }
 
 Duration
-RequestDesk::WaitingForMove(Instant aNow,
-                            const std::string& aService,
-                            const KeyRange& aRange,
-                            const ServerRecord* aOwner) const
+GatewayRouter::WaitingForMove(Instant aNow,
+                              const std::string& aService,
+                              const KeyRange& aRange,
+                              const ServerRecord* aOwner) const
 {
   const auto moving = movingSince_.find({ aService, aRange.fence_ });
   if (moving != movingSince_.end()) {
@@ -629,7 +631,7 @@
 }
 
 std::optional<Duration>
-RequestDesk::ExpectedWaitForAny(Instant aNow, const PendingRequest& aPending)
+GatewayRouter::ExpectedWaitForAny(Instant aNow, const PendingRequest& aPending)
 {
   const auto& servers = StateOf(aPending.service_->name_).servers_;
   if (servers.empty()) {
@@ -637,7 +639,7 @@
   }
   std::size_t limits = 0;
   for (const auto& server : servers) {
-    limits += server.record_->TakesWork() ? server.load_->Limit() : 0;
+    limits += server.record_->AcceptsWork() ? server.load_->Limit() : 0;
   }
   if (limits == 0) {
     return std::nullopt;
@@ -647,14 +649,14 @@
 }
 
 std::optional<Duration>
-RequestDesk::ExpectedLearning(Instant aNow) const
+GatewayRouter::ExpectedLearning(Instant aNow) const
 {
   const auto until = firstRoutesAt_ + kLearnTime;
   return aNow < until ? std::optional(Duration(until - aNow)) : std::nullopt;
 }
 
 Duration
-RequestDesk::ExpectedLatency(const PendingRequest& aPending)
+GatewayRouter::ExpectedLatency(const PendingRequest& aPending)
 {
   const auto& servers = StateOf(aPending.service_->name_).servers_;
   const auto load = loads_.find(aPending.owner_);
@@ -663,7 +665,7 @@
 }
 
 std::size_t
-RequestDesk::WaitingAhead(const PendingRequest& aPending)
+GatewayRouter::WaitingAhead(const PendingRequest& aPending)
 {
   std::size_t ahead = 0;
   for (const auto& place : StateOf(aPending.service_->name_).queue_) {
@@ -677,7 +679,7 @@
 }
 
 void
-RequestDesk::Queue(Instant aNow, PendingRequest& aPending)
+GatewayRouter::Queue(Instant aNow, PendingRequest& aPending)
 {
   StateOf(aPending.service_->name_).queue_.insert(PlaceOf(aPending));
   auto time = std::min(aPending.refuseAt_, aPending.deadline_);
@@ -685,14 +687,14 @@
     time = std::min(time, aPending.notBefore_);
   }
   // No other event may wake the request up when servers accept requests again.
-  if (const auto left = PauseLeft(aNow, aPending); left > Duration(0)) {
+  if (const auto left = RemainingDelay(aNow, aPending); left > Duration(0)) {
     time = std::min(time, aNow + left);
   }
   SetTimer(aPending, time);
 }
 
 void
-RequestDesk::LeaveQueue(const PendingRequest& aPending)
+GatewayRouter::LeaveQueue(const PendingRequest& aPending)
 {
   if (aPending.service_ != nullptr) {
     StateOf(aPending.service_->name_).queue_.erase(PlaceOf(aPending));
@@ -700,7 +702,7 @@
 }
 
 void
-RequestDesk::Pump(Instant aNow, const std::string& aService)
+GatewayRouter::Pump(Instant aNow, const std::string& aService)
 {
   const auto queue = StateOf(aService).queue_;
   for (const auto& place : queue) {
@@ -711,7 +713,7 @@
 }
 
 void
-RequestDesk::SetTimer(PendingRequest& aPending, Instant aTime)
+GatewayRouter::SetTimer(PendingRequest& aPending, Instant aTime)
 {
   if (aPending.timer_ != Instant::max()) {
     timers_.erase({ aPending.timer_, aPending.request_.number_ });
@@ -723,7 +725,7 @@
 }
 
 std::size_t
-RequestDesk::Waiting() const
+GatewayRouter::Waiting() const
 {
   std::size_t waiting = 0;
   for (const auto& [name, state] : services_) {
--- a/Libraries/LibGateway/RequestDesk.h
+++ b/Libraries/LibGateway/GatewayRouter.h
@@ -1,17 +1,17 @@
 #pragma once
 
 #include "LibBase/Event.h"
-#include "LibGateway/CallerPatience.h"
-#include "LibGateway/GroupGate.h"
+#include "LibGateway/GroupAdmission.h"
 #include "LibGateway/Messages.h"
-#include "LibGateway/MoveTimes.h"
+#include "LibGateway/MoveTimeEstimator.h"
 #include "LibGateway/PendingRequest.h"
 #include "LibGateway/PermitSource.h"
-#include "LibGateway/RequestTally.h"
+#include "LibGateway/RefusalStreak.h"
+#include "LibGateway/RequestAgeEstimator.h"
+#include "LibGateway/RequestStatistics.h"
 #include "LibGateway/RoutingTable.h"
 #include "LibGateway/ServerDirectory.h"
 #include "LibGateway/ServiceState.h"
-#include "LibGateway/ShortageSpell.h"
 
 #include <functional>
 #include <map>
@@ -25,25 +25,25 @@
 namespace latchslip {
 
 // Settings of an instance's routing.
-struct RequestDeskSettings
+struct GatewayRouterSettings
 {
   // Data hall of this instance.
   std::string hall_;
-  RetryBudgetTerms retries_;
+  RetryBudgetParameters retries_;
   std::uint32_t seed_ = 1;
 };
 
 // Routes the requests of one instance: decides for each request which server gets it, how long it
 // may wait, when it is retried and when it is refused. Requests are sent directly to the server,
 // which for a keyed service is the owner of the key. Does no I/O: RequestActions performs it.
-class RequestDesk
+class GatewayRouter
 {
 public:
-  RequestDesk(RequestDeskSettings aSettings,
-              const ServerDirectory& aDirectory,
-              RequestActions& aActions,
-              PermitSource& aPermits,
-              EventSink& aEvents);
+  GatewayRouter(GatewayRouterSettings aSettings,
+                const ServerDirectory& aDirectory,
+                RequestActions& aActions,
+                PermitSource& aPermits,
+                EventSink& aEvents);
 
   // aNow is the time at which the request had been read completely.
   void OnRequest(Instant aNow, RoutedRequest aRequest);
@@ -70,20 +70,20 @@
   void SetOwnership(Instant aNow, KeyOwnership aOwnership);
   // Must be called after each change of the directory.
   void OnDirectoryChanged(Instant aNow);
-  void SetRetryTerms(const RetryBudgetTerms& aTerms);
+  void SetRetryParameters(const RetryBudgetParameters& aTerms);
   // Time until which the API keys of the present routes are known not to be revoked; unlimited if
   // never called.
   void SetApiKeysProvenUntil(Instant aUntil) { apiKeysUntil_ = aUntil; }
-  // Groups have no limits unless this is called. The gate must outlive the desk.
-  void SetGroupGate(GroupGate& aGate) { gate_ = &aGate; }
+  // Groups have no limits unless this is called. The gate must outlive the router.
+  void SetGroupAdmission(GroupAdmission& aGate) { gate_ = &aGate; }
   // Whether this instance no longer receives updates of key ownership.
-  void SetNewsStale(bool aIsStale) { isNewsStale_ = aIsStale; }
+  void SetUpdatesStale(bool aIsStale) { isNewsStale_ = aIsStale; }
   // Number of instances that share the servers.
   void SetInstances(std::size_t aInstances) { instances_ = aInstances; }
 
-  const RequestTally& Tally() const { return tally_; }
+  const RequestStatistics& Statistics() const { return tally_; }
   // Number of requests that have not been answered yet, waiting ones included.
-  std::size_t UnderWay() const { return pending_.size(); }
+  std::size_t InFlight() const { return pending_.size(); }
   // Number of requests in the queues.
   std::size_t Waiting() const;
   // Returns and resets the work that the server did for this instance.
@@ -126,7 +126,7 @@
   void ForgetFormerRoutes();
   ServiceState& StateOf(const std::string& aService);
   // Number of instances that share the servers; an assumed number while it is not known.
-  std::size_t Sharers() const;
+  std::size_t InstanceCount() const;
   // Load state of the server, updated to the limits that hold now.
   ServerLoad& LoadOf(const ServerRecord& aRecord, const RoutedService& aService);
   // Chooses the service for a request of this route, by the weights of the route's targets.
@@ -183,9 +183,9 @@
   void Queue(Instant aNow, PendingRequest& aPending);
   // Shortest remaining backoff of the servers that may have the request; zero if one of them
   // requested none, or there is no server.
-  Duration RestLeft(Instant aNow, PendingRequest& aPending);
-  // As RestLeft; without a dispatcher it includes the waits for the servers' rate limits.
-  Duration PauseLeft(Instant aNow, PendingRequest& aPending);
+  Duration RemainingBackoff(Instant aNow, PendingRequest& aPending);
+  // As RemainingBackoff; without a dispatcher it includes the waits for the servers' rate limits.
+  Duration RemainingDelay(Instant aNow, PendingRequest& aPending);
   // Minimum of a function over the servers that may have the request; zero if there is none.
   Duration LeastOfServers(Instant aNow,
                           PendingRequest& aPending,
@@ -245,13 +245,13 @@
                       const RoutedService& aService,
                       ServerLoad& aLoad);
 
-  RequestDeskSettings settings_;
+  GatewayRouterSettings settings_;
   const ServerDirectory& directory_;
   RequestActions& actions_;
   PermitSource& permits_;
   EventSink& events_;
-  OpenGate openGate_;
-  GroupGate* gate_ = &openGate_;
+  UnlimitedAdmission openGate_;
+  GroupAdmission* gate_ = &openGate_;
   Instant apiKeysUntil_ = Instant::max();
   std::shared_ptr<const RouteTable> routes_;
   // Time at which the first configuration arrived.
@@ -260,11 +260,11 @@
   // Time at which this instance learned of each range in handover, by service and fence.
   std::map<std::pair<std::string, FenceNumber>, Instant> movingSince_;
   // By service.
-  std::map<std::string, MoveTimes, std::less<>> moveTimes_;
+  std::map<std::string, MoveTimeEstimator, std::less<>> moveTimes_;
   // By server, or by service if requests do not wait for a particular server.
-  std::map<std::string, ShortageSpell, std::less<>> spells_;
+  std::map<std::string, RefusalStreak, std::less<>> spells_;
   // By the name of the route.
-  std::map<std::string, CallerPatience, std::less<>> patience_;
+  std::map<std::string, RequestAgeEstimator, std::less<>> patience_;
   std::map<std::string, ServiceState, std::less<>> services_;
   std::map<std::string, ServerLoad, std::less<>> loads_;
   std::unordered_map<RequestNumber, PendingRequest> pending_;
@@ -274,7 +274,7 @@
   std::set<std::pair<Instant, RequestNumber>> timers_;
   // Weighted round robin credits of each route's targets, by host and prefix.
   std::map<std::string, std::vector<double>, std::less<>> credits_;
-  RequestTally tally_;
+  RequestStatistics tally_;
   std::minstd_rand random_;
   AttemptNumber lastAttempt_ = 0;
   std::size_t instances_ = 0;
--- a/Libraries/LibGateway/GroupGate.h
+++ b/Libraries/LibGateway/GroupAdmission.h
@@ -6,22 +6,22 @@
 namespace latchslip {
 
 // Admission control for the requests of groups that have a rate limit.
-class GroupGate
+class GroupAdmission
 {
 public:
-  virtual ~GroupGate() = default;
+  virtual ~GroupAdmission() = default;
 
   // Whether to admit one more request of the group. Counts the request, so it must be called
   // exactly once for each. aIsLate: the request can no longer be answered in time; requests that
   // still can take precedence.
-  virtual bool TryPass(Instant aNow, const CallerGroup& aGroup, bool aIsLate) = 0;
+  virtual bool TryAdmit(Instant aNow, const CallerGroup& aGroup, bool aIsLate) = 0;
 };
 
 // Admits every request; used when groups have no limits.
-class OpenGate : public GroupGate
+class UnlimitedAdmission : public GroupAdmission
 {
 public:
-  bool TryPass(Instant, const CallerGroup&, bool) override { return true; }
+  bool TryAdmit(Instant, const CallerGroup&, bool) override { return true; }
 };
 
 } // namespace latchslip
--- a/Libraries/LibGateway/Messages.h
+++ b/Libraries/LibGateway/Messages.h
@@ -32,7 +32,7 @@
 };
 
 // Command to send a request to one server, once.
-struct AttemptOrder
+struct AttemptCommand
 {
   AttemptNumber number_ = 0;
   RequestNumber request_ = 0;
@@ -74,7 +74,7 @@
   unsigned waiting_ = 0;
   unsigned slots_ = 0;
   // Current service time of the server as a multiple of its usual one.
-  double pace_ = 1;
+  double slowdown_ = 1;
 
   bool operator==(const ServerStatus&) const = default;
 };
@@ -92,7 +92,7 @@
   bool isLeaving_ = false;
   // Backoff that the server requested when it refused the request: this instance must send it
   // nothing for that long.
-  std::optional<Duration> rest_{};
+  std::optional<Duration> backoff_{};
   // Rate limit in requests per second that the server advertises for all instances together;
   // kNoRateLimit if it advertises that it has none. No value if that incarnation of the server
   // reported nothing about it.
@@ -144,7 +144,7 @@
 public:
   virtual ~RequestActions() = default;
 
-  virtual void Send(const AttemptOrder& aOrder) = 0;
+  virtual void Send(const AttemptCommand& aOrder) = 0;
   // Closes the connection of an attempt, so that the server stops processing it.
   virtual void Cancel(AttemptNumber aAttempt) = 0;
   // Sends the answer of an attempt to the client. Called from within OnAttemptEnded.
@@ -154,7 +154,7 @@
   // is expensive.
   virtual bool HasConnection(const std::string& aAddress) const = 0;
   // An answer of that server incarnation announced that it is shutting down.
-  virtual void NoteLeaving(const std::string& aServer, std::uint64_t aLife) = 0;
+  virtual void RecordLeaving(const std::string& aServer, std::uint64_t aLife) = 0;
   // Counts a request for a key whether or not its owner can serve it: keys whose owner is full or
   // unknown are the ones that must be spread over more servers.
   virtual void CountKey(const std::string& aService, KeyNumber aKey) = 0;
--- a/Libraries/LibGateway/MoveTimes.cpp
+++ b/Libraries/LibGateway/MoveTimeEstimator.cpp
@@ -1,4 +1,4 @@
-#include "LibGateway/MoveTimes.h"
+#include "LibGateway/MoveTimeEstimator.h"
 
 namespace latchslip {
 
@@ -9,20 +9,20 @@
 
 } // namespace
 
-MoveTimes::MoveTimes()
+MoveTimeEstimator::MoveTimeEstimator()
   : recent_(kRecent)
 {
 }
 
 void
-MoveTimes::OnMoved(Duration aTime)
+MoveTimeEstimator::OnMoved(Duration aTime)
 {
   recent_.Add(aTime);
   usual_ = recent_.Ranked(recent_.Count() / 2);
 }
 
 Duration
-MoveTimes::Remaining(Duration aPast) const
+MoveTimeEstimator::Remaining(Duration aPast) const
 {
   return aPast < usual_ ? usual_ - aPast : aPast;
 }
--- a/Libraries/LibGateway/MoveTimes.h
+++ b/Libraries/LibGateway/MoveTimeEstimator.h
@@ -6,10 +6,10 @@
 
 // Estimates how long a move of keys to another owner takes, to decide whether a request for keys
 // in handover should wait.
-class MoveTimes
+class MoveTimeEstimator
 {
 public:
-  MoveTimes();
+  MoveTimeEstimator();
 
   // A move ended, aTime after this instance learned of it.
   void OnMoved(Duration aTime);
--- a/Libraries/LibGateway/PendingRequest.h
+++ b/Libraries/LibGateway/PendingRequest.h
@@ -39,9 +39,9 @@
   // The pending permit request; 0 if there is none.
   AttemptNumber ask_ = 0;
   // The dispatcher answered that a permit will follow.
-  bool isPromised_ = false;
+  bool isPermitAnnounced_ = false;
   // Time until the dispatcher expects to have capacity, if it reported one.
-  std::optional<Duration> toldWait_;
+  std::optional<Duration> dispatcherWait_;
   // Server of the last attempt.
   std::string server_;
   std::uint64_t serverLife_ = 0;
@@ -53,7 +53,7 @@
   // The API key was revoked.
   bool isRevoked_ = false;
   // The client closed its connection.
-  bool isGone_ = false;
+  bool isClientGone_ = false;
   // The request can no longer be answered in time; requests that still can take precedence.
   bool isLate_ = false;
   // Owner of the request's key, if there is one that the request waits for.
--- a/Libraries/LibGateway/PermitMessages.h
+++ b/Libraries/LibGateway/PermitMessages.h
@@ -68,7 +68,7 @@
   std::optional<ServerStatus> status_;
   // Remaining backoff that the server requested from the reporting instance; zero if it requested
   // none.
-  Duration rest_{ 0 };
+  Duration backoff_{ 0 };
   // The server incarnation, as in ServerRecord, if that incarnation announced that it is shutting
   // down.
   std::optional<std::uint64_t> leavingLife_{};
--- a/Libraries/LibGateway/PermitAsks.cpp
+++ b/Libraries/LibGateway/PermitRequests.cpp
@@ -1,6 +1,6 @@
-// How requests get permits from dispatchers: the part of RequestDesk that asks.
+// How requests get permits from dispatchers: the part of GatewayRouter that asks.
 
-#include "LibGateway/RequestDesk.h"
+#include "LibGateway/GatewayRouter.h"
 
 namespace latchslip {
 
@@ -19,7 +19,7 @@
 } // namespace
 
 bool
-RequestDesk::TryAsk(Instant aNow, PendingRequest& aPending)
+GatewayRouter::TryAsk(Instant aNow, PendingRequest& aPending)
 {
   const auto& service = *aPending.service_;
   if (!permits_.CanAsk(service.name_)) {
@@ -32,29 +32,29 @@
       return false;
     }
   }
-  if (RestLeft(aNow, aPending) > Duration(0)) {
+  if (RemainingBackoff(aNow, aPending) > Duration(0)) {
     aPending.obstacle_ = RefusalReason::NoCapacity;
     return false;
   }
   LeaveQueue(aPending);
   aPending.ask_ = ++lastAttempt_;
-  aPending.isPromised_ = false;
+  aPending.isPermitAnnounced_ = false;
   asks_[aPending.ask_] = aPending.request_.number_;
   SetTimer(aPending, aNow + kFirstAnswer);
-  permits_.Ask(aNow,
-               { aPending.ask_,
-                 service.name_,
-                 aPending.owner_,
-                 settings_.hall_,
-                 aPending.tried_,
-                 aPending.Rank(),
-                 aPending.inTimeUntil_ - aNow,
-                 aPending.deadline_ - aNow });
+  permits_.RequestPermit(aNow,
+                         { aPending.ask_,
+                           service.name_,
+                           aPending.owner_,
+                           settings_.hall_,
+                           aPending.tried_,
+                           aPending.Rank(),
+                           aPending.inTimeUntil_ - aNow,
+                           aPending.deadline_ - aNow });
   return true;
 }
 
 PendingRequest*
-RequestDesk::TakeAsk(AttemptNumber aNumber)
+GatewayRouter::TakeAsk(AttemptNumber aNumber)
 {
   const auto ask = asks_.find(aNumber);
   if (ask == asks_.end()) {
@@ -67,7 +67,7 @@
 }
 
 void
-RequestDesk::DropAsk(PendingRequest& aPending)
+GatewayRouter::DropAsk(PendingRequest& aPending)
 {
   if (aPending.ask_ != 0) {
     permits_.Withdraw(aPending.ask_);
@@ -77,10 +77,10 @@
 }
 
 std::optional<ServerCandidate>
-RequestDesk::PermittedServer(Instant aNow, PendingRequest& aPending, const std::string& aServer)
+GatewayRouter::PermittedServer(Instant aNow, PendingRequest& aPending, const std::string& aServer)
 {
   const auto* record = directory_.Find(aServer);
-  if (record == nullptr || !record->TakesWork() || record->service_ != aPending.service_->name_) {
+  if (record == nullptr || !record->AcceptsWork() || record->service_ != aPending.service_->name_) {
     return std::nullopt;
   }
   if (!IsApiKeyProven(aNow, aPending)) {
@@ -93,26 +93,29 @@
     }
   }
   auto& load = LoadOf(*record, *aPending.service_);
-  return load.RestLeft(aNow) > Duration(0) ? std::nullopt
-                                           : std::optional(ServerCandidate{ record, &load });
+  return load.RemainingBackoff(aNow) > Duration(0)
+           ? std::nullopt
+           : std::optional(ServerCandidate{ record, &load });
 }
 
 SendEnd
-RequestDesk::GivenBackPermit(Instant aNow, AttemptNumber aNumber, const std::string& aServer) const
+GatewayRouter::GivenBackPermit(Instant aNow,
+                               AttemptNumber aNumber,
+                               const std::string& aServer) const
 {
   auto end = CancelledSend(aNumber);
   if (const auto load = loads_.find(aServer); load != loads_.end()) {
-    end.rest_ = load->second.RestLeft(aNow);
+    end.backoff_ = load->second.RemainingBackoff(aNow);
   }
   const auto* record = directory_.Find(aServer);
-  if (record != nullptr && record->hasToldLeaving_) {
+  if (record != nullptr && record->hasAnnouncedLeaving_) {
     end.leavingLife_ = record->life_;
   }
   return end;
 }
 
 void
-RequestDesk::OnPermit(Instant aNow, AttemptNumber aNumber, const std::string& aServer)
+GatewayRouter::OnPermit(Instant aNow, AttemptNumber aNumber, const std::string& aServer)
 {
   auto* pending = TakeAsk(aNumber);
   if (pending == nullptr) {
@@ -131,30 +134,30 @@
 }
 
 void
-RequestDesk::OnPermitDelayed(Instant aNow, AttemptNumber aNumber)
+GatewayRouter::OnPermitDelayed(Instant aNow, AttemptNumber aNumber)
 {
   const auto ask = asks_.find(aNumber);
   if (ask == asks_.end()) {
     return;
   }
   auto& pending = pending_.at(ask->second);
-  pending.isPromised_ = true;
+  pending.isPermitAnnounced_ = true;
   SetTimer(pending,
            std::min(pending.deadline_, std::max(pending.inTimeUntil_, aNow) + kPromiseGrace));
 }
 
 void
-RequestDesk::OnPermitDenied(Instant aNow, AttemptNumber aNumber, Duration aWait)
+GatewayRouter::OnPermitDenied(Instant aNow, AttemptNumber aNumber, Duration aWait)
 {
   if (auto* pending = TakeAsk(aNumber)) {
-    pending->toldWait_ = aWait;
+    pending->dispatcherWait_ = aWait;
     pending->obstacle_ = RefusalReason::NoCapacity;
     RefuseWaiting(aNow, *pending);
   }
 }
 
 void
-RequestDesk::OnAskLost(Instant aNow, AttemptNumber aNumber)
+GatewayRouter::OnAskLost(Instant aNow, AttemptNumber aNumber)
 {
   auto* pending = TakeAsk(aNumber);
   if (pending != nullptr && !TrySend(aNow, *pending)) {
@@ -163,11 +166,11 @@
 }
 
 void
-RequestDesk::OnAskDue(Instant aNow, PendingRequest& aPending)
+GatewayRouter::OnAskDue(Instant aNow, PendingRequest& aPending)
 {
   DropAsk(aPending);
-  permits_.OnUnanswered(aNow, aPending.service_->name_);
-  if (aPending.isPromised_) {
+  permits_.OnPermitTimeout(aNow, aPending.service_->name_);
+  if (aPending.isPermitAnnounced_) {
     aPending.obstacle_ = RefusalReason::NoCapacity;
     RefuseWaiting(aNow, aPending);
   } else if (!TrySendAlone(aNow, aPending)) {
--- a/Libraries/LibGateway/PermitSource.h
+++ b/Libraries/LibGateway/PermitSource.h
@@ -4,7 +4,7 @@
 
 namespace latchslip {
 
-// Client side of the permit protocol. Answers arrive later through the RequestDesk, never from
+// Client side of the permit protocol. Answers arrive later through the GatewayRouter, never from
 // within a call.
 class PermitSource
 {
@@ -15,10 +15,10 @@
   // servers by its local state alone.
   virtual bool CanAsk(const std::string& aService) const = 0;
   // Sends a permit request.
-  virtual void Ask(Instant aNow, const PermitAsk& aAsk) = 0;
+  virtual void RequestPermit(Instant aNow, const PermitAsk& aAsk) = 0;
   virtual void Withdraw(AttemptNumber aNumber) = 0;
   // The dispatcher did not answer a permit request before its timeout.
-  virtual void OnUnanswered(Instant aNow, const std::string& aService) = 0;
+  virtual void OnPermitTimeout(Instant aNow, const std::string& aService) = 0;
   // Reports a send that used no permit.
   virtual void TellSend(Instant aNow, const SendNotice& aNotice) = 0;
   // Reports the end of an attempt, or that a permit was not used.
@@ -26,13 +26,13 @@
 };
 
 // For an instance without a dispatcher: it chooses servers by its local state alone.
-class NoPermits : public PermitSource
+class NullPermitSource : public PermitSource
 {
 public:
   bool CanAsk(const std::string&) const override { return false; }
-  void Ask(Instant, const PermitAsk&) override {}
+  void RequestPermit(Instant, const PermitAsk&) override {}
   void Withdraw(AttemptNumber) override {}
-  void OnUnanswered(Instant, const std::string&) override {}
+  void OnPermitTimeout(Instant, const std::string&) override {}
   void TellSend(Instant, const SendNotice&) override {}
   void TellEnd(const SendEnd&) override {}
 };
--- a/Libraries/LibGateway/QueuePlace.h
+++ b/Libraries/LibGateway/QueuePosition.h
@@ -9,14 +9,14 @@
 // Sort key of a waiting request: by priority, then requests whose answers may still be in time
 // before late ones, then by deadline. key_ makes it unique.
 template<typename TKey>
-struct QueuePlace
+struct QueuePosition
 {
   unsigned priority_ = 0;
   bool isLate_ = false;
   Instant deadline_{ 0 };
   TKey key_{};
 
-  bool operator<(const QueuePlace& aOther) const
+  bool operator<(const QueuePosition& aOther) const
   {
     return std::tie(priority_, isLate_, deadline_, key_) <
            std::tie(aOther.priority_, aOther.isLate_, aOther.deadline_, aOther.key_);
--- a/Libraries/LibGateway/RateLimit.cpp
+++ b/Libraries/LibGateway/RateLimit.cpp
@@ -15,14 +15,14 @@
 } // namespace
 
 bool
-RateLimit::OnTold(Instant aNow, Instant aSentAt, double aRate, double aShare)
+RateLimit::OnAdvertised(Instant aNow, Instant aSentAt, double aRate, double aShare)
 {
   const bool isNamed = aRate < kNoRateLimit;
   // The answer may have been written before the one that advertised the limit.
   if (!isNamed && aSentAt < namedAt_) {
     return false;
   }
-  const bool isNews = isNamed != IsNamed();
+  const bool isNews = isNamed != IsAdvertised();
   rate_ = std::max(aRate, kLeastRate);
   if (!isNamed) {
     return isNews;
@@ -41,15 +41,15 @@
 void
 RateLimit::OnSent(Instant aNow)
 {
-  if (IsNamed()) {
+  if (IsAdvertised()) {
     bucket_.Take(aNow);
   }
 }
 
 Duration
-RateLimit::WaitLeft(Instant aNow, std::size_t aAhead) const
+RateLimit::RemainingWait(Instant aNow, std::size_t aAhead) const
 {
-  return IsNamed() ? bucket_.WaitFor(aNow, aAhead + 1) : Duration(0);
+  return IsAdvertised() ? bucket_.WaitFor(aNow, aAhead + 1) : Duration(0);
 }
 
 } // namespace latchslip
--- a/Libraries/LibGateway/RateLimit.h
+++ b/Libraries/LibGateway/RateLimit.h
@@ -19,15 +19,15 @@
   // An answer to a request sent at aSentAt advertised aRate, kNoRateLimit for no limit. aShare, 0
   // to 1, is the share of the rate that this instance may use. Returns whether a limit begins or
   // ends.
-  bool OnTold(Instant aNow, Instant aSentAt, double aRate, double aShare);
+  bool OnAdvertised(Instant aNow, Instant aSentAt, double aRate, double aShare);
   // Consumes a token for a request that was sent, even if there was none.
   void OnSent(Instant aNow);
   // Whether one more request may be sent now.
-  bool HasRoom(Instant aNow) const { return !IsNamed() || bucket_.HasToken(aNow); }
+  bool HasCapacity(Instant aNow) const { return !IsAdvertised() || bucket_.HasToken(aNow); }
   // Time until one more request may be sent after aAhead others; zero if it may be sent now.
-  Duration WaitLeft(Instant aNow, std::size_t aAhead) const;
+  Duration RemainingWait(Instant aNow, std::size_t aAhead) const;
   // Whether the server advertises a limit.
-  bool IsNamed() const { return rate_ < kNoRateLimit; }
+  bool IsAdvertised() const { return rate_ < kNoRateLimit; }
   // In requests per second; kNoRateLimit if the server advertises none.
   double Rate() const { return rate_; }
 
--- a/Libraries/LibGateway/ShortageSpell.h
+++ b/Libraries/LibGateway/RefusalStreak.h
@@ -7,7 +7,7 @@
 // Measures how long requests for one server or service have been refused without a break. A
 // shortage that has lasted for some time is expected to last as long again, so that a refused
 // client is told to retry after that time.
-class ShortageSpell
+class RefusalStreak
 {
 public:
   // Records a refusal; returns the time since the first refusal of the unbroken series.
--- a/Libraries/LibGateway/CallerPatience.cpp
+++ b/Libraries/LibGateway/RequestAgeEstimator.cpp
@@ -1,4 +1,4 @@
-#include "LibGateway/CallerPatience.h"
+#include "LibGateway/RequestAgeEstimator.h"
 
 #include <algorithm>
 
@@ -17,13 +17,13 @@
 
 } // namespace
 
-CallerPatience::CallerPatience()
+RequestAgeEstimator::RequestAgeEstimator()
   : recent_(kRecent)
 {
 }
 
 void
-CallerPatience::OnRequest(Duration aTimeLeft)
+RequestAgeEstimator::OnRequest(Duration aTimeLeft)
 {
   recent_.Add(aTimeLeft);
   if (whole_ > Duration(0) && ++sinceLearnt_ < kLearnEvery) {
@@ -35,7 +35,7 @@
 }
 
 Duration
-CallerPatience::AgeOf(Duration aTimeLeft) const
+RequestAgeEstimator::AgeOf(Duration aTimeLeft) const
 {
   return std::max(Duration(0), whole_ - aTimeLeft);
 }
--- a/Libraries/LibGateway/CallerPatience.h
+++ b/Libraries/LibGateway/RequestAgeEstimator.h
@@ -9,10 +9,10 @@
 // Estimates how long ago the caller of a request made its first attempt, from the time left that
 // the requests of one route arrive with. A retry arrives with what remains of the caller's time
 // limit, so a request with less time left than most others is a retry.
-class CallerPatience
+class RequestAgeEstimator
 {
 public:
-  CallerPatience();
+  RequestAgeEstimator();
 
   // Learns from the time left of each request that arrives on the route.
   void OnRequest(Duration aTimeLeft);
--- a/Libraries/LibGateway/RequestTally.h
+++ b/Libraries/LibGateway/RequestStatistics.h
@@ -14,7 +14,7 @@
 namespace latchslip {
 
 // Counters for the requests of one route.
-struct RouteTally
+struct RouteStatistics
 {
   // Delivered answers by their status.
   std::map<unsigned, std::uint64_t> answers_;
@@ -25,23 +25,23 @@
 };
 
 // Counters for the requests of one group.
-struct GroupTally
+struct GroupStatistics
 {
   // Requests that passed the API key and rate limit checks.
-  std::uint64_t passed_ = 0;
+  std::uint64_t admitted_ = 0;
   // Requests that did not, by reason.
-  std::array<std::uint64_t, kRefusalReasonNames.names_.size()> barred_{};
+  std::array<std::uint64_t, kRefusalReasonNames.names_.size()> rejected_{};
 };
 
 // Counters for the attempts at one server, by their end.
-using ServerTally = std::array<std::uint64_t, kAttemptEndNames.names_.size()>;
+using ServerStatistics = std::array<std::uint64_t, kAttemptEndNames.names_.size()>;
 
 // Route name in metrics for requests that match no route.
 inline constexpr auto kNoRoute = "-";
 
 // Counters of one instance by route, group and server, for its metrics. Entries of routes, groups
 // and servers that no longer exist are dropped, which bounds the memory.
-class RequestTally
+class RequestStatistics
 {
 public:
   // aRoute is the name of a route, or kNoRoute.
@@ -57,14 +57,14 @@
   void KeepGroups(const std::function<bool(const std::string&)>& aIsThere);
   void KeepServers(const std::function<bool(const std::string&)>& aIsThere);
 
-  const std::map<std::string, RouteTally>& Routes() const { return routes_; }
-  const std::map<std::string, GroupTally>& Groups() const { return groups_; }
-  const std::map<std::string, ServerTally>& Servers() const { return servers_; }
+  const std::map<std::string, RouteStatistics>& Routes() const { return routes_; }
+  const std::map<std::string, GroupStatistics>& Groups() const { return groups_; }
+  const std::map<std::string, ServerStatistics>& Servers() const { return servers_; }
 
 private:
-  std::map<std::string, RouteTally> routes_;
-  std::map<std::string, GroupTally> groups_;
-  std::map<std::string, ServerTally> servers_;
+  std::map<std::string, RouteStatistics> routes_;
+  std::map<std::string, GroupStatistics> groups_;
+  std::map<std::string, ServerStatistics> servers_;
 };
 
 } // namespace latchslip
--- a/Libraries/LibGateway/RetryBudget.cpp
+++ b/Libraries/LibGateway/RetryBudget.cpp
@@ -14,7 +14,7 @@
 
 } // namespace
 
-RetryBudget::RetryBudget(RetryBudgetTerms aTerms)
+RetryBudget::RetryBudget(RetryBudgetParameters aTerms)
   : terms_(aTerms)
 {
 }
--- a/Libraries/LibGateway/RetryBudget.h
+++ b/Libraries/LibGateway/RetryBudget.h
@@ -9,7 +9,7 @@
 
 // Limits of the retries, sends beyond the first of each request, that all instances together make
 // to one service.
-struct RetryBudgetTerms
+struct RetryBudgetParameters
 {
   // Retries as a fraction of the requests in any window.
   double ratio_ = 0.1;
@@ -24,13 +24,13 @@
 class RetryBudget
 {
 public:
-  explicit RetryBudget(RetryBudgetTerms aTerms);
+  explicit RetryBudget(RetryBudgetParameters aTerms);
 
   // Counts the first send of a request.
   void OnRequest(Instant aNow);
   // Takes one retry from the budget; returns false if the budget is exhausted.
   bool TryTake(Instant aNow, std::size_t aInstances);
-  void SetTerms(const RetryBudgetTerms& aTerms) { terms_ = aTerms; }
+  void SetTerms(const RetryBudgetParameters& aTerms) { terms_ = aTerms; }
 
 private:
   // The sliding window is counted in this many steps; one more step holds the part that is
@@ -46,7 +46,7 @@
 
   Step& StepAt(Instant aNow);
 
-  RetryBudgetTerms terms_;
+  RetryBudgetParameters terms_;
   std::array<Step, kSteps + 1> steps_{};
 };
 
--- a/Libraries/LibGateway/RoutingTable.h
+++ b/Libraries/LibGateway/RoutingTable.h
@@ -37,7 +37,7 @@
   // Latency within which an answer has its full value to the caller.
   Duration latencyTarget_ = seconds(1);
   // Maximum number of servers that one request may be sent to.
-  unsigned mostAttempts_ = 1;
+  unsigned maxAttempts_ = 1;
   // Whether callers need no API key even if groups are configured.
   bool isPublic_ = false;
   std::vector<RouteTarget> targets_;
@@ -51,7 +51,7 @@
 {
   std::string name_;
   // Connections that each of its servers accepts from all instances together.
-  std::size_t mostConnections_ = 0;
+  std::size_t maxConnections_ = 0;
   // Whether each key has one owner among its servers.
   bool isKeyed_ = false;
   // Requests per second that a server in slow start accepts from all instances together; 0 for no
--- a/Libraries/LibGateway/ServerChoice.cpp
+++ b/Libraries/LibGateway/ServerChoice.cpp
@@ -1,6 +1,6 @@
-// Which server a request is sent to: the part of RequestDesk that chooses.
+// Which server a request is sent to: the part of GatewayRouter that chooses.
 
-#include "LibGateway/RequestDesk.h"
+#include "LibGateway/GatewayRouter.h"
 
 #include <algorithm>
 #include <iterator>
@@ -38,7 +38,7 @@
 HasServer(const std::vector<ServerCandidate>& aServers)
 {
   return std::any_of(aServers.begin(), aServers.end(), [](const ServerCandidate& aServer) {
-    return aServer.record_->TakesWork();
+    return aServer.record_->AcceptsWork();
   });
 }
 
@@ -52,7 +52,7 @@
   std::vector<ServerCandidate> fresh;
   std::vector<ServerCandidate> again;
   for (const auto& server : aServers) {
-    if (!server.record_->TakesWork() || !server.load_->HasRoom(aNow)) {
+    if (!server.record_->AcceptsWork() || !server.load_->HasCapacity(aNow)) {
       continue;
     }
     const bool isTried =
@@ -65,7 +65,7 @@
 } // namespace
 
 ServiceState&
-RequestDesk::StateOf(const std::string& aService)
+GatewayRouter::StateOf(const std::string& aService)
 {
   const auto found = services_.find(aService);
   if (found != services_.end()) {
@@ -75,17 +75,17 @@
 }
 
 std::size_t
-RequestDesk::Sharers() const
+GatewayRouter::InstanceCount() const
 {
   return instances_ == 0 ? kUnknownInstances : instances_;
 }
 
 ServerLoad&
-RequestDesk::LoadOf(const ServerRecord& aRecord, const RoutedService& aService)
+GatewayRouter::LoadOf(const ServerRecord& aRecord, const RoutedService& aService)
 {
-  const auto instances = Sharers();
+  const auto instances = InstanceCount();
   const std::size_t slots = std::max(1U, aRecord.slots_);
-  const auto connections = std::max<std::size_t>(1, aService.mostConnections_ / instances);
+  const auto connections = std::max<std::size_t>(1, aService.maxConnections_ / instances);
   const auto most = std::min(slots * kMostLimitPerSlot, connections * kUnevenness);
   const auto first = std::clamp<std::size_t>(
     (slots * kFirstLimitPerSlot * kUnevenness + instances - 1) / instances, 1, most);
@@ -96,7 +96,7 @@
 }
 
 void
-RequestDesk::RefreshServers(Instant aNow, ServiceState& aState, const RoutedService& aService)
+GatewayRouter::RefreshServers(Instant aNow, ServiceState& aState, const RoutedService& aService)
 {
   aState.servers_.clear();
   for (const auto* record : directory_.OfService(aService.name_)) {
@@ -107,10 +107,10 @@
 }
 
 void
-RequestDesk::BoundSlowStart(Instant aNow,
-                            const ServerRecord& aRecord,
-                            const RoutedService& aService,
-                            ServerLoad& aLoad)
+GatewayRouter::BoundSlowStart(Instant aNow,
+                              const ServerRecord& aRecord,
+                              const RoutedService& aService,
+                              ServerLoad& aLoad)
 {
   if (aService.slowStartRate_ <= 0 || !aRecord.IsInSlowStart(aNow)) {
     return;
@@ -118,12 +118,12 @@
   std::uniform_real_distribution<double> draw(0, 1);
   aLoad.SlowStart().Begin(aNow,
                           aRecord.slowStartUntil_,
-                          aService.slowStartRate_ / static_cast<double>(Sharers()),
+                          aService.slowStartRate_ / static_cast<double>(InstanceCount()),
                           draw(random_));
 }
 
 void
-RequestDesk::OnDirectoryChanged(Instant aNow)
+GatewayRouter::OnDirectoryChanged(Instant aNow)
 {
   if (!routes_) {
     return;
@@ -139,8 +139,8 @@
   }
   std::erase_if(loads_, [&](const auto& aEntry) {
     // A backoff stays in effect if the server is listed again before its end.
-    return directory_.Find(aEntry.first) == nullptr && aEntry.second.UnderWay() == 0 &&
-           aEntry.second.RestLeft(aNow) == Duration(0);
+    return directory_.Find(aEntry.first) == nullptr && aEntry.second.InFlight() == 0 &&
+           aEntry.second.RemainingBackoff(aNow) == Duration(0);
   });
   std::erase_if(spells_, [&](const auto& aEntry) {
     return !loads_.contains(aEntry.first) && routes_->FindService(aEntry.first) == nullptr;
@@ -152,7 +152,7 @@
 }
 
 void
-RequestDesk::SetRoutes(Instant aNow, std::shared_ptr<const RouteTable> aRoutes)
+GatewayRouter::SetRoutes(Instant aNow, std::shared_ptr<const RouteTable> aRoutes)
 {
   if (!routes_) {
     firstRoutesAt_ = aNow;
@@ -168,7 +168,7 @@
 }
 
 void
-RequestDesk::ForgetFormerRoutes()
+GatewayRouter::ForgetFormerRoutes()
 {
   std::set<std::string> names{ kNoRoute };
   for (const auto& route : routes_->Configuration().routes_) {
@@ -187,7 +187,7 @@
 }
 
 void
-RequestDesk::AdmitUnrouted(Instant aNow)
+GatewayRouter::AdmitUnrouted(Instant aNow)
 {
   std::vector<RequestNumber> unrouted;
   for (const auto& [number, pending] : pending_) {
@@ -201,7 +201,7 @@
 }
 
 void
-RequestDesk::SetOwnership(Instant aNow, KeyOwnership aOwnership)
+GatewayRouter::SetOwnership(Instant aNow, KeyOwnership aOwnership)
 {
   const auto service = aOwnership.service_;
   std::map<std::pair<std::string, FenceNumber>, Instant> moving;
@@ -222,7 +222,7 @@
 }
 
 void
-RequestDesk::NoteMoves(Instant aNow, const KeyOwnership& aOwnership)
+GatewayRouter::NoteMoves(Instant aNow, const KeyOwnership& aOwnership)
 {
   for (const auto& range : aOwnership.ranges_) {
     const auto since = movingSince_.find({ aOwnership.service_, range.fence_ });
@@ -233,7 +233,7 @@
 }
 
 void
-RequestDesk::SetRetryTerms(const RetryBudgetTerms& aTerms)
+GatewayRouter::SetRetryParameters(const RetryBudgetParameters& aTerms)
 {
   settings_.retries_ = aTerms;
   for (auto& [name, state] : services_) {
@@ -242,14 +242,14 @@
 }
 
 ServerWork
-RequestDesk::TakeWorkOf(const std::string& aServer)
+GatewayRouter::TakeWorkOf(const std::string& aServer)
 {
   const auto load = loads_.find(aServer);
   return load == loads_.end() ? ServerWork() : load->second.TakeWork();
 }
 
 const std::string&
-RequestDesk::ChooseTarget(const Route& aRoute)
+GatewayRouter::ChooseTarget(const Route& aRoute)
 {
   const auto& targets = aRoute.targets_;
   if (targets.size() == 1) {
@@ -268,15 +268,15 @@
   return targets[static_cast<std::size_t>(best - credits.begin())].service_;
 }
 
-RequestDesk::Choice
-RequestDesk::ChooseServer(Instant aNow, PendingRequest& aPending, ServerCandidate& aChosen)
+GatewayRouter::Choice
+GatewayRouter::ChooseServer(Instant aNow, PendingRequest& aPending, ServerCandidate& aChosen)
 {
   return aPending.service_->isKeyed_ ? ChooseOwner(aNow, aPending, aChosen)
                                      : ChooseAny(aNow, aPending, aChosen);
 }
 
 bool
-RequestDesk::IsMoving(Instant aNow, const std::string& aService, const KeyRange& aRange) const
+GatewayRouter::IsMoving(Instant aNow, const std::string& aService, const KeyRange& aRange) const
 {
   if (aRange.previous_.empty() || !isNewsStale_) {
     return !aRange.previous_.empty();
@@ -285,8 +285,8 @@
   return since == movingSince_.end() || aNow - since->second < kMoveTime;
 }
 
-RequestDesk::Choice
-RequestDesk::ChooseOwner(Instant aNow, PendingRequest& aPending, ServerCandidate& aChosen)
+GatewayRouter::Choice
+GatewayRouter::ChooseOwner(Instant aNow, PendingRequest& aPending, ServerCandidate& aChosen)
 {
   aPending.owner_.clear();
   const auto ownership = ownership_.find(aPending.service_->name_);
@@ -298,16 +298,16 @@
     return Choice::NoOwner;
   }
   const auto* record = directory_.Find(range->owner_);
-  if (record == nullptr || !record->TakesWork()) {
+  if (record == nullptr || !record->AcceptsWork()) {
     return Choice::NoOwner;
   }
   aPending.owner_ = range->owner_;
   aChosen = { record, &LoadOf(*record, *aPending.service_) };
-  return aChosen.load_->HasRoom(aNow) ? Choice::Found : Choice::NoCapacity;
+  return aChosen.load_->HasCapacity(aNow) ? Choice::Found : Choice::NoCapacity;
 }
 
-RequestDesk::Choice
-RequestDesk::ChooseAny(Instant aNow, const PendingRequest& aPending, ServerCandidate& aChosen)
+GatewayRouter::Choice
+GatewayRouter::ChooseAny(Instant aNow, const PendingRequest& aPending, ServerCandidate& aChosen)
 {
   const auto& servers = StateOf(aPending.service_->name_).servers_;
   const auto available = AvailableServers(aNow, servers, aPending.tried_);
@@ -332,10 +332,10 @@
 // The choice is random because instances that do not see each other's load would otherwise all
 // choose the same best server.
 void
-RequestDesk::DrawBetter(Instant aNow,
-                        const std::vector<ServerCandidate>& aServers,
-                        Duration aDefault,
-                        std::optional<ServerCandidate>& aChosen)
+GatewayRouter::DrawBetter(Instant aNow,
+                          const std::vector<ServerCandidate>& aServers,
+                          Duration aDefault,
+                          std::optional<ServerCandidate>& aChosen)
 {
   constexpr int kDraws = 2;
   if (aServers.empty()) {
@@ -351,11 +351,11 @@
 }
 
 double
-RequestDesk::CostOf(Instant aNow, const ServerCandidate& aCandidate, Duration aDefault) const
+GatewayRouter::CostOf(Instant aNow, const ServerCandidate& aCandidate, Duration aDefault) const
 {
   const auto& load = *aCandidate.load_;
   const auto latency = static_cast<double>(load.ExpectedLatency(aNow, aDefault).count());
-  const auto underWay = static_cast<double>(load.UnderWay() + 1);
+  const auto underWay = static_cast<double>(load.InFlight() + 1);
   const auto hall = aCandidate.record_->hall_ == settings_.hall_ ? 1.0 : kOtherHallCost;
   const auto connection =
     actions_.HasConnection(aCandidate.record_->address_) ? 1.0 : kNewConnectionCost;
--- a/Libraries/LibGateway/ServerDirectory.cpp
+++ b/Libraries/LibGateway/ServerDirectory.cpp
@@ -56,7 +56,7 @@
   aRecord.isHallDrained_ = drainedHalls_.contains(aRecord.hall_);
   const auto* known = FindAny(aRecord.id_);
   const bool isSameLife = known != nullptr && known->life_ == aRecord.life_;
-  aRecord.hasToldLeaving_ = isSameLife && known->hasToldLeaving_;
+  aRecord.hasAnnouncedLeaving_ = isSameLife && known->hasAnnouncedLeaving_;
   if (aRecord.IsLeaving()) {
     aRecord.leavingSince_ = isSameLife ? std::min(known->leavingSince_, aNow) : aNow;
   }
@@ -69,21 +69,21 @@
 }
 
 bool
-ServerDirectory::NoteLeaving(Instant aNow, const std::string& aId, std::uint64_t aLife)
+ServerDirectory::RecordLeaving(Instant aNow, const std::string& aId, std::uint64_t aLife)
 {
   const auto listed = records_.find(aId);
   const auto former = former_.find(aId);
   if (listed == records_.end()) {
     if (former != former_.end() && former->second.life_ == aLife) {
-      former->second.hasToldLeaving_ = true;
+      former->second.hasAnnouncedLeaving_ = true;
     }
     return false;
   }
   auto& record = listed->second;
-  if (record.life_ != aLife || record.hasToldLeaving_) {
+  if (record.life_ != aLife || record.hasAnnouncedLeaving_) {
     return false;
   }
-  record.hasToldLeaving_ = true;
+  record.hasAnnouncedLeaving_ = true;
   record.leavingSince_ = std::min(record.leavingSince_, aNow);
   return true;
 }
@@ -147,7 +147,7 @@
 }
 
 void
-ServerDirectory::OnStoreCameBack(Instant aNow)
+ServerDirectory::OnStoreRolledBack(Instant aNow)
 {
   cameBackAt_ = aNow;
 }
@@ -155,7 +155,7 @@
 Instant
 ServerDirectory::CopyUntil() const
 {
-  return cameBackAt_ == Instant::min() ? cameBackAt_ : cameBackAt_ + kReturnAfterOutage;
+  return cameBackAt_ == Instant::min() ? cameBackAt_ : cameBackAt_ + kReregistrationTime;
 }
 
 void
@@ -179,10 +179,10 @@
   // Without the store, the update came from another instance, which may have read the list before
   // the servers were back on it.
   if (isStoreLost_) {
-    return aNow + kReturnAfterOutage;
+    return aNow + kReregistrationTime;
   }
   const auto afterOutage =
-    regainedAt_ == Instant::min() ? regainedAt_ : regainedAt_ + kReturnAfterOutage;
+    regainedAt_ == Instant::min() ? regainedAt_ : regainedAt_ + kReregistrationTime;
   return std::max({ aNow + kRemovalPause, afterOutage, CopyUntil() });
 }
 
--- a/Libraries/LibGateway/ServerDirectory.h
+++ b/Libraries/LibGateway/ServerDirectory.h
@@ -14,7 +14,7 @@
 // Running servers write their records again within about two seconds after the store returns from
 // an outage or from an older copy (a guarantee of the platform), plus an allowance for the delay
 // to this instance. Operators repeat their writes within that time as well.
-inline constexpr Duration kReturnAfterOutage = milliseconds(2300);
+inline constexpr Duration kReregistrationTime = milliseconds(2300);
 
 // Registration of a backend server. Each start of a server is another incarnation without the
 // state of the previous one, usually with an id of its own; an address may pass to a server of
@@ -39,15 +39,15 @@
   bool isHallDrained_ = false;
   // An answer of this incarnation announced that it is shutting down, regardless of the record;
   // set by the directory.
-  bool hasToldLeaving_ = false;
+  bool hasAnnouncedLeaving_ = false;
   // Time since which it is known to be leaving; set by the directory.
   Instant leavingSince_ = Instant::max();
   // Distinguishes incarnations under one id, the later the higher; 0 if not reported.
   std::uint64_t life_ = 0;
 
-  bool IsLeaving() const { return isLeaving_ || hasToldLeaving_; }
+  bool IsLeaving() const { return isLeaving_ || hasAnnouncedLeaving_; }
   // Whether it may get new work.
-  bool TakesWork() const { return !IsLeaving() && !isHallDrained_; }
+  bool AcceptsWork() const { return !IsLeaving() && !isHallDrained_; }
   bool IsInSlowStart(Instant aNow) const { return aNow < slowStartUntil_; }
   bool operator==(const ServerRecord&) const = default;
 };
@@ -67,7 +67,7 @@
 
   // An answer of that server incarnation announced that it is shutting down. No record of the
   // same incarnation reverts this. Returns whether this changed a listed server.
-  bool NoteLeaving(Instant aNow, const std::string& aId, std::uint64_t aLife);
+  bool RecordLeaving(Instant aNow, const std::string& aId, std::uint64_t aLife);
 
   // Nothing may be sent to the servers of the hall until it is restored.
   void DrainHall(const std::string& aHall);
@@ -78,7 +78,7 @@
   // The store was restored from an older copy that lacks the last writes: that a server is
   // leaving or gone, or that a hall is drained. Changes that revert such a state are deferred
   // until its writers have had time to repeat it.
-  void OnStoreCameBack(Instant aNow);
+  void OnStoreRolledBack(Instant aNow);
 
   // The store became unreachable, or reachable again, for this instance.
   void OnStoreLost(Instant aNow);
--- a/Libraries/LibGateway/ServerHealth.h
+++ b/Libraries/LibGateway/ServerHealth.h
@@ -44,7 +44,7 @@
 
   bool IsSuspended(Instant aNow) const { return aNow < suspendedUntil_; }
   // Remaining suspension; zero if there is none.
-  Duration PauseLeft(Instant aNow) const
+  Duration RemainingDelay(Instant aNow) const
   {
     return IsSuspended(aNow) ? Duration(suspendedUntil_ - aNow) : Duration(0);
   }
--- a/Libraries/LibGateway/ServerLoad.cpp
+++ b/Libraries/LibGateway/ServerLoad.cpp
@@ -105,7 +105,7 @@
 }
 
 bool
-ServerLoad::BeginRest(Instant aNow, Duration aRest)
+ServerLoad::StartBackoff(Instant aNow, Duration aRest)
 {
   const bool isNew = aNow >= restUntil_;
   restUntil_ = std::max(restUntil_, aNow + aRest);
@@ -113,16 +113,17 @@
 }
 
 Duration
-ServerLoad::RestLeft(Instant aNow) const
+ServerLoad::RemainingBackoff(Instant aNow) const
 {
   return aNow < restUntil_ ? Duration(restUntil_ - aNow) : Duration(0);
 }
 
 Duration
-ServerLoad::PauseLeft(Instant aNow, std::size_t aAhead) const
+ServerLoad::RemainingDelay(Instant aNow, std::size_t aAhead) const
 {
-  return std::max(
-    { RestLeft(aNow), slowStart_.WaitLeft(aNow, aAhead), rateLimit_.WaitLeft(aNow, aAhead) });
+  return std::max({ RemainingBackoff(aNow),
+                    slowStart_.RemainingWait(aNow, aAhead),
+                    rateLimit_.RemainingWait(aNow, aAhead) });
 }
 
 void
@@ -133,9 +134,9 @@
 }
 
 bool
-ServerLoad::HasRoom(Instant aNow) const
+ServerLoad::HasCapacity(Instant aNow) const
 {
-  if (PauseLeft(aNow, 0) > Duration(0) || health_.IsSuspended(aNow)) {
+  if (RemainingDelay(aNow, 0) > Duration(0) || health_.IsSuspended(aNow)) {
     return false;
   }
   return underWay_.size() < Limit() && !IsOverdue(aNow);
@@ -159,7 +160,7 @@
 }
 
 Duration
-ServerLoad::ExpectedTurn(Instant aNow, std::size_t aAhead, Duration aLatency) const
+ServerLoad::ExpectedQueueTime(Instant aNow, std::size_t aAhead, Duration aLatency) const
 {
   // Requests in flight end one after the other, the oldest first.
   const auto interval = Scale(aLatency, 1 / std::max<double>(1, static_cast<double>(Limit())));
@@ -168,7 +169,8 @@
     const Duration past = aNow - underWay_.begin()->second.sentAt_;
     first = std::max(aLatency - past, Scale(interval, kOverduePart));
   }
-  return std::max(first, health_.PauseLeft(aNow)) + interval * static_cast<Duration::rep>(aAhead);
+  return std::max(first, health_.RemainingDelay(aNow)) +
+         interval * static_cast<Duration::rep>(aAhead);
 }
 
 ServerWork
--- a/Libraries/LibGateway/ServerLoad.h
+++ b/Libraries/LibGateway/ServerLoad.h
@@ -4,7 +4,7 @@
 #include "LibGateway/RateLimit.h"
 #include "LibGateway/ServerHealth.h"
 #include "LibGateway/ServerWork.h"
-#include "LibGateway/SlowStartShare.h"
+#include "LibGateway/SlowStartLimiter.h"
 
 #include <cstddef>
 #include <cstdint>
@@ -32,39 +32,39 @@
   void Suspend(Instant aNow, Duration aTime);
   // The server requested a backoff of aRest from this instance. Returns whether this starts a
   // backoff, rather than extending one that is in effect.
-  bool BeginRest(Instant aNow, Duration aRest);
+  bool StartBackoff(Instant aNow, Duration aRest);
   // Remaining backoff; zero if there is none.
-  Duration RestLeft(Instant aNow) const;
+  Duration RemainingBackoff(Instant aNow) const;
   void SetMostLimit(std::size_t aMostLimit);
   // Sets the server's current incarnation, 0 if not reported, and drops what was learned of an
   // earlier one.
   void SetLife(std::uint64_t aLife);
 
-  SlowStartShare& SlowStart() { return slowStart_; }
+  SlowStartLimiter& SlowStart() { return slowStart_; }
   // The rate limit that the server advertises.
   RateLimit& NamedLimit() { return rateLimit_; }
 
   // Time until one more request may be sent after aAhead others, by the backoff, the slow start
   // and the advertised rate limit. Zero if none of them delays it.
-  Duration PauseLeft(Instant aNow, std::size_t aAhead) const;
+  Duration RemainingDelay(Instant aNow, std::size_t aAhead) const;
   // Whether one more request may be sent now.
-  bool HasRoom(Instant aNow) const;
+  bool HasCapacity(Instant aNow) const;
   // Expected latency, longer while answers are overdue; aDefault before the first answer.
   Duration ExpectedLatency(Instant aNow, Duration aDefault) const;
   // Whether less than half of the limit is in flight, so that requests that can be answered in
   // time need not queue behind late ones. Half is the coarsest fraction that a limit of two can
   // represent.
-  bool HasSpareRoom() const { return 2 * static_cast<double>(underWay_.size()) < limit_; }
+  bool HasSpareCapacity() const { return 2 * static_cast<double>(underWay_.size()) < limit_; }
   // Expected time until the next request can be sent when aAhead others wait before it, given
   // aLatency for each answer.
-  Duration ExpectedTurn(Instant aNow, std::size_t aAhead, Duration aLatency) const;
+  Duration ExpectedQueueTime(Instant aNow, std::size_t aAhead, Duration aLatency) const;
   // Mean latency of answers; zero before the first answer.
   Duration MeanLatency() const { return mean_; }
   // Returns and resets the work that the server did.
   ServerWork TakeWork();
   // Moving average of the fraction of attempts that failed, 0 to 1.
   double FailureShare() const { return health_.FailureShare(); }
-  std::size_t UnderWay() const { return underWay_.size(); }
+  std::size_t InFlight() const { return underWay_.size(); }
   std::size_t Limit() const { return static_cast<std::size_t>(limit_); }
 
 private:
@@ -92,7 +92,7 @@
   double mostLimit_;
   Instant restUntil_ = Instant::min();
   std::uint64_t life_ = 0;
-  SlowStartShare slowStart_;
+  SlowStartLimiter slowStart_;
   RateLimit rateLimit_;
   Instant shrunkAt_ = Instant::min();
 };
--- a/Libraries/LibGateway/ServiceState.cpp
+++ b/Libraries/LibGateway/ServiceState.cpp
@@ -16,7 +16,7 @@
   Duration::rep count = 0;
   for (const auto& server : aServers) {
     const auto latency = server.load_->MeanLatency();
-    if (server.record_->TakesWork() && latency > Duration(0)) {
+    if (server.record_->AcceptsWork() && latency > Duration(0)) {
       sum += latency;
       ++count;
     }
--- a/Libraries/LibGateway/ServiceState.h
+++ b/Libraries/LibGateway/ServiceState.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "LibGateway/Messages.h"
-#include "LibGateway/QueuePlace.h"
+#include "LibGateway/QueuePosition.h"
 #include "LibGateway/RetryBudget.h"
 #include "LibGateway/ServerDirectory.h"
 #include "LibGateway/ServerLoad.h"
@@ -22,7 +22,7 @@
 // One instance's state of a service that it routes to.
 struct ServiceState
 {
-  explicit ServiceState(RetryBudgetTerms aTerms)
+  explicit ServiceState(RetryBudgetParameters aTerms)
     : budget_(aTerms)
   {
   }
@@ -30,7 +30,7 @@
   std::vector<ServerCandidate> servers_;
   RetryBudget budget_;
   // The requests that wait to be sent.
-  std::set<QueuePlace<RequestNumber>> queue_;
+  std::set<QueuePosition<RequestNumber>> queue_;
 };
 
 // Expected latency of a server that has not answered yet: the mean over the other servers.
--- a/Libraries/LibGateway/SlowStartShare.cpp
+++ b/Libraries/LibGateway/SlowStartLimiter.cpp
@@ -1,11 +1,11 @@
-#include "LibGateway/SlowStartShare.h"
+#include "LibGateway/SlowStartLimiter.h"
 
 #include <algorithm>
 
 namespace latchslip {
 
 void
-SlowStartShare::Begin(Instant aNow, Instant aUntil, double aRate, double aFirst)
+SlowStartLimiter::Begin(Instant aNow, Instant aUntil, double aRate, double aFirst)
 {
   bucket_.SetTerms(aNow, { aRate, 1, 0 });
   if (IsOver(aNow)) {
@@ -15,13 +15,13 @@
 }
 
 bool
-SlowStartShare::HasRoom(Instant aNow) const
+SlowStartLimiter::HasCapacity(Instant aNow) const
 {
   return IsOver(aNow) || bucket_.HasToken(aNow);
 }
 
 void
-SlowStartShare::OnSent(Instant aNow)
+SlowStartLimiter::OnSent(Instant aNow)
 {
   if (!IsOver(aNow)) {
     bucket_.Take(aNow);
@@ -29,7 +29,7 @@
 }
 
 Duration
-SlowStartShare::WaitLeft(Instant aNow, std::size_t aAhead) const
+SlowStartLimiter::RemainingWait(Instant aNow, std::size_t aAhead) const
 {
   return IsOver(aNow) ? Duration(0) : std::min(until_ - aNow, bucket_.WaitFor(aNow, aAhead + 1));
 }
--- a/Libraries/LibGateway/TokenBucket.cpp
+++ b/Libraries/LibGateway/TokenBucket.cpp
@@ -12,7 +12,7 @@
 } // namespace
 
 void
-TokenBucket::SetTerms(Instant aNow, TokenBucketTerms aTerms)
+TokenBucket::SetTerms(Instant aNow, TokenBucketParameters aTerms)
 {
   Fill(aNow, Tokens(aNow));
   terms_ = aTerms;
--- a/Libraries/LibGateway/TokenBucket.h
+++ b/Libraries/LibGateway/TokenBucket.h
@@ -7,7 +7,7 @@
 namespace latchslip {
 
 // Fill rate, capacity and overdraft of a token bucket.
-struct TokenBucketTerms
+struct TokenBucketParameters
 {
   // Tokens per second.
   double rate_ = 0;
@@ -22,7 +22,7 @@
 {
 public:
   // Changes the parameters from now on; keeps the accrued tokens.
-  void SetTerms(Instant aNow, TokenBucketTerms aTerms);
+  void SetTerms(Instant aNow, TokenBucketParameters aTerms);
   // Sets the number of tokens.
   void Fill(Instant aNow, double aTokens);
   bool HasToken(Instant aNow) const { return Tokens(aNow) >= 1; }
@@ -35,7 +35,7 @@
 private:
   double Tokens(Instant aNow) const;
 
-  TokenBucketTerms terms_;
+  TokenBucketParameters terms_;
   double tokens_ = 0;
   Instant countedAt_{ 0 };
 };
--- a/Libraries/LibLimit/GroupUse.h
+++ b/Libraries/LibLimit/GroupUsage.h
@@ -11,7 +11,7 @@
 namespace latchslip {
 
 // Usage of one group at one instance since its last report.
-struct GroupUse
+struct GroupUsage
 {
   std::string group_;
   // Requests that can be answered in time.
@@ -19,48 +19,48 @@
   // Requests that can no longer be answered in time, because they are retries after a refusal.
   std::uint32_t askedLate_ = 0;
   // Requests of both kinds that the instance admitted.
-  std::uint32_t passed_ = 0;
+  std::uint32_t admitted_ = 0;
 
-  bool operator==(const GroupUse&) const = default;
+  bool operator==(const GroupUsage&) const = default;
 };
 
 // The fraction of a group's requests that each instance admits for now, 0 to 1; 1 admits all.
-struct GroupPart
+struct AdmittedShare
 {
   std::string group_;
   // For requests that can be answered in time.
-  double part_ = 1;
+  double share_ = 1;
   // For late requests, which get the capacity that remains.
-  double latePart_ = 1;
+  double lateShare_ = 1;
 
-  bool operator==(const GroupPart&) const = default;
+  bool operator==(const AdmittedShare&) const = default;
 };
 
-using GroupUses = std::vector<GroupUse>;
-using GroupParts = std::vector<GroupPart>;
+using GroupUsages = std::vector<GroupUsage>;
+using AdmittedShares = std::vector<AdmittedShare>;
 
 // Usage report of one instance to the coordinator.
-struct UseReport
+struct UsageReport
 {
   // Address at which other instances reach the reporting one.
   // Encoding as JSON, which the instances exchange. Parsing fails for malformed text.
   std::string address_;
-  GroupUses uses_;
+  GroupUsages usages_;
 
-  bool operator==(const UseReport&) const = default;
+  bool operator==(const UsageReport&) const = default;
 };
 
 std::string
-SerializeUseReport(const UseReport& aReport);
-FieldResult<UseReport>
-ParseUseReport(std::string_view aText);
+SerializeUsageReport(const UsageReport& aReport);
+FieldResult<UsageReport>
+ParseUsageReport(std::string_view aText);
 
 std::string
-SerializeParts(const GroupParts& aParts);
-FieldResult<GroupParts>
-ParseParts(std::string_view aText);
+SerializeAdmittedShares(const AdmittedShares& aParts);
+FieldResult<AdmittedShares>
+ParseAdmittedShares(std::string_view aText);
 
 // Lifetime of an admitted share that is not renewed.
-inline constexpr Duration kPartBound = milliseconds(1500);
+inline constexpr Duration kAdmittedShareLifetime = milliseconds(1500);
 
 } // namespace latchslip
--- a/Libraries/LibLimit/LimitKeeper.cpp
+++ b/Libraries/LibLimit/LimitCoordinator.cpp
@@ -1,4 +1,4 @@
-#include "LibLimit/LimitKeeper.h"
+#include "LibLimit/LimitCoordinator.h"
 
 #include <algorithm>
 #include <cmath>
@@ -14,7 +14,7 @@
 constexpr Duration kShortInterval = milliseconds(250);
 constexpr Duration kCountInterval = milliseconds(250);
 // An instance without contact for this long admits an equal share of the limits.
-constexpr Duration kHeardBound = kPartBound;
+constexpr Duration kHeardBound = kAdmittedShareLifetime;
 // It may do so for this long, which exceeds the partitions for which limits must hold; after that
 // the instance counts as gone.
 constexpr Duration kCutOffBound = seconds(15);
@@ -22,7 +22,7 @@
 } // namespace
 
 void
-LimitKeeper::SetGroups(Instant aNow, const std::vector<CallerGroup>& aGroups)
+LimitCoordinator::SetGroups(Instant aNow, const std::vector<CallerGroup>& aGroups)
 {
   std::map<std::string, Tally, std::less<>> tallies;
   for (const auto& group : aGroups) {
@@ -44,19 +44,19 @@
 }
 
 const CallerGroup&
-LimitKeeper::TermsOf(Instant aNow, const Tally& aTally)
+LimitCoordinator::TermsOf(Instant aNow, const Tally& aTally)
 {
   return aNow < aTally.formerUntil_ ? aTally.former_ : aTally.group_;
 }
 
 double
-LimitKeeper::RateOf(Instant aNow, const Tally& aTally) const
+LimitCoordinator::RateOf(Instant aNow, const Tally& aTally) const
 {
   return TermsOf(aNow, aTally).rate_ * heardPart_;
 }
 
 void
-LimitKeeper::Advance(Instant aNow, Tally& aTally) const
+LimitCoordinator::Advance(Instant aNow, Tally& aTally) const
 {
   if (aTally.at_ != Instant::min()) {
     const auto passed = ToSeconds(aNow - aTally.at_);
@@ -70,7 +70,7 @@
 }
 
 void
-LimitKeeper::OnUses(Instant aNow, const GroupUses& aUses)
+LimitCoordinator::OnUsage(Instant aNow, const GroupUsages& aUses)
 {
   for (const auto& use : aUses) {
     const auto tally = tallies_.find(use.group_);
@@ -78,7 +78,7 @@
       continue;
     }
     Advance(aNow, tally->second);
-    tally->second.level_ -= use.passed_;
+    tally->second.level_ -= use.admitted_;
     tally->second.asked_ += use.asked_;
     tally->second.askedLate_ += use.askedLate_;
   }
@@ -86,28 +86,28 @@
 
 // Requests that can be answered in time take precedence: a refused caller that retries would
 // otherwise take the place of one that can be served in time.
-GroupPart
-LimitKeeper::PartOf(Instant aNow, Tally& aTally)
+AdmittedShare
+LimitCoordinator::PartOf(Instant aNow, Tally& aTally)
 {
   Advance(aNow, aTally);
   const auto asked = aTally.asked_ / kSpanS;
   const auto askedLate = aTally.askedLate_ / kSpanS;
   const auto allowed = std::max(0.0, RateOf(aNow, aTally) + aTally.level_ / kSpanS);
-  GroupPart part{ aTally.group_.name_, 1, 1 };
+  AdmittedShare part{ aTally.group_.name_, 1, 1 };
   if (asked > allowed) {
-    part.part_ = allowed / asked;
-    part.latePart_ = 0;
+    part.share_ = allowed / asked;
+    part.lateShare_ = 0;
   } else if (askedLate > allowed - asked) {
-    part.latePart_ = (allowed - asked) / askedLate;
+    part.lateShare_ = (allowed - asked) / askedLate;
   }
   return part;
 }
 
-GroupParts
-LimitKeeper::PartsOf(Instant aNow, const GroupUses& aUses)
+AdmittedShares
+LimitCoordinator::AdmittedSharesOf(Instant aNow, const GroupUsages& aUses)
 {
   CountHeard(aNow);
-  GroupParts parts;
+  AdmittedShares parts;
   for (const auto& use : aUses) {
     if (const auto tally = tallies_.find(use.group_); tally != tallies_.end()) {
       parts.push_back(PartOf(aNow, tally->second));
@@ -116,10 +116,10 @@
   return parts;
 }
 
-GroupParts
-LimitKeeper::TakeShort(Instant aNow)
+AdmittedShares
+LimitCoordinator::TakeRestrictedShares(Instant aNow)
 {
-  GroupParts parts;
+  AdmittedShares parts;
   if (aNow < nextShort_) {
     return parts;
   }
@@ -127,7 +127,7 @@
   CountHeard(aNow);
   for (auto& [name, tally] : tallies_) {
     auto part = PartOf(aNow, tally);
-    const bool isShort = part.part_ < 1 || part.latePart_ < 1;
+    const bool isShort = part.share_ < 1 || part.lateShare_ < 1;
     if (isShort || tally.isShort_) {
       parts.push_back(std::move(part));
     }
@@ -137,7 +137,7 @@
 }
 
 void
-LimitKeeper::CountHeard(Instant aNow)
+LimitCoordinator::CountHeard(Instant aNow)
 {
   if (aNow < nextCount_) {
     return;
--- a/Libraries/LibLimit/LimitKeeper.h
+++ b/Libraries/LibLimit/LimitCoordinator.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "LibGateway/CallerGroup.h"
-#include "LibLimit/GroupUse.h"
+#include "LibLimit/GroupUsage.h"
 
 #include <map>
 #include <string>
@@ -13,12 +13,12 @@
 // each limited group, and computes the fraction of its requests that each instance may admit, so
 // that all together keep the limit. The fraction is the same on all instances, so the coordinator
 // need not know how the balancer distributes callers, which is uneven. Does no I/O.
-class LimitKeeper
+class LimitCoordinator
 {
 public:
   // A lowered limit takes effect aWindow after its configuration, so that callers can adapt to
   // it.
-  explicit LimitKeeper(Duration aWindow)
+  explicit LimitCoordinator(Duration aWindow)
     : window_(aWindow)
   {
   }
@@ -26,15 +26,15 @@
   // Applies the configured groups; keeps the counters of those that remain.
   void SetGroups(Instant aNow, const std::vector<CallerGroup>& aGroups);
   // Processes the usage that an instance reported.
-  void OnUses(Instant aNow, const GroupUses& aUses);
+  void OnUsage(Instant aNow, const GroupUsages& aUses);
   // Notes contact with an instance, with or without reported usage.
-  void OnHeard(Instant aNow, const std::string& aAddress) { heard_[aAddress] = aNow; }
+  void OnInstanceContact(Instant aNow, const std::string& aAddress) { heard_[aAddress] = aNow; }
 
   // The admitted shares of the groups in aUses.
-  GroupParts PartsOf(Instant aNow, const GroupUses& aUses);
+  AdmittedShares AdmittedSharesOf(Instant aNow, const GroupUsages& aUses);
   // The admitted shares to send to all instances now: of the groups above their limits, and of
   // those that have just ceased to be. Empty if the last ones were sent too recently.
-  GroupParts TakeShort(Instant aNow);
+  AdmittedShares TakeRestrictedShares(Instant aNow);
 
 private:
   struct Tally
@@ -57,7 +57,7 @@
   double RateOf(Instant aNow, const Tally& aTally) const;
   // Refills the tokens and decays the counts up to aNow.
   void Advance(Instant aNow, Tally& aTally) const;
-  GroupPart PartOf(Instant aNow, Tally& aTally);
+  AdmittedShare PartOf(Instant aNow, Tally& aTally);
   // Updates the fraction of recently known instances that are reachable now. The others may be
   // partitioned, and each admits an equal share of the limits.
   void CountHeard(Instant aNow);
--- a/Libraries/LibLimit/LimitMember.cpp
+++ b/Libraries/LibLimit/LimitEnforcer.cpp
@@ -1,4 +1,4 @@
-#include "LibLimit/LimitMember.h"
+#include "LibLimit/LimitEnforcer.h"
 
 #include <algorithm>
 #include <utility>
@@ -21,13 +21,13 @@
 } // namespace
 
 bool
-LimitMember::IsKeeperHeard(Instant aNow) const
+LimitEnforcer::IsKeeperHeard(Instant aNow) const
 {
-  return keeperHeardAt_ != Instant::min() && aNow - keeperHeardAt_ < kPartBound;
+  return keeperHeardAt_ != Instant::min() && aNow - keeperHeardAt_ < kAdmittedShareLifetime;
 }
 
 bool
-LimitMember::TryPass(Instant aNow, const CallerGroup& aGroup, bool aIsLate)
+LimitEnforcer::TryAdmit(Instant aNow, const CallerGroup& aGroup, bool aIsLate)
 {
   if (!aGroup.IsLimited()) {
     return true;
@@ -36,10 +36,10 @@
   ++(aIsLate ? meter.use_.askedLate_ : meter.use_.asked_);
   hasUses_ = true;
   bool passes = false;
-  const bool isShort = meter.part_.part_ < 1 || meter.part_.latePart_ < 1;
+  const bool isShort = meter.share_.share_ < 1 || meter.share_.lateShare_ < 1;
   if (aNow < meter.partUntil_ && isShort) {
-    passes = aIsLate ? TryTakePart(meter.part_.latePart_, meter.lateCredit_)
-                     : TryTakePart(meter.part_.part_, meter.credit_);
+    passes = aIsLate ? TryTakePart(meter.share_.lateShare_, meter.lateCredit_)
+                     : TryTakePart(meter.share_.share_, meter.credit_);
   } else if (IsKeeperHeard(aNow) && !isShort) {
     // No single instance admits more than all may together.
     passes = TryTakeToken(aNow, meter, aGroup.rate_, aGroup.burst_, false);
@@ -47,12 +47,12 @@
     const auto share = 1.0 / static_cast<double>(instances_ == 0 ? kUnknownInstances : instances_);
     passes = TryTakeToken(aNow, meter, aGroup.rate_ * share, aGroup.burst_ * share, true);
   }
-  meter.use_.passed_ += passes ? 1 : 0;
+  meter.use_.admitted_ += passes ? 1 : 0;
   return passes;
 }
 
 bool
-LimitMember::TryTakePart(double aPart, double& aCredit)
+LimitEnforcer::TryTakePart(double aPart, double& aCredit)
 {
   aCredit = std::min(kMostCredit, aCredit + aPart);
   if (aCredit < 1) {
@@ -63,7 +63,7 @@
 }
 
 bool
-LimitMember::TryTakeToken(Instant aNow, Meter& aMeter, double aRate, double aBurst, bool aIsAlone)
+LimitEnforcer::TryTakeToken(Instant aNow, Meter& aMeter, double aRate, double aBurst, bool aIsAlone)
 {
   const auto most = std::max(1.0, aBurst);
   if (aMeter.filledAt_ == Instant::min()) {
@@ -85,7 +85,7 @@
 }
 
 bool
-LimitMember::IsTellDue(Instant aNow) const
+LimitEnforcer::IsReportDue(Instant aNow) const
 {
   if (!hasUses_) {
     return false;
@@ -95,12 +95,12 @@
   return toldAt_ == Instant::min() || aNow - toldAt_ >= interval;
 }
 
-GroupUses
-LimitMember::TakeUses(Instant aNow)
+GroupUsages
+LimitEnforcer::TakeUsage(Instant aNow)
 {
   toldAt_ = aNow;
   hasUses_ = false;
-  GroupUses uses;
+  GroupUsages uses;
   for (auto& [name, meter] : meters_) {
     if (meter.use_.asked_ + meter.use_.askedLate_ > 0) {
       meter.use_.group_ = name;
@@ -111,12 +111,12 @@
 }
 
 void
-LimitMember::OnParts(Instant aNow, const GroupParts& aParts)
+LimitEnforcer::OnAdmittedShares(Instant aNow, const AdmittedShares& aParts)
 {
   for (const auto& part : aParts) {
     auto& meter = meters_[part.group_];
-    meter.part_ = part;
-    meter.partUntil_ = aNow + kPartBound;
+    meter.share_ = part;
+    meter.partUntil_ = aNow + kAdmittedShareLifetime;
   }
 }
 
--- a/Libraries/LibLimit/LimitMember.h
+++ b/Libraries/LibLimit/LimitEnforcer.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "LibGateway/GroupGate.h"
-#include "LibLimit/GroupUse.h"
+#include "LibGateway/GroupAdmission.h"
+#include "LibLimit/GroupUsage.h"
 
 #include <map>
 #include <string>
@@ -12,34 +12,34 @@
 // counts the requests of all instances, and admits the share that the coordinator returns. While
 // the coordinator is unreachable it admits an equal share of the limit for each instance. Does no
 // I/O.
-class LimitMember : public GroupGate
+class LimitEnforcer : public GroupAdmission
 {
 public:
-  bool TryPass(Instant aNow, const CallerGroup& aGroup, bool aIsLate) override;
+  bool TryAdmit(Instant aNow, const CallerGroup& aGroup, bool aIsLate) override;
 
   // Whether there is usage to report and the report interval has passed.
-  bool IsTellDue(Instant aNow) const;
+  bool IsReportDue(Instant aNow) const;
   // Returns and resets the usage since the last call.
-  GroupUses TakeUses(Instant aNow);
+  GroupUsages TakeUsage(Instant aNow);
 
   // Notes contact with the coordinator: groups without an admitted share from it are below their
   // limits.
-  void OnKeeperHeard(Instant aNow) { keeperHeardAt_ = aNow; }
+  void OnCoordinatorContact(Instant aNow) { keeperHeardAt_ = aNow; }
   // Applies admitted shares from the coordinator.
-  void OnParts(Instant aNow, const GroupParts& aParts);
+  void OnAdmittedShares(Instant aNow, const AdmittedShares& aParts);
   // Number of instances in the fleet.
   void SetInstances(std::size_t aInstances) { instances_ = aInstances; }
 
 private:
   struct Meter
   {
-    GroupUse use_;
+    GroupUsage use_;
     // Tokens left, by the rate that holds at this instance.
     double tokens_ = 0;
     Instant filledAt_ = Instant::min();
     // Whether that rate is the equal share of an instance whose coordinator is unreachable.
     bool isAlone_ = false;
-    GroupPart part_;
+    AdmittedShare share_;
     Instant partUntil_ = Instant::min();
     // Credit that the admitted share has accrued towards the next request. It begins with half a
     // request, so that the sum over many instances is rounded neither up nor down.
--- a/Libraries/LibNet/HttpClient.cpp
+++ b/Libraries/LibNet/HttpClient.cpp
@@ -20,7 +20,7 @@
 public:
   BeastHttpClient(asio::io_context& aContext, std::size_t aMostConnections)
     : context_(aContext)
-    , mostConnections_(aMostConnections)
+    , maxConnections_(aMostConnections)
   {
   }
 
@@ -50,7 +50,7 @@
       pool = std::make_shared<HttpPool>();
     }
     auto connection = TakeIdle(*pool);
-    if (!connection && pool->open_ >= mostConnections_) {
+    if (!connection && pool->open_ >= maxConnections_) {
       Fail(id, std::move(aCallback), "no connection is free");
       return id;
     }
@@ -130,7 +130,7 @@
   }
 
   asio::io_context& context_;
-  std::size_t mostConnections_;
+  std::size_t maxConnections_;
   std::map<std::string, std::shared_ptr<HttpPool>> pools_;
   std::unordered_map<ExchangeId, std::weak_ptr<HttpConnection>> running_;
   ExchangeId lastId_ = 0;
--- a/Libraries/LibNet/PermitCodec.cpp
+++ b/Libraries/LibNet/PermitCodec.cpp
@@ -53,7 +53,7 @@
   out.setNumber(aEnd.number_);
   out.setResult(static_cast<std::uint8_t>(aEnd.result_));
   out.setLatencyMicros(aEnd.latency_.count());
-  out.setRestMicros(aEnd.rest_.count());
+  out.setRestMicros(aEnd.backoff_.count());
   out.setIsLeaving(aEnd.leavingLife_.has_value());
   out.setLife(aEnd.leavingLife_.value_or(0));
   out.setHasRateLimit(aEnd.rateLimit_.has_value());
@@ -63,7 +63,7 @@
     out.setRunning(aEnd.status_->running_);
     out.setWaiting(aEnd.status_->waiting_);
     out.setSlots(aEnd.status_->slots_);
-    out.setPace(aEnd.status_->pace_);
+    out.setPace(aEnd.status_->slowdown_);
   }
 }
 
@@ -138,7 +138,7 @@
   end.number_ = aIn.getNumber();
   end.result_ = static_cast<SendResult>(aIn.getResult());
   end.latency_ = Duration(aIn.getLatencyMicros());
-  end.rest_ = Duration(aIn.getRestMicros());
+  end.backoff_ = Duration(aIn.getRestMicros());
   if (aIn.getIsLeaving()) {
     end.leavingLife_ = aIn.getLife();
   }
--- a/Libraries/LibPermit/DispatchedServer.cpp
+++ b/Libraries/LibPermit/DispatchedServer.cpp
@@ -36,7 +36,7 @@
   life_ = aRecord.life_;
   hall_ = aRecord.hall_;
   slots_ = std::max(1U, aRecord.slots_);
-  takesWork_ = aRecord.TakesWork();
+  takesWork_ = aRecord.AcceptsWork();
   slowStartUntil_ = aRecord.slowStartUntil_;
   slowStartRate_ = aSlowStartRate;
 }
@@ -50,7 +50,7 @@
   answered_.clear();
   rests_.clear();
   work_ = Duration(0);
-  pace_ = 1;
+  slowdown_ = 1;
   others_ = 0;
   toldAt_ = Instant::min();
 }
@@ -84,11 +84,11 @@
   if (aEnd.result_ == SendResult::Answered) {
     NoteAnswer(aNow, aCaller);
   }
-  if (aEnd.rest_ > Duration(0)) {
-    BeginRest(aNow, aCaller, aEnd.rest_);
+  if (aEnd.backoff_ > Duration(0)) {
+    StartBackoff(aNow, aCaller, aEnd.backoff_);
   }
   if (aEnd.rateLimit_) {
-    rateLimit_.OnTold(aNow, aSentAt, *aEnd.rateLimit_, 1);
+    rateLimit_.OnAdvertised(aNow, aSentAt, *aEnd.rateLimit_, 1);
   }
   Learn(aNow, aFound, aEnd);
 }
@@ -104,7 +104,7 @@
 }
 
 void
-DispatchedServer::BeginRest(Instant aNow, CallerId aCaller, Duration aRest)
+DispatchedServer::StartBackoff(Instant aNow, CallerId aCaller, Duration aRest)
 {
   std::erase_if(rests_, [&](const auto& aEntry) { return aEntry.second <= aNow; });
   auto& until = rests_.try_emplace(aCaller, Instant::min()).first->second;
@@ -131,13 +131,13 @@
   if (aEnd.status_) {
     const std::size_t told = aEnd.status_->running_ + aEnd.status_->waiting_;
     others_ = told > sent_.size() ? told - sent_.size() : 0;
-    pace_ = aEnd.status_->pace_;
+    slowdown_ = aEnd.status_->slowdown_;
     toldAt_ = aNow;
   }
   if (aEnd.result_ != SendResult::Answered) {
     return;
   }
-  const double pace = aEnd.status_ ? aEnd.status_->pace_ : 1;
+  const double pace = aEnd.status_ ? aEnd.status_->slowdown_ : 1;
   const auto work = Scale(aEnd.latency_, 1 / ((1 + WaitsBehind(aFound)) * pace));
   work_ = Blend(work_, work, kWorkWeight);
 }
@@ -163,7 +163,7 @@
   if (toldAt_ == Instant::min()) {
     return 1;
   }
-  return 1 + (pace_ - 1) * std::exp(-ToSeconds(aNow - toldAt_) / ToSeconds(kToldTime));
+  return 1 + (slowdown_ - 1) * std::exp(-ToSeconds(aNow - toldAt_) / ToSeconds(kToldTime));
 }
 
 bool
@@ -179,10 +179,10 @@
 }
 
 bool
-DispatchedServer::HasRoom(Instant aNow, Duration aUsual) const
+DispatchedServer::HasCapacity(Instant aNow, Duration aUsual) const
 {
   if (!takesWork_ || health_.IsSuspended(aNow) || Load(aNow) >= slots_ + kReadyAhead ||
-      !MayStart(aNow) || !rateLimit_.HasRoom(aNow)) {
+      !MayStart(aNow) || !rateLimit_.HasCapacity(aNow)) {
     return false;
   }
   return sent_.empty() || !health_.IsOverdue(aNow, *sent_.begin(), WorkTime(aNow, aUsual));
@@ -203,14 +203,14 @@
 }
 
 Duration
-DispatchedServer::ExpectedTurn(Instant aNow, std::size_t aAhead, Duration aUsual) const
+DispatchedServer::ExpectedQueueTime(Instant aNow, std::size_t aAhead, Duration aUsual) const
 {
   const auto work = WorkTime(aNow, aUsual);
   const auto interval = Scale(work, 1 / static_cast<double>(slots_));
   const auto first = sent_.empty() ? Duration(0) : interval;
-  auto turn = std::max(first, health_.PauseLeft(aNow));
+  auto turn = std::max(first, health_.RemainingDelay(aNow));
   turn += interval * static_cast<Duration::rep>(aAhead);
-  turn = std::max(turn, rateLimit_.WaitLeft(aNow, aAhead));
+  turn = std::max(turn, rateLimit_.RemainingWait(aNow, aAhead));
   if (MayStart(aNow)) {
     return turn;
   }
--- a/Libraries/LibPermit/DispatchedServer.h
+++ b/Libraries/LibPermit/DispatchedServer.h
@@ -33,7 +33,7 @@
                const SendEnd& aEnd);
   // Whether it may get one more request; aUsual is the work time to count with when none
   // is known.
-  bool HasRoom(Instant aNow, Duration aUsual) const;
+  bool HasCapacity(Instant aNow, Duration aUsual) const;
   // Whether it wants nothing from that instance at the moment.
   bool IsResting(Instant aNow, CallerId aCaller) const;
   // Whether a request would find a free slot.
@@ -41,7 +41,7 @@
   // How long one more request would take there, its wait for a slot included.
   Duration ExpectedLatency(Instant aNow, Duration aUsual) const;
   // How long until it can get one more request when aAhead others wait for it.
-  Duration ExpectedTurn(Instant aNow, std::size_t aAhead, Duration aUsual) const;
+  Duration ExpectedQueueTime(Instant aNow, std::size_t aAhead, Duration aUsual) const;
   // How long work takes there at the moment.
   Duration WorkTime(Instant aNow, Duration aUsual) const;
   // Requests a second that it can do at the moment.
@@ -49,7 +49,7 @@
 
   const std::string& Hall() const { return hall_; }
   double FailureShare() const { return health_.FailureShare(); }
-  std::size_t UnderWay() const { return sent_.size(); }
+  std::size_t InFlight() const { return sent_.size(); }
   // Work time at its usual pace; zero when it is not known.
   Duration UsualWorkTime() const { return work_; }
   // Whether that instance most likely has an open connection to it.
@@ -67,7 +67,7 @@
   double WaitsBehind(std::size_t aFound) const;
   double Pace(Instant aNow) const;
   void NoteAnswer(Instant aNow, CallerId aCaller);
-  void BeginRest(Instant aNow, CallerId aCaller, Duration aRest);
+  void StartBackoff(Instant aNow, CallerId aCaller, Duration aRest);
   void Learn(Instant aNow, std::size_t aFound, const SendEnd& aEnd);
 
   std::string hall_;
@@ -88,7 +88,7 @@
   // Until when it wants nothing from an instance, of those from which it does.
   std::map<CallerId, Instant> rests_;
   Duration work_{ 0 };
-  double pace_ = 1;
+  double slowdown_ = 1;
   std::size_t others_ = 0;
   Instant toldAt_ = Instant::min();
 };
--- a/Libraries/LibPermit/PermitClient.cpp
+++ b/Libraries/LibPermit/PermitClient.cpp
@@ -221,7 +221,7 @@
 }
 
 void
-PermitClient::Ask(Instant aNow, const PermitAsk& aAsk)
+PermitClient::RequestPermit(Instant aNow, const PermitAsk& aAsk)
 {
   asks_[aAsk.number_] = { aAsk.service_, aNow + aAsk.timeLeft_ };
   TellDispatcherOf(aAsk.service_, aAsk);
@@ -237,7 +237,7 @@
 }
 
 void
-PermitClient::OnUnanswered(Instant aNow, const std::string& aService)
+PermitClient::OnPermitTimeout(Instant aNow, const std::string& aService)
 {
   const auto dispatcher = dispatchers_.find(aService);
   if (dispatcher != dispatchers_.end() && IsUp(dispatcher->second)) {
--- a/Libraries/LibPermit/PermitClient.h
+++ b/Libraries/LibPermit/PermitClient.h
@@ -57,9 +57,9 @@
   void OnTime(Instant aNow);
 
   bool CanAsk(const std::string& aService) const override;
-  void Ask(Instant aNow, const PermitAsk& aAsk) override;
+  void RequestPermit(Instant aNow, const PermitAsk& aAsk) override;
   void Withdraw(AttemptNumber aNumber) override;
-  void OnUnanswered(Instant aNow, const std::string& aService) override;
+  void OnPermitTimeout(Instant aNow, const std::string& aService) override;
   void TellSend(Instant aNow, const SendNotice& aNotice) override;
   void TellEnd(const SendEnd& aEnd) override;
 
--- a/Libraries/LibPermit/PermitDispatcher.cpp
+++ b/Libraries/LibPermit/PermitDispatcher.cpp
@@ -162,7 +162,7 @@
   if (server == aService.servers_.end()) {
     return;
   }
-  aSend.found_ = server->second.UnderWay();
+  aSend.found_ = server->second.InFlight();
   server->second.OnSent(aSend.sentAt_);
   permits_.emplace(aKey, std::move(aSend));
 }
@@ -179,7 +179,7 @@
   const auto send = std::move(permit->second);
   permits_.erase(permit);
   if (aEnd.leavingLife_) {
-    actions_.NoteLeaving(send.server_, *aEnd.leavingLife_);
+    actions_.RecordLeaving(send.server_, *aEnd.leavingLife_);
   }
   auto& service = services_.at(send.service_);
   if (const auto server = service.servers_.find(send.server_); server != service.servers_.end()) {
@@ -242,7 +242,7 @@
 {
   const auto usual = aService.UsualWork();
   const auto isFit = [&](const DispatchedServer& aServer) {
-    return aServer.HasRoom(aNow, usual) && !aServer.IsResting(aNow, aCaller) &&
+    return aServer.HasCapacity(aNow, usual) && !aServer.IsResting(aNow, aCaller) &&
            (!aIsLate || aServer.HasFreeSlot(aNow));
   };
   if (!aAsk.server_.empty()) {
@@ -310,7 +310,7 @@
   if (!aAsk.server_.empty()) {
     const auto server = aService.servers_.find(aAsk.server_);
     return server == aService.servers_.end() ? LatePatience::kLeast
-                                             : server->second.ExpectedTurn(aNow, ahead, usual);
+                                             : server->second.ExpectedQueueTime(aNow, ahead, usual);
   }
   double throughput = 0;
   for (const auto& [id, server] : aService.servers_) {
--- a/Libraries/LibPermit/PermitDispatcher.h
+++ b/Libraries/LibPermit/PermitDispatcher.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "LibGateway/QueuePlace.h"
+#include "LibGateway/QueuePosition.h"
 #include "LibGateway/RoutingTable.h"
 #include "LibPermit/DispatchedServer.h"
 #include "LibPermit/LatePatience.h"
@@ -22,7 +22,7 @@
 
   virtual void Answer(CallerId aCaller, const MessageFromDispatcher& aMessage) = 0;
   // An instance heard from that life of a server that it is about to end.
-  virtual void NoteLeaving(const std::string& aServer, std::uint64_t aLife) = 0;
+  virtual void RecordLeaving(const std::string& aServer, std::uint64_t aLife) = 0;
 };
 
 // Gives permits for sends to the servers of services. It sees all sends to them, so that it
@@ -47,7 +47,7 @@
   std::optional<Instant> NextTime() const;
 
   std::size_t Waiting() const { return waiting_.size(); }
-  std::size_t UnderWay() const { return permits_.size(); }
+  std::size_t InFlight() const { return permits_.size(); }
 
 private:
   using PermitKey = std::pair<CallerId, AttemptNumber>;
@@ -64,7 +64,7 @@
     Instant overAt_{ 0 };
   };
 
-  using Place = QueuePlace<PermitKey>;
+  using Place = QueuePosition<PermitKey>;
 
   // An ask that waits.
   struct WaitingAsk
--- a/Tests/LibDaemon/TestLineLog.cpp
+++ b/Tests/LibDaemon/TestLineLog.cpp
@@ -95,7 +95,7 @@
   metrics.OnAnswer(200, milliseconds(30));
   metrics.OnAnswer(200, milliseconds(90));
   metrics.OnAnswer(503, milliseconds(1));
-  RequestTally tally;
+  RequestStatistics tally;
   tally.OnAnswer("a.example/rates/", 200, milliseconds(30));
   tally.OnRefusal("a.example/rates/", RefusalReason::NoOwner, milliseconds(60));
   tally.OnAttempt("s1", AttemptEnd::WrongServer);
--- a/Tests/LibFleet/FleetMemberFixture.h
+++ b/Tests/LibFleet/FleetMemberFixture.h
@@ -84,9 +84,9 @@
     fetches_.push_back(aAddress);
   }
   void ReadConfigurationVersion() override { ++configurationReads_; }
-  void SendUses(const std::string& aAddress, const UseReport& aReport) override
+  void SendUses(const std::string& aAddress, const UsageReport& aReport) override
   {
-    uses_.emplace_back(aAddress, aReport);
+    usages_.emplace_back(aAddress, aReport);
   }
   void OnApiKeysProven(Instant aUntil) override { apiKeysUntil_ = aUntil; }
   void OnRoutes(std::shared_ptr<const RouteTable> aRoutes) override
@@ -113,7 +113,7 @@
   std::vector<std::pair<std::string, FleetNews>> news_;
   std::vector<std::string> fetches_;
   int configurationReads_ = 0;
-  std::vector<std::pair<std::string, UseReport>> uses_;
+  std::vector<std::pair<std::string, UsageReport>> usages_;
   std::optional<Instant> apiKeysUntil_;
   std::vector<std::uint64_t> versions_;
   int directoryChanges_ = 0;
--- a/Tests/LibFleet/TestConfigurationProof.cpp
+++ b/Tests/LibFleet/TestConfigurationProof.cpp
@@ -318,7 +318,7 @@
   Pass(milliseconds(50));
   member_.OnConfigurationRead(now_, now_, copied);
   EXPECT_FALSE(member_.IsServing(now_));
-  Pass(kReturnAfterOutage);
+  Pass(kReregistrationTime);
   member_.OnConfigurationRead(now_, now_, copied);
   EXPECT_TRUE(member_.IsServing(now_));
 }
@@ -338,11 +338,11 @@
   ShowTables();
   ShowPlacer();
   Pass(milliseconds(100));
-  EXPECT_TRUE(member_.Gate().TryPass(now_, { "g", {}, 0, 10, 10 }, false));
+  EXPECT_TRUE(member_.Gate().TryAdmit(now_, { "g", {}, 0, 10, 10 }, false));
   Pass(milliseconds(300));
-  ASSERT_EQ(fleet_.uses_.size(), 1U);
-  EXPECT_EQ(fleet_.uses_[0].first, kOther);
-  EXPECT_EQ(fleet_.uses_[0].second, (UseReport{ kSelf, { { "g", 1, 0, 1 } } }));
+  ASSERT_EQ(fleet_.usages_.size(), 1U);
+  EXPECT_EQ(fleet_.usages_[0].first, kOther);
+  EXPECT_EQ(fleet_.usages_[0].second, (UsageReport{ kSelf, { { "g", 1, 0, 1 } } }));
 }
 
 TEST_F(MemberWithApiKeys, PlacerSaysAGroupHasHadItsLimit_NoneOfItIsLetThrough)
@@ -352,14 +352,14 @@
   FleetNews news;
   news.parts_ = { { "g", 0, 0 } };
   member_.OnNews(now_, news);
-  EXPECT_FALSE(member_.Gate().TryPass(now_, { "g", {}, 0, 10, 10 }, false));
+  EXPECT_FALSE(member_.Gate().TryAdmit(now_, { "g", {}, 0, 10, 10 }, false));
 }
 
 TEST_F(MemberWithApiKeys, IsNotThePlacer_CountsForNobody)
 {
   ShowTables();
   ShowPlacer();
-  EXPECT_FALSE(member_.OnUses(now_, { kOther, { { "g", 1, 0, 1 } } }));
+  EXPECT_FALSE(member_.OnUsage(now_, { kOther, { { "g", 1, 0, 1 } } }));
 }
 
 TEST(FleetNews, WithProofAndParts_WrittenAndReadIsTheSame)
--- a/Tests/LibFleet/TestFleetMember.cpp
+++ b/Tests/LibFleet/TestFleetMember.cpp
@@ -578,10 +578,10 @@
 {
   ShowTables();
   Show(FleetTable::Configuration, 8, { { "config", 5, "1" }, { "drain/hall", 8, "" } });
-  EXPECT_FALSE(member_.Directory().Find("s1")->TakesWork());
+  EXPECT_FALSE(member_.Directory().Find("s1")->AcceptsWork());
   const auto changes = fleet_.directoryChanges_;
   Show(FleetTable::Configuration, 9, { { "config", 5, "1" } });
-  EXPECT_TRUE(member_.Directory().Find("s1")->TakesWork());
+  EXPECT_TRUE(member_.Directory().Find("s1")->AcceptsWork());
   EXPECT_EQ(fleet_.directoryChanges_, changes + 1);
 }
 
@@ -589,7 +589,7 @@
 {
   Show(FleetTable::Configuration, 5, { { "config", 5, "1" }, { "drain/hall", 4, "" } });
   Show(FleetTable::Servers, 6, { { "s1", 2, "ready" } });
-  EXPECT_FALSE(member_.Directory().Find("s1")->TakesWork());
+  EXPECT_FALSE(member_.Directory().Find("s1")->AcceptsWork());
 }
 
 } // namespace
--- a/Tests/LibFleet/TestStoreReturn.cpp
+++ b/Tests/LibFleet/TestStoreReturn.cpp
@@ -59,8 +59,8 @@
                    false,
                    After(5),
                    { { { "s1", After(6), "leaving" }, false } } });
-  EXPECT_FALSE(member_.Directory().Find("s1")->TakesWork());
-  EXPECT_TRUE(member_.Directory().Find("s2")->TakesWork());
+  EXPECT_FALSE(member_.Directory().Find("s1")->AcceptsWork());
+  EXPECT_TRUE(member_.Directory().Find("s2")->AcceptsWork());
   // The copy lacks this one, which has two seconds to write itself again.
   EXPECT_NE(member_.Directory().Find("s3"), nullptr);
   Pass(seconds(3));
@@ -74,7 +74,7 @@
                  { FleetTable::Servers, 90, false, 6, { { { "s1", 90, "leaving" }, false } } });
   Show(FleetTable::Servers, After(5), { { "s1", After(2), "ready" }, { "s2", After(3), "ready" } });
   Pass(seconds(2));
-  EXPECT_FALSE(member_.Directory().Find("s1")->TakesWork());
+  EXPECT_FALSE(member_.Directory().Find("s1")->AcceptsWork());
 }
 
 TEST_F(MemberWhoseStoreReturned, AnotherInstanceTellsOfIt_WhatItTellsIsNewer)
@@ -87,7 +87,7 @@
   };
   member_.OnStoreLost(now_);
   member_.OnNews(now_, news);
-  EXPECT_FALSE(member_.Directory().Find("s1")->TakesWork());
+  EXPECT_FALSE(member_.Directory().Find("s1")->AcceptsWork());
 }
 
 TEST_F(MemberWhoseStoreReturned, OwnersWereLost_PlacerWritesThemAgainUnderHigherFences)
--- a/Tests/LibGateway/RecordedActions.h
+++ b/Tests/LibGateway/RecordedActions.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "../SilentEvents.h"
-#include "LibGateway/RequestDesk.h"
+#include "LibGateway/GatewayRouter.h"
 
 #include <map>
 #include <set>
@@ -11,11 +11,11 @@
 
 namespace latchslip {
 
-// Records the actions of a desk.
+// Records the actions of a router.
 class RecordedActions : public RequestActions
 {
 public:
-  void Send(const AttemptOrder& aOrder) override { sent_.push_back(aOrder); }
+  void Send(const AttemptCommand& aOrder) override { sent_.push_back(aOrder); }
   void Cancel(AttemptNumber aAttempt) override { cancelled_.push_back(aAttempt); }
   void Deliver(RequestNumber aRequest, AttemptNumber) override { delivered_.push_back(aRequest); }
   void Refuse(RequestNumber aRequest, const Refusal& aRefusal) override
@@ -26,7 +26,7 @@
   {
     return connected_.contains(aAddress);
   }
-  void NoteLeaving(const std::string& aServer, std::uint64_t aLife) override
+  void RecordLeaving(const std::string& aServer, std::uint64_t aLife) override
   {
     leaving_.emplace(aServer, aLife);
   }
@@ -35,7 +35,7 @@
     ++wanted_[{ aService, aKey }];
   }
 
-  std::vector<AttemptOrder> sent_;
+  std::vector<AttemptCommand> sent_;
   std::vector<AttemptNumber> cancelled_;
   std::vector<RequestNumber> delivered_;
   std::map<RequestNumber, Refusal> refused_;
--- a/Tests/LibGateway/TestCallerGroups.cpp
+++ b/Tests/LibGateway/TestCallerGroups.cpp
@@ -1,5 +1,5 @@
 #include "LibGateway/ApiKeyIndex.h"
-#include "LibGateway/RequestDesk.h"
+#include "LibGateway/GatewayRouter.h"
 #include "RecordedActions.h"
 
 #include <gtest/gtest.h>
@@ -38,10 +38,10 @@
 }
 
 // Admits as many requests as the test allows.
-class CountedGate : public GroupGate
+class CountedGate : public GroupAdmission
 {
 public:
-  bool TryPass(Instant, const CallerGroup& aGroup, bool) override
+  bool TryAdmit(Instant, const CallerGroup& aGroup, bool) override
   {
     asked_.push_back(aGroup.name_);
     return left_-- > 0;
@@ -57,8 +57,8 @@
 protected:
   DeskWithGroups()
   {
-    desk_.SetInstances(1);
-    desk_.SetGroupGate(gate_);
+    router_.SetInstances(1);
+    router_.SetGroupAdmission(gate_);
     PutServer("s1");
     SetGroups({ { "a", { "key-a" }, 0 }, { "b", { "key-b" }, 1 } });
   }
@@ -81,12 +81,12 @@
       route.isPublic_ = route.pathPrefix_ == "/open/";
       route.latencyTarget_ = milliseconds(400);
       route.timeLimit_ = milliseconds(500);
-      route.mostAttempts_ = 2;
+      route.maxAttempts_ = 2;
       route.targets_ = { { "plain", 1 } };
       configuration.routes_.push_back(std::move(route));
     }
     auto table = RouteTable::Create(std::move(configuration)).value();
-    desk_.SetRoutes(now_, std::make_shared<const RouteTable>(std::move(table)));
+    router_.SetRoutes(now_, std::make_shared<const RouteTable>(std::move(table)));
   }
 
   RequestNumber Ask(const std::string& aPath, const std::string& aApiKey)
@@ -97,7 +97,7 @@
     request.path_ = aPath;
     request.apiKey_ = aApiKey;
     request.timeLeft_ = milliseconds(400);
-    desk_.OnRequest(now_, std::move(request));
+    router_.OnRequest(now_, std::move(request));
     return lastRequest_;
   }
 
@@ -123,10 +123,10 @@
   void End(RequestNumber aRequest)
   {
     const auto send =
-      std::find_if(actions_.sent_.begin(), actions_.sent_.end(), [&](const AttemptOrder& aOrder) {
+      std::find_if(actions_.sent_.begin(), actions_.sent_.end(), [&](const AttemptCommand& aOrder) {
         return aOrder.request_ == aRequest;
       });
-    desk_.OnAttemptEnded(now_, send->number_, { AttemptEnd::Answered, 200, false, std::nullopt });
+    router_.OnAttemptEnded(now_, send->number_, { AttemptEnd::Answered, 200, false, std::nullopt });
   }
 
   RefusalReason ReasonOf(RequestNumber aRequest) const
@@ -141,13 +141,13 @@
   SilentEvents events_;
   RecordedActions actions_;
   ServerDirectory directory_;
-  NoPermits permits_;
+  NullPermitSource permits_;
   CountedGate gate_;
-  RequestDesk desk_{ { "hall", { 0.2, 0, seconds(10) }, 1 },
-                     directory_,
-                     actions_,
-                     permits_,
-                     events_ };
+  GatewayRouter router_{ { "hall", { 0.2, 0, seconds(10) }, 1 },
+                         directory_,
+                         actions_,
+                         permits_,
+                         events_ };
 };
 
 TEST_F(DeskWithGroups, KnownKey_RequestGoesOnWithTheNameOfItsGroup)
@@ -195,14 +195,14 @@
 
 TEST_F(DeskWithGroups, KeysAreNotProven_RequestsWithKeysAreRefusedUntilTheyAre)
 {
-  desk_.SetApiKeysProvenUntil(now_);
+  router_.SetApiKeysProvenUntil(now_);
   const auto refused = Ask("/closed/", "key-a");
   EXPECT_EQ(ReasonOf(refused), RefusalReason::ApiKeysUnproven);
   EXPECT_TRUE(actions_.refused_.at(refused).isNotRun_);
   EXPECT_GT(actions_.refused_.at(refused).retryAfter_, Duration(0));
   Ask("/open/", "");
   EXPECT_EQ(actions_.sent_.size(), 1U);
-  desk_.SetApiKeysProvenUntil(now_ + seconds(1));
+  router_.SetApiKeysProvenUntil(now_ + seconds(1));
   Ask("/closed/", "key-a");
   EXPECT_EQ(actions_.sent_.size(), 2U);
 }
@@ -219,7 +219,7 @@
 {
   const auto waiting = AskUntilOneWaits("key-b");
   ASSERT_NE(waiting, 0U);
-  desk_.SetApiKeysProvenUntil(now_);
+  router_.SetApiKeysProvenUntil(now_);
   const auto sent = actions_.sent_.size();
   End(actions_.sent_.back().request_);
   EXPECT_EQ(actions_.sent_.size(), sent);
--- a/Tests/LibGateway/TestRequestDesk.cpp
+++ b/Tests/LibGateway/TestGatewayRouter.cpp
@@ -1,5 +1,5 @@
 #include "../CountedEvents.h"
-#include "LibGateway/RequestDesk.h"
+#include "LibGateway/GatewayRouter.h"
 #include "RecordedActions.h"
 
 #include <gtest/gtest.h>
@@ -32,10 +32,11 @@
                               MakeRoute("/write/", false, 0, { { "plain", 1 } }),
                               MakeRoute("/key/", true, 1, { { "keyed", 1 } }),
                               MakeRoute("/split/", true, 1, { { "plain", 90 }, { "other", 10 } }) };
-    desk_.SetInstances(1);
-    desk_.SetRoutes(now_,
-                    std::make_shared<const RouteTable>(RouteTable::Create(configuration).value()));
-    desk_.SetOwnership(now_, { "keyed", 2, { { 0, 99, "k1", 1, "" }, { 100, 199, "k2", 2, "" } } });
+    router_.SetInstances(1);
+    router_.SetRoutes(
+      now_, std::make_shared<const RouteTable>(RouteTable::Create(configuration).value()));
+    router_.SetOwnership(now_,
+                         { "keyed", 2, { { 0, 99, "k1", 1, "" }, { 100, 199, "k2", 2, "" } } });
     // Earns some retry budget.
     for (int index = 0; index < 100; ++index) {
       const auto number = Ask("/read/warm");
@@ -56,7 +57,7 @@
     route.priority_ = aPriority;
     route.latencyTarget_ = milliseconds(200);
     route.timeLimit_ = milliseconds(500);
-    route.mostAttempts_ = 2;
+    route.maxAttempts_ = 2;
     route.targets_ = std::move(aTargets);
     return route;
   }
@@ -76,31 +77,31 @@
     request.path_ = aPath;
     request.key_ = aKey;
     request.timeLeft_ = aTimeLeft;
-    desk_.OnRequest(now_, std::move(request));
+    router_.OnRequest(now_, std::move(request));
     return lastRequest_;
   }
 
   // The last send of a request.
-  const AttemptOrder& SendOf(RequestNumber aRequest) const
+  const AttemptCommand& SendOf(RequestNumber aRequest) const
   {
     const auto send =
-      std::find_if(actions_.sent_.rbegin(), actions_.sent_.rend(), [&](const AttemptOrder& aOrder) {
-        return aOrder.request_ == aRequest;
-      });
+      std::find_if(actions_.sent_.rbegin(),
+                   actions_.sent_.rend(),
+                   [&](const AttemptCommand& aOrder) { return aOrder.request_ == aRequest; });
     return *send;
   }
 
   std::size_t SendsOf(RequestNumber aRequest) const
   {
-    return static_cast<std::size_t>(
-      std::count_if(actions_.sent_.begin(), actions_.sent_.end(), [&](const AttemptOrder& aOrder) {
+    return static_cast<std::size_t>(std::count_if(
+      actions_.sent_.begin(), actions_.sent_.end(), [&](const AttemptCommand& aOrder) {
         return aOrder.request_ == aRequest;
       }));
   }
 
   void End(RequestNumber aRequest, AttemptEnd aEnd, unsigned aStatus = 0, bool aIsOtherLife = false)
   {
-    desk_.OnAttemptEnded(
+    router_.OnAttemptEnded(
       now_, SendOf(aRequest).number_, { aEnd, aStatus, aIsOtherLife, std::nullopt });
   }
 
@@ -108,8 +109,8 @@
   void TurnAway(RequestNumber aRequest, Duration aRest)
   {
     auto outcome = OutcomeOf(AttemptEnd::NotRun, 503);
-    outcome.rest_ = aRest;
-    desk_.OnAttemptEnded(now_, SendOf(aRequest).number_, outcome);
+    outcome.backoff_ = aRest;
+    router_.OnAttemptEnded(now_, SendOf(aRequest).number_, outcome);
   }
 
   // Answers, and advertises the server's rate limit in requests per second.
@@ -117,7 +118,7 @@
   {
     auto outcome = OutcomeOf(AttemptEnd::Answered, 200);
     outcome.rateLimit_ = aRateLimit;
-    desk_.OnAttemptEnded(now_, SendOf(aRequest).number_, outcome);
+    router_.OnAttemptEnded(now_, SendOf(aRequest).number_, outcome);
   }
 
   static AttemptOutcome OutcomeOf(AttemptEnd aEnd, unsigned aStatus)
@@ -136,9 +137,9 @@
   void Pass(Duration aTime)
   {
     const auto end = now_ + aTime;
-    while (desk_.NextTime() && *desk_.NextTime() <= end) {
-      now_ = std::max(now_, *desk_.NextTime());
-      desk_.OnTime(now_);
+    while (router_.NextTime() && *router_.NextTime() <= end) {
+      now_ = std::max(now_, *router_.NextTime());
+      router_.OnTime(now_);
     }
     now_ = end;
   }
@@ -155,12 +156,12 @@
   CountedEvents events_;
   RecordedActions actions_;
   ServerDirectory directory_;
-  NoPermits permits_;
-  RequestDesk desk_{ { "hall", { 0.2, 0, seconds(10) }, 1 },
-                     directory_,
-                     actions_,
-                     permits_,
-                     events_ };
+  NullPermitSource permits_;
+  GatewayRouter router_{ { "hall", { 0.2, 0, seconds(10) }, 1 },
+                         directory_,
+                         actions_,
+                         permits_,
+                         events_ };
 };
 
 TEST_F(DeskOfThreeServers, KeyWithoutOwnerOrWithAFullOne_EachRequestCountsOnce)
@@ -208,63 +209,63 @@
 {
   const auto answered = Ask("/read/x");
   const auto server = SendOf(answered).server_;
-  const auto before = desk_.Tally().Servers().at(server).front();
+  const auto before = router_.Statistics().Servers().at(server).front();
   Answer(answered, 200);
   Ask("/nowhere");
-  const auto& routes = desk_.Tally().Routes();
+  const auto& routes = router_.Statistics().Routes();
   EXPECT_EQ(routes.at("a.example/read/").answers_.at(200), 101U);
   EXPECT_EQ(routes.at("-").refusals_.at(static_cast<std::size_t>(RefusalReason::NoRoute)), 1U);
-  EXPECT_EQ(desk_.Tally().Servers().at(server).front(), before + 1);
+  EXPECT_EQ(router_.Statistics().Servers().at(server).front(), before + 1);
   directory_.Remove(now_, server);
   now_ += seconds(30);
   directory_.Expire(now_);
-  desk_.OnDirectoryChanged(now_);
-  EXPECT_FALSE(desk_.Tally().Servers().contains(server));
+  router_.OnDirectoryChanged(now_);
+  EXPECT_FALSE(router_.Statistics().Servers().contains(server));
 }
 
 TEST_F(DeskOfThreeServers, RequestComesBeforeAConfiguration_WaitsForItForAMoment)
 {
-  RequestDesk desk({ "hall", {}, 1 }, directory_, actions_, permits_, events_);
+  GatewayRouter router({ "hall", {}, 1 }, directory_, actions_, permits_, events_);
   const auto ask = [&](RequestNumber aNumber) {
     RoutedRequest request;
     request.number_ = aNumber;
     request.host_ = "a.example";
     request.path_ = "/read/x";
     request.timeLeft_ = milliseconds(1000);
-    desk.OnRequest(now_, std::move(request));
+    router.OnRequest(now_, std::move(request));
   };
   ask(7001);
   EXPECT_TRUE(actions_.refused_.empty());
   now_ += milliseconds(80);
-  desk.OnTime(now_);
+  router.OnTime(now_);
   ASSERT_TRUE(actions_.refused_.contains(7001));
   EXPECT_EQ(actions_.refused_[7001].reason_, RefusalReason::NoConfiguration);
   EXPECT_TRUE(actions_.refused_[7001].isNotRun_);
   ask(7002);
   ask(7003);
-  desk.OnClientGone(now_, 7003);
+  router.OnClientGone(now_, 7003);
   now_ += milliseconds(50);
   RoutingConfiguration configuration;
   configuration.version_ = 1;
   configuration.services_ = { { "plain", 100, false } };
   configuration.routes_ = { MakeRoute("/read/", true, 2, { { "plain", 1 } }) };
-  desk.SetRoutes(now_,
-                 std::make_shared<const RouteTable>(RouteTable::Create(configuration).value()));
+  router.SetRoutes(now_,
+                   std::make_shared<const RouteTable>(RouteTable::Create(configuration).value()));
   EXPECT_EQ(SendsOf(7002), 1U);
   EXPECT_EQ(SendsOf(7003), 0U);
 }
 
 TEST_F(DeskOfThreeServers, OwnersAreNotKnownYet_WaitsForThemOnlyAfterAStart)
 {
-  RequestDesk desk({ "hall", {}, 1 }, directory_, actions_, permits_, events_);
+  GatewayRouter router({ "hall", {}, 1 }, directory_, actions_, permits_, events_);
   RoutingConfiguration configuration;
   configuration.version_ = 1;
   configuration.services_ = { { "keyed", 100, true } };
   configuration.routes_ = { MakeRoute("/key/", true, 1, { { "keyed", 1 } }) };
   configuration.routes_.front().latencyTarget_ = milliseconds(400);
-  desk.SetRoutes(now_,
-                 std::make_shared<const RouteTable>(RouteTable::Create(configuration).value()));
-  const auto ask = [&](RequestDesk& aDesk, RequestNumber aNumber) {
+  router.SetRoutes(now_,
+                   std::make_shared<const RouteTable>(RouteTable::Create(configuration).value()));
+  const auto ask = [&](GatewayRouter& aDesk, RequestNumber aNumber) {
     RoutedRequest request;
     request.number_ = aNumber;
     request.host_ = "a.example";
@@ -273,13 +274,13 @@
     request.timeLeft_ = milliseconds(1000);
     aDesk.OnRequest(now_, std::move(request));
   };
-  ask(desk, 7001);
+  ask(router, 7001);
   now_ += milliseconds(50);
-  desk.OnTime(now_);
+  router.OnTime(now_);
   EXPECT_TRUE(actions_.refused_.empty());
-  desk.SetOwnership(now_, { "keyed", 1, { { 0, 99, "k1", 1, "" } } });
+  router.SetOwnership(now_, { "keyed", 1, { { 0, 99, "k1", 1, "" } } });
   EXPECT_EQ(SendsOf(7001), 1U);
-  RequestDesk another({ "hall", {}, 1 }, directory_, actions_, permits_, events_);
+  GatewayRouter another({ "hall", {}, 1 }, directory_, actions_, permits_, events_);
   another.SetRoutes(now_,
                     std::make_shared<const RouteTable>(RouteTable::Create(configuration).value()));
   now_ += seconds(1);
@@ -339,7 +340,7 @@
 {
   const auto request = Ask("/write/1");
   while (actions_.refused_.empty()) {
-    if (desk_.Waiting() == 0) {
+    if (router_.Waiting() == 0) {
       End(request, AttemptEnd::NotRun, 503);
     }
     Pass(milliseconds(10));
@@ -353,7 +354,7 @@
 // Of the target of 200 ms the answer itself is assumed to take 50, as long as no answer was seen.
 TEST_F(DeskOfThreeServers, AllServersFull_WaitsWhileAnAnswerMayBeInTimeAndIsRefusedThen)
 {
-  while (desk_.Waiting() == 0) {
+  while (router_.Waiting() == 0) {
     Ask("/read/fill");
   }
   const auto request = Ask("/write/1");
@@ -372,7 +373,7 @@
     now_ += milliseconds(150);
     Answer(request, 200);
   }
-  while (desk_.Waiting() == 0 && actions_.refused_.empty()) {
+  while (router_.Waiting() == 0 && actions_.refused_.empty()) {
     Ask("/key/fill", 5);
   }
   const auto request = Ask("/key/x", 5);
@@ -385,7 +386,7 @@
 
 TEST_F(DeskOfThreeServers, ManyAreRefusedTogether_TheyComeBackAtDifferentTimes)
 {
-  desk_.SetOwnership(now_, { "keyed", 3, { { 0, 99, "k2", 3, "k1" } } });
+  router_.SetOwnership(now_, { "keyed", 3, { { 0, 99, "k2", 3, "k1" } } });
   std::set<Duration> times;
   for (int index = 0; index < 20; ++index) {
     const auto request = Ask("/key/x", 5, seconds(4));
@@ -418,7 +419,7 @@
 TEST_F(DeskOfThreeServers, RoomComesWhileSomeWait_MostUrgentGoesFirst)
 {
   std::vector<RequestNumber> running;
-  while (desk_.Waiting() == 0) {
+  while (router_.Waiting() == 0) {
     running.push_back(Ask("/read/fill"));
   }
   const auto lastWaiting = running.back();
@@ -432,7 +433,7 @@
 {
   PutServer("p1", "plain", true);
   PutServer("p2", "plain", true);
-  desk_.OnDirectoryChanged(now_);
+  router_.OnDirectoryChanged(now_);
   for (int index = 0; index < 4; ++index) {
     EXPECT_EQ(SendOf(Ask("/read/1")).server_, "p3");
   }
@@ -441,13 +442,13 @@
 TEST_F(DeskOfThreeServers, ServerLeavesWhileARequestWaits_ItIsNotSentThere)
 {
   std::vector<RequestNumber> running;
-  while (desk_.Waiting() == 0) {
+  while (router_.Waiting() == 0) {
     running.push_back(Ask("/read/fill"));
   }
   const auto waiting = running.back();
   const auto freed = SendOf(running.front()).server_;
   PutServer(freed, "plain", true);
-  desk_.OnDirectoryChanged(now_);
+  router_.OnDirectoryChanged(now_);
   Answer(running.front(), 200);
   EXPECT_EQ(SendsOf(waiting), 0U);
 }
@@ -461,15 +462,15 @@
 TEST_F(DeskOfThreeServers, KeyIsMoving_WaitsAndGoesToTheNewOwner)
 {
   // A move that took 40 ms has been observed.
-  desk_.SetOwnership(now_, { "keyed", 3, { { 0, 99, "k2", 3, "k1" } } });
+  router_.SetOwnership(now_, { "keyed", 3, { { 0, 99, "k2", 3, "k1" } } });
   Pass(milliseconds(40));
-  desk_.SetOwnership(now_, { "keyed", 3, { { 0, 99, "k2", 3, "" } } });
-  desk_.SetOwnership(now_, { "keyed", 4, { { 0, 99, "k1", 4, "k2" } } });
+  router_.SetOwnership(now_, { "keyed", 3, { { 0, 99, "k2", 3, "" } } });
+  router_.SetOwnership(now_, { "keyed", 4, { { 0, 99, "k1", 4, "k2" } } });
   const auto request = Ask("/key/1", 5);
   EXPECT_EQ(SendsOf(request), 0U);
   Pass(milliseconds(20));
   EXPECT_TRUE(actions_.refused_.empty());
-  desk_.SetOwnership(now_, { "keyed", 4, { { 0, 99, "k1", 4, "" } } });
+  router_.SetOwnership(now_, { "keyed", 4, { { 0, 99, "k1", 4, "" } } });
   ASSERT_EQ(SendsOf(request), 1U);
   EXPECT_EQ(SendOf(request).server_, "k1");
 }
@@ -477,7 +478,7 @@
 // Such a move is blocked, for example on the grants of a silent server.
 TEST_F(DeskOfThreeServers, KeyHasBeenMovingForLong_IsRefusedAtOnce)
 {
-  desk_.SetOwnership(now_, { "keyed", 3, { { 0, 99, "k2", 3, "k1" } } });
+  router_.SetOwnership(now_, { "keyed", 3, { { 0, 99, "k2", 3, "k1" } } });
   Pass(seconds(2));
   const auto request = Ask("/key/1", 5);
   EXPECT_TRUE(IsRefused(request, RefusalReason::NoOwner));
@@ -486,10 +487,11 @@
 
 TEST_F(DeskOfThreeServers, NewsOfTheEndOfAMoveAreMissed_NewOwnerIsTried)
 {
-  desk_.SetNewsStale(true);
-  desk_.SetOwnership(now_, { "keyed", 3, { { 0, 99, "k2", 3, "k1" } } });
+  router_.SetUpdatesStale(true);
+  router_.SetOwnership(now_, { "keyed", 3, { { 0, 99, "k2", 3, "k1" } } });
   Pass(milliseconds(300));
-  desk_.SetOwnership(now_, { "keyed", 4, { { 0, 99, "k2", 3, "k1" }, { 100, 199, "k1", 4, "" } } });
+  router_.SetOwnership(now_,
+                       { "keyed", 4, { { 0, 99, "k2", 3, "k1" }, { 100, 199, "k1", 4, "" } } });
   Pass(milliseconds(150));
   const auto request = Ask("/key/1", 5);
   ASSERT_EQ(SendsOf(request), 1U);
@@ -498,7 +500,7 @@
 
 TEST_F(DeskOfThreeServers, MoveTakesLongButNewsCome_NewOwnerIsNotTriedEarly)
 {
-  desk_.SetOwnership(now_, { "keyed", 3, { { 0, 99, "k2", 3, "k1" } } });
+  router_.SetOwnership(now_, { "keyed", 3, { { 0, 99, "k2", 3, "k1" } } });
   Pass(seconds(5));
   EXPECT_EQ(SendsOf(Ask("/key/1", 5)), 0U);
 }
@@ -535,28 +537,28 @@
 TEST_F(DeskOfThreeServers, ClientOfARepeatableLeaves_ServerIsRelieved)
 {
   const auto request = Ask("/read/1");
-  desk_.OnClientGone(now_, request);
+  router_.OnClientGone(now_, request);
   EXPECT_EQ(actions_.cancelled_, std::vector<AttemptNumber>{ SendOf(request).number_ });
-  EXPECT_EQ(desk_.UnderWay(), 0U);
+  EXPECT_EQ(router_.InFlight(), 0U);
 }
 
 TEST_F(DeskOfThreeServers, ClientOfANotRepeatableLeaves_ItRunsToItsEnd)
 {
   const auto request = Ask("/write/1");
-  desk_.OnClientGone(now_, request);
+  router_.OnClientGone(now_, request);
   EXPECT_TRUE(actions_.cancelled_.empty());
   Answer(request, 200);
   EXPECT_TRUE(actions_.delivered_.empty());
-  EXPECT_EQ(desk_.UnderWay(), 0U);
+  EXPECT_EQ(router_.InFlight(), 0U);
 }
 
 TEST_F(DeskOfThreeServers, ClientLeavesWhileWaiting_NothingIsSent)
 {
-  while (desk_.Waiting() == 0) {
+  while (router_.Waiting() == 0) {
     Ask("/read/fill");
   }
   const auto request = Ask("/write/1");
-  desk_.OnClientGone(now_, request);
+  router_.OnClientGone(now_, request);
   Answer(1 + lastRequest_ - 2, 200);
   EXPECT_EQ(SendsOf(request), 0U);
 }
@@ -588,7 +590,7 @@
   const auto sent = actions_.sent_.size();
   ASSERT_LT(sent, static_cast<std::size_t>(kAsked));
   now_ += milliseconds(200);
-  desk_.OnTime(now_);
+  router_.OnTime(now_);
   EXPECT_EQ(actions_.sent_.size(), sent);
   EXPECT_EQ(actions_.refused_.size(), kAsked - sent);
   for (const auto& [request, refusal] : actions_.refused_) {
@@ -610,20 +612,20 @@
 
 TEST_F(DeskOfThreeServers, ServiceLeavesTheConfigurationWhileRequestsWait_TheyAreRefused)
 {
-  while (desk_.Waiting() == 0) {
+  while (router_.Waiting() == 0) {
     Ask("/read/fill");
   }
   const auto waiting = lastRequest_;
   RoutingConfiguration configuration;
   configuration.version_ = 2;
   configuration.services_ = { { "other", 100, false } };
-  desk_.SetRoutes(now_,
-                  std::make_shared<const RouteTable>(RouteTable::Create(configuration).value()));
+  router_.SetRoutes(now_,
+                    std::make_shared<const RouteTable>(RouteTable::Create(configuration).value()));
   for (const auto* id : { "p1", "p2", "p3" }) {
     directory_.Remove(now_, id);
   }
   directory_.Expire(now_ + seconds(1));
-  desk_.OnDirectoryChanged(now_);
+  router_.OnDirectoryChanged(now_);
   Pass(milliseconds(200));
   EXPECT_EQ(actions_.refused_.count(waiting), 1U);
 }
@@ -643,17 +645,17 @@
   EXPECT_LT(sends, 145U);
 }
 
-TEST(RequestDesk, NoConfigurationForAMoment_IsRefusedAsNotRun)
+TEST(GatewayRouter, NoConfigurationForAMoment_IsRefusedAsNotRun)
 {
   SilentEvents events;
   RecordedActions actions;
   const ServerDirectory directory;
-  NoPermits permits;
-  RequestDesk desk({ "hall", {}, 1 }, directory, actions, permits, events);
-  desk.OnRequest(seconds(1), { 7, "id", "a.example", "/x/", {}, {} });
-  ASSERT_TRUE(desk.NextTime());
-  EXPECT_LE(*desk.NextTime(), seconds(1) + milliseconds(100));
-  desk.OnTime(*desk.NextTime());
+  NullPermitSource permits;
+  GatewayRouter router({ "hall", {}, 1 }, directory, actions, permits, events);
+  router.OnRequest(seconds(1), { 7, "id", "a.example", "/x/", {}, {} });
+  ASSERT_TRUE(router.NextTime());
+  EXPECT_LE(*router.NextTime(), seconds(1) + milliseconds(100));
+  router.OnTime(*router.NextTime());
   ASSERT_EQ(actions.refused_.count(7), 1U);
   EXPECT_EQ(actions.refused_[7].reason_, RefusalReason::NoConfiguration);
   EXPECT_TRUE(actions.refused_[7].isNotRun_);
@@ -665,7 +667,7 @@
   elsewhere.hall_ = "other-hall";
   directory_.Put(now_, elsewhere);
   directory_.DrainHall("hall");
-  desk_.OnDirectoryChanged(now_);
+  router_.OnDirectoryChanged(now_);
   for (int index = 0; index < 20; ++index) {
     const auto request = Ask("/read/x");
     EXPECT_EQ(SendOf(request).server_, "p1");
@@ -683,14 +685,14 @@
   configuration.version_ = 2;
   configuration.services_ = { { "plain", 100, false, 5 } };
   configuration.routes_ = { MakeRoute("/read/", true, 2, { { "plain", 1 } }) };
-  desk_.SetInstances(10);
+  router_.SetInstances(10);
   for (const auto* id : { "p1", "p2" }) {
     auto record = *directory_.Find(id);
     record.slowStartLeft_ = seconds(3);
     directory_.Put(now_, record);
   }
-  desk_.SetRoutes(now_,
-                  std::make_shared<const RouteTable>(RouteTable::Create(configuration).value()));
+  router_.SetRoutes(now_,
+                    std::make_shared<const RouteTable>(RouteTable::Create(configuration).value()));
   std::map<std::string, int> sends;
   for (int index = 0; index < 300; ++index) {
     const auto request = Ask("/read/x");
@@ -713,7 +715,7 @@
   outcome.status_ = 200;
   outcome.isLeaving_ = true;
   const auto server = SendOf(request).server_;
-  desk_.OnAttemptEnded(now_, SendOf(request).number_, outcome);
+  router_.OnAttemptEnded(now_, SendOf(request).number_, outcome);
   EXPECT_TRUE(actions_.leaving_.contains({ server, 0 }));
   EXPECT_EQ(actions_.delivered_, std::vector<RequestNumber>{ request });
 }
@@ -740,7 +742,7 @@
   constexpr double kLimit = 10;
   constexpr std::size_t kInstances = 4;
   constexpr int kSeconds = 8;
-  desk_.SetInstances(kInstances);
+  router_.SetInstances(kInstances);
   AnswerWithLimit(Ask("/key/1", 5), kLimit);
   actions_.sent_.clear();
   std::size_t sent = 0;
@@ -759,7 +761,7 @@
 // Guards against holding requests for a server that accepts the next one only seconds later.
 TEST_F(DeskOfThreeServers, OwnerNamesALowRateLimit_RequestsBeyondItAreRefusedAtOnce)
 {
-  desk_.SetInstances(8);
+  router_.SetInstances(8);
   AnswerWithLimit(Ask("/key/1", 5), 0.5);
   AnswerWithLimit(Ask("/key/1", 5), 0.5);
   const auto request = Ask("/key/1", 5);
@@ -819,11 +821,12 @@
 TEST_F(DeskOfThreeServers, OwnerLeavesAndItsKeysDoNotMove_RequestsAreSoonRefusedAtOnce)
 {
   // Moves usually take 50 ms, which is a useful wait.
-  desk_.SetOwnership(now_, { "keyed", 3, { { 0, 99, "k1", 1, "" }, { 100, 199, "k2", 3, "k1" } } });
+  router_.SetOwnership(now_,
+                       { "keyed", 3, { { 0, 99, "k1", 1, "" }, { 100, 199, "k2", 3, "k1" } } });
   Pass(milliseconds(50));
-  desk_.SetOwnership(now_, { "keyed", 3, { { 0, 99, "k1", 1, "" }, { 100, 199, "k2", 3, "" } } });
-  directory_.NoteLeaving(now_, "k1", 0);
-  desk_.OnDirectoryChanged(now_);
+  router_.SetOwnership(now_, { "keyed", 3, { { 0, 99, "k1", 1, "" }, { 100, 199, "k2", 3, "" } } });
+  directory_.RecordLeaving(now_, "k1", 0);
+  router_.OnDirectoryChanged(now_);
   EXPECT_FALSE(actions_.refused_.contains(Ask("/key/1", 5)));
   Pass(seconds(1));
   const auto request = Ask("/key/1", 5);
--- a/Tests/LibGateway/TestMoveTimes.cpp
+++ b/Tests/LibGateway/TestMoveTimeEstimator.cpp
@@ -1,4 +1,4 @@
-#include "LibGateway/MoveTimes.h"
+#include "LibGateway/MoveTimeEstimator.h"
 
 #include <gtest/gtest.h>
 
@@ -6,9 +6,9 @@
 
 namespace {
 
-TEST(MoveTimes, MovesWereSeen_NextIsExpectedToTakeAsLong)
+TEST(MoveTimeEstimator, MovesWereSeen_NextIsExpectedToTakeAsLong)
 {
-  MoveTimes times;
+  MoveTimeEstimator times;
   for (int index = 0; index < 20; ++index) {
     times.OnMoved(milliseconds(100));
   }
@@ -16,18 +16,18 @@
   EXPECT_EQ(times.Remaining(milliseconds(30)), milliseconds(70));
 }
 
-TEST(MoveTimes, SomeWaitedForASilentServer_UsualTimeStays)
+TEST(MoveTimeEstimator, SomeWaitedForASilentServer_UsualTimeStays)
 {
-  MoveTimes times;
+  MoveTimeEstimator times;
   for (int index = 0; index < 20; ++index) {
     times.OnMoved(index % 3 == 0 ? seconds(5) : milliseconds(100));
   }
   EXPECT_EQ(times.Remaining(Duration(0)), milliseconds(100));
 }
 
-TEST(MoveTimes, MoveLastsLongerThanUsual_IsExpectedToLastAsLongAgain)
+TEST(MoveTimeEstimator, MoveLastsLongerThanUsual_IsExpectedToLastAsLongAgain)
 {
-  MoveTimes times;
+  MoveTimeEstimator times;
   times.OnMoved(milliseconds(100));
   EXPECT_EQ(times.Remaining(seconds(2)), seconds(2));
 }
--- a/Tests/LibGateway/TestPermitAsks.cpp
+++ b/Tests/LibGateway/TestPermitRequests.cpp
@@ -1,4 +1,4 @@
-#include "LibGateway/RequestDesk.h"
+#include "LibGateway/GatewayRouter.h"
 #include "RecordedActions.h"
 
 #include <gtest/gtest.h>
@@ -13,9 +13,9 @@
 {
 public:
   bool CanAsk(const std::string&) const override { return isHeard_; }
-  void Ask(Instant, const PermitAsk& aAsk) override { asks_.push_back(aAsk); }
+  void RequestPermit(Instant, const PermitAsk& aAsk) override { asks_.push_back(aAsk); }
   void Withdraw(AttemptNumber aNumber) override { withdrawn_.insert(aNumber); }
-  void OnUnanswered(Instant, const std::string&) override { isHeard_ = false; }
+  void OnPermitTimeout(Instant, const std::string&) override { isHeard_ = false; }
   void TellSend(Instant, const SendNotice& aNotice) override { notices_.push_back(aNotice); }
   void TellEnd(const SendEnd& aEnd) override { ends_.push_back(aEnd); }
 
@@ -47,14 +47,14 @@
       route.isRepeatable_ = true;
       route.latencyTarget_ = milliseconds(200);
       route.timeLimit_ = milliseconds(500);
-      route.mostAttempts_ = 2;
+      route.maxAttempts_ = 2;
       route.targets_ = { { service, 1 } };
       configuration.routes_.push_back(route);
     }
-    desk_.SetInstances(1);
-    desk_.SetRoutes(now_,
-                    std::make_shared<const RouteTable>(RouteTable::Create(configuration).value()));
-    desk_.SetOwnership(now_, { "keyed", 2, { { 0, 99, "k1", 1, "" } } });
+    router_.SetInstances(1);
+    router_.SetRoutes(
+      now_, std::make_shared<const RouteTable>(RouteTable::Create(configuration).value()));
+    router_.SetOwnership(now_, { "keyed", 2, { { 0, 99, "k1", 1, "" } } });
   }
 
   RequestNumber Request(const std::string& aPath, std::optional<KeyNumber> aKey = std::nullopt)
@@ -65,13 +65,13 @@
     request.path_ = aPath;
     request.key_ = aKey;
     request.timeLeft_ = milliseconds(400);
-    desk_.OnRequest(now_, std::move(request));
+    router_.OnRequest(now_, std::move(request));
     return lastRequest_;
   }
 
   void Permit(const std::string& aServer)
   {
-    desk_.OnPermit(now_, permits_.asks_.back().number_, aServer);
+    router_.OnPermit(now_, permits_.asks_.back().number_, aServer);
   }
 
   // The server of the last send refuses the request and requests a backoff.
@@ -80,16 +80,16 @@
     AttemptOutcome outcome;
     outcome.end_ = AttemptEnd::NotRun;
     outcome.status_ = 503;
-    outcome.rest_ = aRest;
-    desk_.OnAttemptEnded(now_, actions_.sent_.back().number_, outcome);
+    outcome.backoff_ = aRest;
+    router_.OnAttemptEnded(now_, actions_.sent_.back().number_, outcome);
   }
 
   void Pass(Duration aTime)
   {
     const auto end = now_ + aTime;
-    while (desk_.NextTime() && *desk_.NextTime() <= end) {
-      now_ = std::max(now_, *desk_.NextTime());
-      desk_.OnTime(now_);
+    while (router_.NextTime() && *router_.NextTime() <= end) {
+      now_ = std::max(now_, *router_.NextTime());
+      router_.OnTime(now_);
     }
     now_ = end;
   }
@@ -100,11 +100,11 @@
   RecordedActions actions_;
   RecordedPermits permits_;
   ServerDirectory directory_;
-  RequestDesk desk_{ { "hall", { 0.2, 62, seconds(10) }, 1 },
-                     directory_,
-                     actions_,
-                     permits_,
-                     events_ };
+  GatewayRouter router_{ { "hall", { 0.2, 62, seconds(10) }, 1 },
+                         directory_,
+                         actions_,
+                         permits_,
+                         events_ };
 };
 
 TEST_F(DeskWithADispatcher, RequestComes_IsSentWhereItIsPermittedAndItsEndIsTold)
@@ -117,7 +117,7 @@
   EXPECT_EQ(actions_.sent_[0].server_, "p2");
   now_ += milliseconds(30);
   const ServerStatus status{ 1, 0, 4, 2 };
-  desk_.OnAttemptEnded(
+  router_.OnAttemptEnded(
     now_, actions_.sent_[0].number_, { AttemptEnd::Answered, 200, false, status });
   EXPECT_EQ(actions_.delivered_, std::vector<RequestNumber>{ request });
   ASSERT_EQ(permits_.ends_.size(), 1U);
@@ -141,7 +141,7 @@
   Permit("k1");
   TurnAway(seconds(3));
   ASSERT_EQ(permits_.ends_.size(), 1U);
-  EXPECT_EQ(permits_.ends_[0].rest_, seconds(3));
+  EXPECT_EQ(permits_.ends_[0].backoff_, seconds(3));
   const auto request = Request("/keyed/1", 50);
   EXPECT_EQ(permits_.asks_.size(), 1U);
   ASSERT_TRUE(actions_.refused_.contains(request));
@@ -164,7 +164,7 @@
   EXPECT_EQ(actions_.sent_.size(), sent);
   ASSERT_EQ(permits_.ends_.size(), 1U);
   auto givenBack = CancelledSend(permits_.asks_.back().number_);
-  givenBack.rest_ = seconds(3);
+  givenBack.backoff_ = seconds(3);
   EXPECT_EQ(permits_.ends_[0], givenBack);
   Pass(milliseconds(40));
   Permit("p2");
@@ -175,8 +175,8 @@
 TEST_F(DeskWithADispatcher, PermitIsForAServerThatSaidThatItLeaves_IsGivenBackWithThat)
 {
   Request("/plain/1");
-  directory_.NoteLeaving(now_, "p1", 0);
-  desk_.OnDirectoryChanged(now_);
+  directory_.RecordLeaving(now_, "p1", 0);
+  router_.OnDirectoryChanged(now_);
   Permit("p1");
   EXPECT_TRUE(actions_.sent_.empty());
   ASSERT_EQ(permits_.ends_.size(), 1U);
@@ -191,7 +191,7 @@
   outcome.end_ = AttemptEnd::Answered;
   outcome.status_ = 200;
   outcome.isLeaving_ = true;
-  desk_.OnAttemptEnded(now_, actions_.sent_.back().number_, outcome);
+  router_.OnAttemptEnded(now_, actions_.sent_.back().number_, outcome);
   ASSERT_EQ(permits_.ends_.size(), 1U);
   EXPECT_EQ(permits_.ends_[0].leavingLife_, 0U);
 }
@@ -199,7 +199,7 @@
 TEST_F(DeskWithADispatcher, PermitIsDenied_IsRefusedAtOnceAsNotRun)
 {
   const auto request = Request("/plain/1");
-  desk_.OnPermitDenied(now_, permits_.asks_[0].number_, milliseconds(100));
+  router_.OnPermitDenied(now_, permits_.asks_[0].number_, milliseconds(100));
   ASSERT_TRUE(actions_.refused_.contains(request));
   EXPECT_TRUE(actions_.refused_[request].isNotRun_);
   EXPECT_EQ(actions_.refused_[request].reason_, RefusalReason::NoCapacity);
@@ -221,8 +221,8 @@
 {
   Request("/plain/1");
   const auto number = permits_.asks_[0].number_;
-  desk_.OnPermit(now_, number, "p1");
-  desk_.OnPermit(now_, number, "p2");
+  router_.OnPermit(now_, number, "p1");
+  router_.OnPermit(now_, number, "p2");
   EXPECT_EQ(actions_.sent_.size(), 1U);
   ASSERT_EQ(permits_.ends_.size(), 1U);
   EXPECT_EQ(permits_.ends_[0].result_, SendResult::Cancelled);
@@ -232,7 +232,7 @@
 {
   Request("/plain/1");
   directory_.DrainHall("hall");
-  desk_.OnDirectoryChanged(now_);
+  router_.OnDirectoryChanged(now_);
   Permit("p1");
   EXPECT_TRUE(actions_.sent_.empty());
   ASSERT_EQ(permits_.ends_.size(), 1U);
@@ -242,7 +242,7 @@
 TEST_F(DeskWithADispatcher, KeyMovedMeanwhile_PermitForItsFormerOwnerIsGivenBack)
 {
   Request("/keyed/1", 50);
-  desk_.SetOwnership(now_, { "keyed", 3, { { 0, 99, "k2", 2, "k1" } } });
+  router_.SetOwnership(now_, { "keyed", 3, { { 0, 99, "k2", 2, "k1" } } });
   Permit("k1");
   EXPECT_TRUE(actions_.sent_.empty());
   EXPECT_EQ(permits_.ends_.size(), 1U);
@@ -251,7 +251,7 @@
 TEST_F(DeskWithADispatcher, PromisedPermitNeverComes_IsRefusedWhenItWouldNotBeInTime)
 {
   const auto request = Request("/plain/1");
-  desk_.OnPermitDelayed(now_, permits_.asks_[0].number_);
+  router_.OnPermitDelayed(now_, permits_.asks_[0].number_);
   Pass(milliseconds(150));
   EXPECT_FALSE(actions_.refused_.contains(request));
   Pass(milliseconds(150));
@@ -262,7 +262,7 @@
 TEST_F(DeskWithADispatcher, ClientLeavesWhileItsRequestWaits_AskIsWithdrawn)
 {
   const auto request = Request("/plain/1");
-  desk_.OnClientGone(now_, request);
+  router_.OnClientGone(now_, request);
   EXPECT_TRUE(permits_.withdrawn_.contains(permits_.asks_[0].number_));
   Permit("p1");
   EXPECT_TRUE(actions_.sent_.empty());
@@ -271,7 +271,7 @@
 TEST_F(DeskWithADispatcher, DispatcherIsGone_AnotherIsAsked)
 {
   Request("/plain/1");
-  desk_.OnAskLost(now_, permits_.asks_[0].number_);
+  router_.OnAskLost(now_, permits_.asks_[0].number_);
   ASSERT_EQ(permits_.asks_.size(), 2U);
   Permit("p1");
   EXPECT_EQ(actions_.sent_.size(), 1U);
@@ -281,7 +281,7 @@
 {
   Request("/plain/1");
   Permit("p1");
-  desk_.OnAttemptEnded(
+  router_.OnAttemptEnded(
     now_, actions_.sent_[0].number_, { AttemptEnd::NotRun, 503, false, std::nullopt });
   ASSERT_EQ(permits_.asks_.size(), 2U);
   EXPECT_EQ(permits_.asks_[1].tried_, std::vector<std::string>{ "p1" });
--- a/Tests/LibGateway/TestRateLimit.cpp
+++ b/Tests/LibGateway/TestRateLimit.cpp
@@ -13,20 +13,22 @@
 TEST(RateLimit, AnswersNameIt_HoldsUntilALaterRequestIsAnsweredWithoutIt)
 {
   RateLimit limit;
-  EXPECT_FALSE(limit.OnTold(kNow, kNow, kNoRateLimit, 1));
-  EXPECT_TRUE(limit.OnTold(kNow, kNow - milliseconds(90), 8.7, 1));
-  EXPECT_FALSE(limit.OnTold(kNow + milliseconds(50), kNow, 4, 1));
+  EXPECT_FALSE(limit.OnAdvertised(kNow, kNow, kNoRateLimit, 1));
+  EXPECT_TRUE(limit.OnAdvertised(kNow, kNow - milliseconds(90), 8.7, 1));
+  EXPECT_FALSE(limit.OnAdvertised(kNow + milliseconds(50), kNow, 4, 1));
   EXPECT_EQ(limit.Rate(), 4);
-  EXPECT_TRUE(limit.OnTold(kNow + milliseconds(200), kNow + milliseconds(60), kNoRateLimit, 1));
-  EXPECT_FALSE(limit.IsNamed());
+  EXPECT_TRUE(
+    limit.OnAdvertised(kNow + milliseconds(200), kNow + milliseconds(60), kNoRateLimit, 1));
+  EXPECT_FALSE(limit.IsAdvertised());
 }
 
 // Guards against an answer on a slower connection that was written before the limit began.
 TEST(RateLimit, AnswerToAnEarlierRequestNamesNone_TheLimitStays)
 {
   RateLimit limit;
-  limit.OnTold(kNow, kNow - milliseconds(90), 8.7, 1);
-  EXPECT_FALSE(limit.OnTold(kNow + milliseconds(5), kNow - milliseconds(80), kNoRateLimit, 1));
+  limit.OnAdvertised(kNow, kNow - milliseconds(90), 8.7, 1);
+  EXPECT_FALSE(
+    limit.OnAdvertised(kNow + milliseconds(5), kNow - milliseconds(80), kNoRateLimit, 1));
   EXPECT_EQ(limit.Rate(), 8.7);
 }
 
@@ -34,40 +36,40 @@
 {
   RateLimit limit;
   limit.OnSent(kNow);
-  EXPECT_TRUE(limit.HasRoom(kNow));
-  EXPECT_EQ(limit.WaitLeft(kNow, 1000), Duration(0));
+  EXPECT_TRUE(limit.HasCapacity(kNow));
+  EXPECT_EQ(limit.RemainingWait(kNow, 1000), Duration(0));
 }
 
 TEST(RateLimit, ItsPartIsSpent_NextOnesComeOneAfterAnother)
 {
   RateLimit limit;
-  limit.OnTold(kNow, kNow, 8, 0.25);
-  EXPECT_FALSE(limit.HasRoom(kNow));
-  EXPECT_FALSE(limit.HasRoom(kNow + milliseconds(490)));
-  EXPECT_TRUE(limit.HasRoom(kNow + milliseconds(510)));
-  EXPECT_NEAR(ToSeconds(limit.WaitLeft(kNow, 0)), 0.5, 0.001);
-  EXPECT_NEAR(ToSeconds(limit.WaitLeft(kNow, 3)), 2, 0.001);
+  limit.OnAdvertised(kNow, kNow, 8, 0.25);
+  EXPECT_FALSE(limit.HasCapacity(kNow));
+  EXPECT_FALSE(limit.HasCapacity(kNow + milliseconds(490)));
+  EXPECT_TRUE(limit.HasCapacity(kNow + milliseconds(510)));
+  EXPECT_NEAR(ToSeconds(limit.RemainingWait(kNow, 0)), 0.5, 0.001);
+  EXPECT_NEAR(ToSeconds(limit.RemainingWait(kNow, 3)), 2, 0.001);
 }
 
 // Guards against sends that other instances made without a permit and that are not counted.
 TEST(RateLimit, MoreIsSentThanHasRoom_IsMadeUpForByLaterOnes)
 {
   RateLimit limit;
-  limit.OnTold(kNow, kNow, 10, 1);
+  limit.OnAdvertised(kNow, kNow, 10, 1);
   for (int index = 0; index < 3; ++index) {
     limit.OnSent(kNow);
   }
-  EXPECT_FALSE(limit.HasRoom(kNow + milliseconds(390)));
-  EXPECT_TRUE(limit.HasRoom(kNow + milliseconds(410)));
+  EXPECT_FALSE(limit.HasCapacity(kNow + milliseconds(390)));
+  EXPECT_TRUE(limit.HasCapacity(kNow + milliseconds(410)));
 }
 
 // Guards against a limit whose end is never observed, because nothing is sent any more.
 TEST(RateLimit, NothingIsTaken_OneIsTriedNowAndThen)
 {
   RateLimit limit;
-  limit.OnTold(kNow, kNow, 0, 1);
-  EXPECT_FALSE(limit.HasRoom(kNow + seconds(5)));
-  EXPECT_TRUE(limit.HasRoom(kNow + seconds(11)));
+  limit.OnAdvertised(kNow, kNow, 0, 1);
+  EXPECT_FALSE(limit.HasCapacity(kNow + seconds(5)));
+  EXPECT_TRUE(limit.HasCapacity(kNow + seconds(11)));
 }
 
 // Far more requests than a server accepts are sent by many instances, each of which has its share
@@ -83,12 +85,12 @@
   for (auto& limit : limits) {
     // Each instance learns the limit from an answer of its own.
     const auto told = kNow + milliseconds(draw(random));
-    limit.OnTold(told, told, kRate, 1.0 / kInstances);
+    limit.OnAdvertised(told, told, kRate, 1.0 / kInstances);
   }
   double sent = 0;
   for (auto now = kNow + seconds(10); now < kNow + seconds(10) + kTime; now += milliseconds(10)) {
     for (auto& limit : limits) {
-      if (limit.HasRoom(now)) {
+      if (limit.HasCapacity(now)) {
         limit.OnSent(now);
         ++sent;
       }
--- a/Tests/LibGateway/TestShortageSpell.cpp
+++ b/Tests/LibGateway/TestRefusalStreak.cpp
@@ -1,4 +1,4 @@
-#include "LibGateway/ShortageSpell.h"
+#include "LibGateway/RefusalStreak.h"
 
 #include <gtest/gtest.h>
 
@@ -6,15 +6,15 @@
 
 namespace {
 
-TEST(ShortageSpell, FirstRefusal_HasJustBegun)
+TEST(RefusalStreak, FirstRefusal_HasJustBegun)
 {
-  ShortageSpell spell;
+  RefusalStreak spell;
   EXPECT_EQ(spell.OnRefusal(seconds(100)), Duration(0));
 }
 
-TEST(ShortageSpell, RefusalsFollowEachOther_LastsSinceTheFirst)
+TEST(RefusalStreak, RefusalsFollowEachOther_LastsSinceTheFirst)
 {
-  ShortageSpell spell;
+  RefusalStreak spell;
   Duration lasting{ 0 };
   for (Instant now = seconds(100); now <= seconds(102); now += milliseconds(400)) {
     lasting = spell.OnRefusal(now);
@@ -22,9 +22,9 @@
   EXPECT_EQ(lasting, seconds(2));
 }
 
-TEST(ShortageSpell, NoneWasRefusedForAWhile_BeginsAnew)
+TEST(RefusalStreak, NoneWasRefusedForAWhile_BeginsAnew)
 {
-  ShortageSpell spell;
+  RefusalStreak spell;
   spell.OnRefusal(seconds(100));
   spell.OnRefusal(seconds(100) + milliseconds(300));
   EXPECT_EQ(spell.OnRefusal(seconds(101)), Duration(0));
--- a/Tests/LibGateway/TestCallerPatience.cpp
+++ b/Tests/LibGateway/TestRequestAgeEstimator.cpp
@@ -1,4 +1,4 @@
-#include "LibGateway/CallerPatience.h"
+#include "LibGateway/RequestAgeEstimator.h"
 
 #include <gtest/gtest.h>
 
@@ -6,16 +6,16 @@
 
 namespace {
 
-TEST(CallerPatience, FirstRequest_IsAFirstTry)
+TEST(RequestAgeEstimator, FirstRequest_IsAFirstTry)
 {
-  CallerPatience patience;
+  RequestAgeEstimator patience;
   patience.OnRequest(milliseconds(2500));
   EXPECT_EQ(patience.AgeOf(milliseconds(2500)), Duration(0));
 }
 
-TEST(CallerPatience, RequestHasLessTimeLeftThanMost_IsAsOldAsTheDifference)
+TEST(RequestAgeEstimator, RequestHasLessTimeLeftThanMost_IsAsOldAsTheDifference)
 {
-  CallerPatience patience;
+  RequestAgeEstimator patience;
   for (int index = 0; index < 100; ++index) {
     patience.OnRequest(milliseconds(index % 3 == 0 ? 2500 : 1900));
   }
@@ -23,18 +23,18 @@
   EXPECT_EQ(patience.AgeOf(milliseconds(2500)), Duration(0));
 }
 
-TEST(CallerPatience, FewHaveMoreTimeThanAllOthers_TheyDoNotMakeTheOthersOld)
+TEST(RequestAgeEstimator, FewHaveMoreTimeThanAllOthers_TheyDoNotMakeTheOthersOld)
 {
-  CallerPatience patience;
+  RequestAgeEstimator patience;
   for (int index = 0; index < 200; ++index) {
     patience.OnRequest(milliseconds(index % 20 == 0 ? 60000 : 2500));
   }
   EXPECT_EQ(patience.AgeOf(milliseconds(2500)), Duration(0));
 }
 
-TEST(CallerPatience, CallersGiveLessTimeThanBefore_IsLearntAnew)
+TEST(RequestAgeEstimator, CallersGiveLessTimeThanBefore_IsLearntAnew)
 {
-  CallerPatience patience;
+  RequestAgeEstimator patience;
   for (int index = 0; index < 100; ++index) {
     patience.OnRequest(milliseconds(2500));
   }
--- a/Tests/LibGateway/TestServerDirectory.cpp
+++ b/Tests/LibGateway/TestServerDirectory.cpp
@@ -34,7 +34,7 @@
   {
     directory_.Remove(kNow, "s1");
     ASSERT_FALSE(IsListedAt("s1", seconds(1)));
-    directory_.OnStoreCameBack(kNow + seconds(1));
+    directory_.OnStoreRolledBack(kNow + seconds(1));
     directory_.Put(kNow + seconds(1),
                    { "s1", "rates", "10.0.0.1:80", "hall", 4, false, VersionIn(2, 1) });
   }
@@ -71,23 +71,23 @@
 TEST_F(DirectoryOfTwoServers, CopyShowsALeavingServerAsReady_ItStaysLeavingUntilItCouldSaySoAgain)
 {
   directory_.Put(kNow, { "s1", "rates", "10.0.0.1:80", "hall", 4, true, 3 });
-  directory_.OnStoreCameBack(kNow);
+  directory_.OnStoreRolledBack(kNow);
   Put("s1", "10.0.0.1:80", VersionIn(2, 1));
-  EXPECT_FALSE(directory_.Find("s1")->TakesWork());
+  EXPECT_FALSE(directory_.Find("s1")->AcceptsWork());
   directory_.Expire(kNow + milliseconds(2200));
-  EXPECT_FALSE(directory_.Find("s1")->TakesWork());
+  EXPECT_FALSE(directory_.Find("s1")->AcceptsWork());
   EXPECT_TRUE(directory_.Expire(kNow + milliseconds(2400)));
-  EXPECT_TRUE(directory_.Find("s1")->TakesWork());
+  EXPECT_TRUE(directory_.Find("s1")->AcceptsWork());
 }
 
 TEST_F(DirectoryOfTwoServers, LeavingServerSaysSoAgainAfterTheCopy_ItStaysLeaving)
 {
   directory_.Put(kNow, { "s1", "rates", "10.0.0.1:80", "hall", 4, true, 3 });
-  directory_.OnStoreCameBack(kNow);
+  directory_.OnStoreRolledBack(kNow);
   Put("s1", "10.0.0.1:80", VersionIn(2, 1));
   directory_.Put(kNow, { "s1", "rates", "10.0.0.1:80", "hall", 4, true, VersionIn(2, 9) });
   EXPECT_FALSE(directory_.Expire(kNow + seconds(3)));
-  EXPECT_FALSE(directory_.Find("s1")->TakesWork());
+  EXPECT_FALSE(directory_.Find("s1")->AcceptsWork());
 }
 
 TEST_F(DirectoryOfTwoServers, CopyListsAServerThatWasGone_ItIsUsedOnlyIfItStaysListed)
@@ -106,7 +106,7 @@
 
 TEST_F(DirectoryOfTwoServers, CopyLacksAServer_ItIsKeptUntilItCouldWriteItselfAgain)
 {
-  directory_.OnStoreCameBack(kNow);
+  directory_.OnStoreRolledBack(kNow);
   directory_.Remove(kNow, "s1");
   EXPECT_TRUE(IsListedAt("s1", milliseconds(2200)));
   EXPECT_FALSE(IsListedAt("s1", milliseconds(2400)));
@@ -115,23 +115,23 @@
 TEST_F(DirectoryOfTwoServers, CopyLacksADrainedHall_ItStaysDrainedUntilOperatorsCouldSaySoAgain)
 {
   directory_.DrainHall("hall");
-  directory_.OnStoreCameBack(kNow);
+  directory_.OnStoreRolledBack(kNow);
   directory_.RestoreHall(kNow, "hall");
-  EXPECT_FALSE(directory_.Find("s1")->TakesWork());
+  EXPECT_FALSE(directory_.Find("s1")->AcceptsWork());
   directory_.DrainHall("hall");
   directory_.Expire(kNow + seconds(3));
-  EXPECT_FALSE(directory_.Find("s1")->TakesWork());
+  EXPECT_FALSE(directory_.Find("s1")->AcceptsWork());
   directory_.RestoreHall(kNow + seconds(3), "hall");
-  EXPECT_TRUE(directory_.Find("s1")->TakesWork());
+  EXPECT_TRUE(directory_.Find("s1")->AcceptsWork());
 }
 
 TEST_F(DirectoryOfTwoServers, CopyLacksADrainedHallAndNobodySaysSoAgain_ItIsRestored)
 {
   directory_.DrainHall("hall");
-  directory_.OnStoreCameBack(kNow);
+  directory_.OnStoreRolledBack(kNow);
   directory_.RestoreHall(kNow, "hall");
   EXPECT_TRUE(directory_.Expire(kNow + milliseconds(2400)));
-  EXPECT_TRUE(directory_.Find("s1")->TakesWork());
+  EXPECT_TRUE(directory_.Find("s1")->AcceptsWork());
 }
 
 TEST_F(DirectoryOfTwoServers, FormerLifeIsListedAgainByTheCopy_LaterLifeHasNotEnded)
@@ -139,7 +139,7 @@
   Put("s3", "10.0.0.1:80", 7);
   directory_.Remove(kNow, "s1");
   ASSERT_FALSE(IsListedAt("s1", seconds(1)));
-  directory_.OnStoreCameBack(kNow);
+  directory_.OnStoreRolledBack(kNow);
   // The same write as before, in the next epoch of the store.
   Put("s1", "10.0.0.1:80", VersionIn(1, 1));
   directory_.Expire(kNow + seconds(3));
@@ -179,13 +179,13 @@
 TEST_F(DirectoryOfTwoServers, HallIsDrained_ItsServersTakeNoWorkUntilItIsRestored)
 {
   directory_.DrainHall("hall");
-  EXPECT_FALSE(directory_.Find("s1")->TakesWork());
+  EXPECT_FALSE(directory_.Find("s1")->AcceptsWork());
   Put("s3", "10.0.0.3:80", 3);
-  EXPECT_FALSE(directory_.Find("s3")->TakesWork()) << "listed while its hall is drained";
+  EXPECT_FALSE(directory_.Find("s3")->AcceptsWork()) << "listed while its hall is drained";
   directory_.DrainHall("other");
   directory_.RestoreHall(kNow, "hall");
-  EXPECT_TRUE(directory_.Find("s1")->TakesWork());
-  EXPECT_TRUE(directory_.Find("s3")->TakesWork());
+  EXPECT_TRUE(directory_.Find("s1")->AcceptsWork());
+  EXPECT_TRUE(directory_.Find("s3")->AcceptsWork());
 }
 
 TEST_F(DirectoryOfTwoServers, HallIsRestored_ItsServersStartSlowlyUntilTheySayOtherwise)
@@ -224,19 +224,19 @@
 // Guards against the use of a leaving server whose record does not say so.
 TEST_F(DirectoryOfTwoServers, AnswerSaysThatAServerLeaves_TakesNoWorkWhateverRecordsOfItsLifeSay)
 {
-  EXPECT_TRUE(directory_.NoteLeaving(kNow, "s1", 0));
-  EXPECT_FALSE(directory_.Find("s1")->TakesWork());
-  EXPECT_TRUE(directory_.Find("s2")->TakesWork());
+  EXPECT_TRUE(directory_.RecordLeaving(kNow, "s1", 0));
+  EXPECT_FALSE(directory_.Find("s1")->AcceptsWork());
+  EXPECT_TRUE(directory_.Find("s2")->AcceptsWork());
   Put("s1", "10.0.0.1:80", 9);
-  EXPECT_FALSE(directory_.Find("s1")->TakesWork());
+  EXPECT_FALSE(directory_.Find("s1")->AcceptsWork());
   directory_.Remove(kNow, "s1");
   EXPECT_FALSE(IsListedAt("s1", seconds(1)));
   Put("s1", "10.0.0.1:80", 12);
-  EXPECT_FALSE(directory_.Find("s1")->TakesWork());
+  EXPECT_FALSE(directory_.Find("s1")->AcceptsWork());
   ServerRecord nextLife{ "s1", "rates", "10.0.0.1:80", "hall", 4, false, 13 };
   nextLife.life_ = 200;
   directory_.Put(kNow, nextLife);
-  EXPECT_TRUE(directory_.Find("s1")->TakesWork());
+  EXPECT_TRUE(directory_.Find("s1")->AcceptsWork());
 }
 
 // Guards against an older dropped record that hides what was learned of the server since.
@@ -245,12 +245,12 @@
   directory_.Remove(kNow, "s1");
   ASSERT_FALSE(IsListedAt("s1", seconds(1)));
   Put("s1", "10.0.0.9:80", 9);
-  directory_.NoteLeaving(kNow, "s1", 0);
+  directory_.RecordLeaving(kNow, "s1", 0);
   directory_.Remove(kNow, "s1");
   ASSERT_FALSE(IsListedAt("s1", seconds(1)));
   EXPECT_EQ(directory_.FindAny("s1")->address_, "10.0.0.9:80");
   Put("s1", "10.0.0.9:80", 12);
-  EXPECT_FALSE(directory_.Find("s1")->TakesWork());
+  EXPECT_FALSE(directory_.Find("s1")->AcceptsWork());
 }
 
 } // namespace
--- a/Tests/LibGateway/TestServerLoad.cpp
+++ b/Tests/LibGateway/TestServerLoad.cpp
@@ -28,11 +28,11 @@
   void AnswerWhileFull(int aCount, Duration aLatency)
   {
     for (int index = 0; index < aCount; ++index) {
-      while (load_.HasRoom(now_)) {
+      while (load_.HasCapacity(now_)) {
         Send();
       }
       now_ += aLatency;
-      load_.OnEnded(now_, attempt_ - load_.UnderWay() + 1, SendResult::Answered);
+      load_.OnEnded(now_, attempt_ - load_.InFlight() + 1, SendResult::Answered);
     }
   }
 
@@ -44,9 +44,9 @@
 TEST_F(LoadOfAServer, LimitIsReached_HasNoRoom)
 {
   load_.OnSent(now_, 1, kTarget);
-  EXPECT_TRUE(load_.HasRoom(now_));
+  EXPECT_TRUE(load_.HasCapacity(now_));
   load_.OnSent(now_, 2, kTarget);
-  EXPECT_FALSE(load_.HasRoom(now_));
+  EXPECT_FALSE(load_.HasCapacity(now_));
 }
 
 TEST_F(LoadOfAServer, ServerStartsAgainUnderItsId_WhatWasLearntOfItIsForgotten)
@@ -104,24 +104,24 @@
   now_ += milliseconds(60);
   // Two places, each free again after 100 ms: the next is free 40 ms from now, and one more every
   // 50 ms.
-  EXPECT_EQ(load_.ExpectedTurn(now_, 0, milliseconds(100)), milliseconds(40));
-  EXPECT_EQ(load_.ExpectedTurn(now_, 2, milliseconds(100)), milliseconds(140));
+  EXPECT_EQ(load_.ExpectedQueueTime(now_, 0, milliseconds(100)), milliseconds(40));
+  EXPECT_EQ(load_.ExpectedQueueTime(now_, 2, milliseconds(100)), milliseconds(140));
   // An overdue request may end at any moment.
-  EXPECT_EQ(load_.ExpectedTurn(now_ + seconds(1), 0, milliseconds(100)), milliseconds(25));
+  EXPECT_EQ(load_.ExpectedQueueTime(now_ + seconds(1), 0, milliseconds(100)), milliseconds(25));
 }
 
 TEST_F(LoadOfAServer, ShedAMomentAgo_TurnComesAfterThePause)
 {
   Answer(1, milliseconds(1), SendResult::Shed);
-  EXPECT_GE(load_.ExpectedTurn(now_, 0, milliseconds(1)), milliseconds(15));
+  EXPECT_GE(load_.ExpectedQueueTime(now_, 0, milliseconds(1)), milliseconds(15));
 }
 
 TEST_F(LoadOfAServer, HalfOfTheLimitIsUnderWay_HasNoSpareRoom)
 {
-  EXPECT_TRUE(load_.HasSpareRoom());
+  EXPECT_TRUE(load_.HasSpareCapacity());
   Send();
-  EXPECT_TRUE(load_.HasRoom(now_));
-  EXPECT_FALSE(load_.HasSpareRoom());
+  EXPECT_TRUE(load_.HasCapacity(now_));
+  EXPECT_FALSE(load_.HasSpareCapacity());
 }
 
 TEST_F(LoadOfAServer, WorkIsTaken_CountsAnswersAndTimeOutsOnce)
@@ -140,25 +140,25 @@
   AnswerWhileFull(200, milliseconds(5));
   Answer(1, milliseconds(1), SendResult::Shed);
   EXPECT_EQ(load_.Limit(), 4U);
-  EXPECT_FALSE(load_.HasRoom(now_));
+  EXPECT_FALSE(load_.HasCapacity(now_));
 }
 
 TEST_F(LoadOfAServer, CannotBeReached_PauseDoublesAndEnds)
 {
   Answer(1, milliseconds(1), SendResult::NotReached);
-  EXPECT_FALSE(load_.HasRoom(now_ + milliseconds(100)));
-  EXPECT_TRUE(load_.HasRoom(now_ + milliseconds(300)));
+  EXPECT_FALSE(load_.HasCapacity(now_ + milliseconds(100)));
+  EXPECT_TRUE(load_.HasCapacity(now_ + milliseconds(300)));
   Answer(1, milliseconds(1), SendResult::NotReached);
-  EXPECT_FALSE(load_.HasRoom(now_ + milliseconds(300)));
-  EXPECT_TRUE(load_.HasRoom(now_ + milliseconds(600)));
+  EXPECT_FALSE(load_.HasCapacity(now_ + milliseconds(300)));
+  EXPECT_TRUE(load_.HasCapacity(now_ + milliseconds(600)));
 }
 
 TEST_F(LoadOfAServer, NoAnswerForManyTimesTheMean_NothingMoreIsSent)
 {
   Answer(20, milliseconds(20));
   Send();
-  EXPECT_TRUE(load_.HasRoom(now_ + milliseconds(100)));
-  EXPECT_FALSE(load_.HasRoom(now_ + milliseconds(400)));
+  EXPECT_TRUE(load_.HasCapacity(now_ + milliseconds(100)));
+  EXPECT_FALSE(load_.HasCapacity(now_ + milliseconds(400)));
 }
 
 TEST_F(LoadOfAServer, SomeFail_FailureShareFollows)
--- a/Tests/LibGateway/TestSlowStartShare.cpp
+++ b/Tests/LibGateway/TestSlowStartLimiter.cpp
@@ -1,4 +1,4 @@
-#include "LibGateway/SlowStartShare.h"
+#include "LibGateway/SlowStartLimiter.h"
 
 #include <algorithm>
 #include <gtest/gtest.h>
@@ -11,32 +11,32 @@
 
 constexpr Instant kNow = seconds(100);
 
-TEST(SlowStartShare, ServerIsWarm_NothingIsBound)
+TEST(SlowStartLimiter, ServerIsWarm_NothingIsBound)
 {
-  SlowStartShare share;
-  EXPECT_TRUE(share.HasRoom(kNow));
+  SlowStartLimiter share;
+  EXPECT_TRUE(share.HasCapacity(kNow));
   share.OnSent(kNow);
-  EXPECT_TRUE(share.HasRoom(kNow));
+  EXPECT_TRUE(share.HasCapacity(kNow));
 }
 
-TEST(SlowStartShare, RateIsSpent_NextOneMustBeSavedUp)
+TEST(SlowStartLimiter, RateIsSpent_NextOneMustBeSavedUp)
 {
-  SlowStartShare share;
+  SlowStartLimiter share;
   share.Begin(kNow, kNow + seconds(10), 0.5, 1);
-  EXPECT_TRUE(share.HasRoom(kNow));
+  EXPECT_TRUE(share.HasCapacity(kNow));
   share.OnSent(kNow);
-  EXPECT_FALSE(share.HasRoom(kNow + milliseconds(1900)));
-  EXPECT_TRUE(share.HasRoom(kNow + milliseconds(2100)));
-  EXPECT_TRUE(share.HasRoom(kNow + seconds(10))) << "the slow start is over";
+  EXPECT_FALSE(share.HasCapacity(kNow + milliseconds(1900)));
+  EXPECT_TRUE(share.HasCapacity(kNow + milliseconds(2100)));
+  EXPECT_TRUE(share.HasCapacity(kNow + seconds(10))) << "the slow start is over";
 }
 
-TEST(SlowStartShare, BeginsAnewWhileItLasts_NothingIsGivenTwice)
+TEST(SlowStartLimiter, BeginsAnewWhileItLasts_NothingIsGivenTwice)
 {
-  SlowStartShare share;
+  SlowStartLimiter share;
   share.Begin(kNow, kNow + seconds(10), 0.5, 1);
   share.OnSent(kNow);
   share.Begin(kNow + milliseconds(100), kNow + seconds(10), 0.5, 1);
-  EXPECT_FALSE(share.HasRoom(kNow + milliseconds(200)));
+  EXPECT_FALSE(share.HasCapacity(kNow + milliseconds(200)));
 }
 
 // Many instances without coordination send to a server in slow start, each with more requests
@@ -52,14 +52,14 @@
   constexpr std::size_t kMostInASecond = 16;
   std::minstd_rand random(GetParam());
   std::uniform_real_distribution<double> draw(0, 1);
-  std::vector<SlowStartShare> shares(kInstances);
+  std::vector<SlowStartLimiter> shares(kInstances);
   for (auto& share : shares) {
     share.Begin(kNow, kNow + seconds(3), kRate / kInstances, draw(random));
   }
   std::vector<Instant> sends;
   for (auto now = kNow; now < kNow + seconds(3); now += milliseconds(1)) {
     for (auto& share : shares) {
-      if (share.HasRoom(now)) {
+      if (share.HasCapacity(now)) {
         share.OnSent(now);
         sends.push_back(now);
       }
