--- a/Tests/LibLimit/TestGroupLimits.cpp
+++ b/Tests/LibLimit/TestGroupLimits.cpp
@@ -1,5 +1,5 @@
-#include "LibLimit/LimitKeeper.h"
-#include "LibLimit/LimitMember.h"
+#include "LibLimit/LimitCoordinator.h"
+#include "LibLimit/LimitEnforcer.h"
 
 #include <algorithm>
 #include <cmath>
@@ -20,7 +20,7 @@
   double usual_ = 0;
   // By tenths of a second.
   std::vector<int> asked_;
-  std::vector<int> passed_;
+  std::vector<int> admitted_;
 };
 
 // A fleet whose balancer distributes callers unevenly, as hashing does: some instances get
@@ -39,7 +39,7 @@
   void Build(std::size_t aInstances, double aRequests, unsigned aSeed = 1)
   {
     random_.seed(aSeed);
-    members_ = std::vector<LimitMember>(aInstances);
+    members_ = std::vector<LimitEnforcer>(aInstances);
     cutOff_.assign(aInstances, false);
     for (auto& member : members_) {
       member.SetInstances(aInstances);
@@ -63,7 +63,7 @@
       }
       shares_.emplace_back(shares.begin(), shares.end());
     }
-    StartKeeper();
+    StartLimitCoordinator();
   }
 
   // Resets the state for another run.
@@ -71,16 +71,16 @@
   {
     records_.clear();
     shares_.clear();
-    uses_.clear();
+    usages_.clear();
     parts_.clear();
     messages_ = 0;
     now_ = kStart;
     nextReports_ = kStart;
   }
 
-  void StartKeeper()
+  void StartLimitCoordinator()
   {
-    keeper_ = LimitKeeper(seconds(kWindowS));
+    keeper_ = LimitCoordinator(seconds(kWindowS));
     std::vector<CallerGroup> groups;
     for (const auto& record : records_) {
       groups.push_back(record.group_);
@@ -110,20 +110,20 @@
     auto& record = records_[aGroup];
     const auto bin = static_cast<std::size_t>((now_ - kStart) / milliseconds(100));
     record.asked_.resize(bin + 1);
-    record.passed_.resize(bin + 1);
+    record.admitted_.resize(bin + 1);
     for (int count = 0; count < aCount; ++count) {
       auto& member = members_[shares_[aGroup](random_)];
       ++record.asked_[bin];
-      record.passed_[bin] += member.TryPass(now_, record.group_, false) ? 1 : 0;
+      record.admitted_[bin] += member.TryAdmit(now_, record.group_, false) ? 1 : 0;
     }
   }
 
   void Talk()
   {
     for (std::size_t index = 0; index < members_.size(); ++index) {
-      if (members_[index].IsTellDue(now_) && !cutOff_[index]) {
+      if (members_[index].IsReportDue(now_) && !cutOff_[index]) {
         ++messages_;
-        uses_.push_back({ now_ + kWay, index, members_[index].TakeUses(now_) });
+        usages_.push_back({ now_ + kWay, index, members_[index].TakeUsage(now_) });
       }
     }
     if (!isKeeperUp_) {
@@ -133,12 +133,12 @@
       nextReports_ = now_ + milliseconds(800);
       for (std::size_t index = 0; index < members_.size(); ++index) {
         if (!cutOff_[index]) {
-          keeper_.OnHeard(now_, std::to_string(index));
-          members_[index].OnKeeperHeard(now_);
+          keeper_.OnInstanceContact(now_, std::to_string(index));
+          members_[index].OnCoordinatorContact(now_);
         }
       }
     }
-    const auto parts = keeper_.TakeShort(now_);
+    const auto parts = keeper_.TakeRestrictedShares(now_);
     for (std::size_t index = 0; index < members_.size() && !parts.empty(); ++index) {
       // Delay of the update tree, which does not reach all instances at once.
       parts_.push_back({ now_ + kWay * 4, index, parts });
@@ -148,12 +148,13 @@
 
   void Deliver()
   {
-    while (!uses_.empty() && uses_.front().at_ <= now_) {
-      const auto message = std::move(uses_.front());
-      uses_.pop_front();
+    while (!usages_.empty() && usages_.front().at_ <= now_) {
+      const auto message = std::move(usages_.front());
+      usages_.pop_front();
       if (isKeeperUp_) {
-        keeper_.OnUses(now_, message.uses_);
-        parts_.push_back({ now_ + kWay, message.instance_, keeper_.PartsOf(now_, message.uses_) });
+        keeper_.OnUsage(now_, message.usages_);
+        parts_.push_back(
+          { now_ + kWay, message.instance_, keeper_.AdmittedSharesOf(now_, message.usages_) });
       }
     }
     for (std::size_t index = 0; index < parts_.size();) {
@@ -164,8 +165,8 @@
       const auto message = std::move(parts_[index]);
       parts_.erase(parts_.begin() + static_cast<std::ptrdiff_t>(index));
       if (!cutOff_[message.instance_]) {
-        members_[message.instance_].OnKeeperHeard(now_);
-        members_[message.instance_].OnParts(now_, message.parts_);
+        members_[message.instance_].OnCoordinatorContact(now_);
+        members_[message.instance_].OnAdmittedShares(now_, message.parts_);
       }
     }
   }
@@ -178,8 +179,8 @@
       (record.group_.rate_ * kWindowS + record.group_.burst_) * (1 + kOver) + kSlack;
     double worst = 0;
     const int bins = kWindowS * kBinsASecond;
-    for (int first = 0; first + bins <= static_cast<int>(record.passed_.size()); ++first) {
-      const auto begin = record.passed_.begin() + first;
+    for (int first = 0; first + bins <= static_cast<int>(record.admitted_.size()); ++first) {
+      const auto begin = record.admitted_.begin() + first;
       worst = std::max(worst, std::accumulate(begin, begin + bins, 0.0) / most);
     }
     return worst;
@@ -207,7 +208,7 @@
       level -= taken;
       owed += taken;
     }
-    const auto passed = std::accumulate(record.passed_.begin(), record.passed_.end(), 0.0);
+    const auto passed = std::accumulate(record.admitted_.begin(), record.admitted_.end(), 0.0);
     const auto asked = std::accumulate(record.asked_.begin(), record.asked_.end(), 0.0);
     return asked == 0 ? 0 : std::max(0.0, owed - passed) / asked;
   }
@@ -232,26 +233,26 @@
   {
     Instant at_;
     std::size_t instance_;
-    GroupUses uses_;
+    GroupUsages usages_;
   };
   struct PartMessage
   {
     Instant at_;
     std::size_t instance_;
-    GroupParts parts_;
+    AdmittedShares parts_;
   };
 
   static constexpr Instant kStart = seconds(100);
   Instant now_ = kStart;
   std::minstd_rand random_;
-  std::vector<LimitMember> members_;
+  std::vector<LimitEnforcer> members_;
   std::vector<bool> cutOff_;
   std::vector<GroupRecord> records_;
   std::vector<std::discrete_distribution<std::size_t>> shares_;
-  LimitKeeper keeper_{ seconds(kWindowS) };
+  LimitCoordinator keeper_{ seconds(kWindowS) };
   bool isKeeperUp_ = false;
   Instant nextReports_ = kStart;
-  std::deque<UseMessage> uses_;
+  std::deque<UseMessage> usages_;
   std::deque<PartMessage> parts_;
   std::size_t messages_ = 0;
 };
@@ -307,7 +308,7 @@
   Run(seconds(4), 0, 5);
   isKeeperUp_ = false;
   Run(seconds(2), 0, 5);
-  StartKeeper();
+  StartLimitCoordinator();
   Run(seconds(8), 0, 5);
   EXPECT_LE(WorstWindow(), 1);
 }
@@ -331,13 +332,13 @@
     while (now_ < end) {
       now_ += milliseconds(100);
       const auto count = static_cast<std::uint32_t>(aRate / 10);
-      keeper_.OnUses(now_, { { "g", count, 0, count } });
+      keeper_.OnUsage(now_, { { "g", count, 0, count } });
     }
-    return keeper_.PartsOf(now_, { { "g", 0, 0, 0 } }).front().part_;
+    return keeper_.AdmittedSharesOf(now_, { { "g", 0, 0, 0 } }).front().share_;
   }
 
   Instant now_ = seconds(100);
-  LimitKeeper keeper_{ seconds(5) };
+  LimitCoordinator keeper_{ seconds(5) };
 };
 
 TEST_F(LimitKeeperOfOneGroup, LimitIsLowered_TakesHoldAWindowLater)
@@ -363,40 +364,40 @@
   keeper_.SetGroups(now_, { Group(100) });
   for (int round = 0; round < 30; ++round) {
     now_ += milliseconds(100);
-    keeper_.OnUses(now_, { { "g", 8, 10, 10 } });
+    keeper_.OnUsage(now_, { { "g", 8, 10, 10 } });
   }
-  const auto part = keeper_.PartsOf(now_, { { "g", 0, 0, 0 } }).front();
-  EXPECT_EQ(part.part_, 1);
-  EXPECT_LT(part.latePart_, 0.4);
+  const auto part = keeper_.AdmittedSharesOf(now_, { { "g", 0, 0, 0 } }).front();
+  EXPECT_EQ(part.share_, 1);
+  EXPECT_LT(part.lateShare_, 0.4);
   for (int round = 0; round < 30; ++round) {
     now_ += milliseconds(100);
-    keeper_.OnUses(now_, { { "g", 20, 10, 10 } });
+    keeper_.OnUsage(now_, { { "g", 20, 10, 10 } });
   }
-  const auto over = keeper_.PartsOf(now_, { { "g", 0, 0, 0 } }).front();
-  EXPECT_LT(over.part_, 0.7);
-  EXPECT_EQ(over.latePart_, 0);
+  const auto over = keeper_.AdmittedSharesOf(now_, { { "g", 0, 0, 0 } }).front();
+  EXPECT_LT(over.share_, 0.7);
+  EXPECT_EQ(over.lateShare_, 0);
 }
 
 TEST_F(LimitKeeperOfOneGroup, GroupIsUnknown_NoPartIsNamed)
 {
-  EXPECT_TRUE(keeper_.PartsOf(now_, { { "other", 1, 0, 1 } }).empty());
-  EXPECT_TRUE(keeper_.TakeShort(now_).empty());
+  EXPECT_TRUE(keeper_.AdmittedSharesOf(now_, { { "other", 1, 0, 1 } }).empty());
+  EXPECT_TRUE(keeper_.TakeRestrictedShares(now_).empty());
 }
 
-TEST(GroupUse, WrittenAndRead_IsTheSame)
+TEST(GroupUsage, WrittenAndRead_IsTheSame)
 {
-  const UseReport report{ "10.0.0.1:9", { { "g\"1", 3, 4, 2 }, { "g2", 1, 0, 0 } } };
-  EXPECT_EQ(ParseUseReport(SerializeUseReport(report)).value(), report);
-  const GroupParts parts{ { "g1", 0.25, 0 }, { "g2", 1, 0.5 } };
-  EXPECT_EQ(ParseParts(SerializeParts(parts)).value(), parts);
+  const UsageReport report{ "10.0.0.1:9", { { "g\"1", 3, 4, 2 }, { "g2", 1, 0, 0 } } };
+  EXPECT_EQ(ParseUsageReport(SerializeUsageReport(report)).value(), report);
+  const AdmittedShares parts{ { "g1", 0.25, 0 }, { "g2", 1, 0.5 } };
+  EXPECT_EQ(ParseAdmittedShares(SerializeAdmittedShares(parts)).value(), parts);
 }
 
-TEST(GroupUse, Malformed_IsRefused)
+TEST(GroupUsage, Malformed_IsRefused)
 {
-  EXPECT_FALSE(ParseUseReport("{"));
-  EXPECT_FALSE(ParseUseReport(R"({"address":"a","uses":[{"group":"g","asked":-1}]})"));
-  EXPECT_FALSE(ParseParts(R"({"parts":[{"group":"g","part":2}]})"));
-  EXPECT_FALSE(ParseParts(R"({"parts":[7]})"));
+  EXPECT_FALSE(ParseUsageReport("{"));
+  EXPECT_FALSE(ParseUsageReport(R"({"address":"a","uses":[{"group":"g","asked":-1}]})"));
+  EXPECT_FALSE(ParseAdmittedShares(R"({"parts":[{"group":"g","part":2}]})"));
+  EXPECT_FALSE(ParseAdmittedShares(R"({"parts":[7]})"));
 }
 
 } // namespace
--- a/Tests/LibPermit/TestDispatchUnderLoad.cpp
+++ b/Tests/LibPermit/TestDispatchUnderLoad.cpp
@@ -95,7 +95,7 @@
   {
     std::size_t running_ = 0;
     std::deque<std::size_t> waiting_;
-    double pace_ = 1;
+    double slowdown_ = 1;
   };
 
   struct Step
@@ -143,7 +143,7 @@
   void Spell(std::size_t aServer)
   {
     std::bernoulli_distribution isSlow(kSpellShare);
-    servers_[aServer].pace_ = isSlow(random_) ? kSpellFactor : 1;
+    servers_[aServer].slowdown_ = isSlow(random_) ? kSpellFactor : 1;
     In(kSpell, [this, aServer] { Spell(aServer); });
   }
 
@@ -176,7 +176,7 @@
        [this, aRequest, ask] { dispatcher_.OnMessage(now_, 1 + aRequest % kInstances, ask); });
   }
 
-  void NoteLeaving(const std::string&, std::uint64_t) override {}
+  void RecordLeaving(const std::string&, std::uint64_t) override {}
   void Answer(CallerId, const MessageFromDispatcher& aMessage) override
   {
     if (const auto* permit = std::get_if<Permit>(&aMessage)) {
@@ -208,7 +208,7 @@
     // Of mean 1; most lie within a factor of two.
     constexpr double kSigma = 0.6;
     std::lognormal_distribution<double> spread(-kSigma * kSigma / 2, kSigma);
-    const auto work = Scale(kWork, SpeedOf(aServer) * server.pace_ * spread(random_));
+    const auto work = Scale(kWork, SpeedOf(aServer) * server.slowdown_ * spread(random_));
     In(work, [this, aRequest, aServer] { End(aRequest, aServer); });
   }
 
@@ -236,7 +236,7 @@
     const ServerStatus status{ static_cast<unsigned>(server.running_),
                                static_cast<unsigned>(server.waiting_.size()),
                                kSlots,
-                               server.pace_ };
+                               server.slowdown_ };
     const SendEnd end{ aRequest, aResult, now_ - requests_[aRequest].sent_, status };
     In(2 * kWay,
        [this, aRequest, end] { dispatcher_.OnMessage(now_, 1 + aRequest % kInstances, end); });
--- a/Tests/LibPermit/TestPermitClient.cpp
+++ b/Tests/LibPermit/TestPermitClient.cpp
@@ -63,7 +63,7 @@
     ask.number_ = aNumber;
     ask.service_ = "plain";
     ask.timeLeft_ = seconds(1);
-    client_.Ask(now_, ask);
+    client_.RequestPermit(now_, ask);
   }
 
   void Pass(Duration aTime)
@@ -137,7 +137,7 @@
 {
   LinkUp();
   Ask(5);
-  client_.OnUnanswered(now_, "plain");
+  client_.OnPermitTimeout(now_, "plain");
   EXPECT_FALSE(client_.CanAsk("plain"));
   Pass(milliseconds(200));
   EXPECT_NE(std::get_if<DispatcherProbe>(&recorded_.told_.back().second), nullptr);
@@ -151,7 +151,7 @@
 {
   LinkUp();
   Ask(5);
-  client_.OnUnanswered(now_, "plain");
+  client_.OnPermitTimeout(now_, "plain");
   Pass(milliseconds(100));
   client_.OnMessage(now_, recorded_.dialled_[0], DispatcherSign{});
   EXPECT_TRUE(client_.CanAsk("plain"));
--- a/Tests/LibPermit/TestPermitDispatcher.cpp
+++ b/Tests/LibPermit/TestPermitDispatcher.cpp
@@ -262,7 +262,7 @@
   EXPECT_EQ(PermittedTo(other), "");
   dispatcher_.OnCallerGone(now_, 7);
   EXPECT_EQ(PermittedTo(other), "s1");
-  EXPECT_EQ(dispatcher_.UnderWay(), 1U);
+  EXPECT_EQ(dispatcher_.InFlight(), 1U);
   EXPECT_EQ(dispatcher_.Waiting(), 0U);
 }
 
@@ -272,7 +272,7 @@
   Ask();
   Ask();
   Pass(seconds(2));
-  EXPECT_EQ(dispatcher_.UnderWay(), 0U);
+  EXPECT_EQ(dispatcher_.InFlight(), 0U);
   EXPECT_EQ(PermittedTo(Ask()), "s1");
 }
 
@@ -297,12 +297,12 @@
   again.number_ = ask;
   again.service_ = "plain";
   dispatcher_.OnMessage(now_, kCaller, again);
-  EXPECT_EQ(dispatcher_.UnderWay(), 1U);
+  EXPECT_EQ(dispatcher_.InFlight(), 1U);
   End(ask);
   End(ask);
   End(12345);
   dispatcher_.OnMessage(now_, kCaller, PermitWithdrawal{ 777 });
-  EXPECT_EQ(dispatcher_.UnderWay(), 0U);
+  EXPECT_EQ(dispatcher_.InFlight(), 0U);
   EXPECT_EQ(PermittedTo(Ask()), "s1");
 }
 
--- a/Tests/Platform/TestPlatformCodec.cpp
+++ b/Tests/Platform/TestPlatformCodec.cpp
@@ -49,7 +49,7 @@
   }
 
   const PlatformCodec codec_;
-  const AttemptOrder order_{ 1, 1, "i-1", "10.0.0.1:80", milliseconds(345) };
+  const AttemptCommand order_{ 1, 1, "i-1", "10.0.0.1:80", milliseconds(345) };
 };
 
 TEST_F(CodecOfOneAttempt, ClientRequest_IsReadIntoWhatRoutingNeeds)
@@ -130,14 +130,15 @@
 
 TEST_F(CodecOfOneAttempt, ServerAsksForRest_IsReadFromItsRefusalInSeconds)
 {
-  EXPECT_EQ(Decode(503, { { "Retry-After", "3" }, { "X-Not-Executed", "1" } }).rest_, seconds(3));
-  EXPECT_EQ(Decode(503, { { "Retry-After", "0.25" } }).rest_, milliseconds(250));
-  EXPECT_EQ(Decode(503, { { "Retry-After", "99999999" } }).rest_, seconds(600));
-  EXPECT_FALSE(Decode(500, { { "Retry-After", "3" } }).rest_);
-  EXPECT_FALSE(Decode(503, {}).rest_);
+  EXPECT_EQ(Decode(503, { { "Retry-After", "3" }, { "X-Not-Executed", "1" } }).backoff_,
+            seconds(3));
+  EXPECT_EQ(Decode(503, { { "Retry-After", "0.25" } }).backoff_, milliseconds(250));
+  EXPECT_EQ(Decode(503, { { "Retry-After", "99999999" } }).backoff_, seconds(600));
+  EXPECT_FALSE(Decode(500, { { "Retry-After", "3" } }).backoff_);
+  EXPECT_FALSE(Decode(503, {}).backoff_);
   for (const auto* text :
        { "", "0", "-1", "soon", "3 s", "nan", "inf", "Wed, 21 Oct 2026 07:28 GMT" }) {
-    EXPECT_FALSE(Decode(503, { { "Retry-After", text } }).rest_) << text;
+    EXPECT_FALSE(Decode(503, { { "Retry-After", text } }).backoff_) << text;
   }
 }
 
--- a/Tests/Platform/TestPlatformDocuments.cpp
+++ b/Tests/Platform/TestPlatformDocuments.cpp
@@ -58,13 +58,13 @@
   EXPECT_EQ(booking.priority_, 1U);
   EXPECT_EQ(booking.latencyTarget_, milliseconds(250));
   EXPECT_EQ(booking.timeLimit_, milliseconds(600));
-  EXPECT_EQ(booking.mostAttempts_, 2U);
+  EXPECT_EQ(booking.maxAttempts_, 2U);
   const auto& rates = configuration.routes_[1];
   EXPECT_TRUE(rates.isRepeatable_);
   EXPECT_EQ(rates.targets_, (std::vector<RouteTarget>{ { "rate", 90 }, { "book", 10 } }));
   EXPECT_TRUE(configuration.services_[0].isKeyed_);
   EXPECT_FALSE(configuration.services_[1].isKeyed_);
-  EXPECT_EQ(configuration.services_[1].mostConnections_, 120U);
+  EXPECT_EQ(configuration.services_[1].maxConnections_, 120U);
 }
 
 TEST_F(DecoderOfManifests, OtherRowOfTheTable_IsNoConfiguration)
@@ -172,9 +172,9 @@
   EXPECT_EQ(host.clientAddress_, "10.1.0.15:1");
   EXPECT_EQ(host.readyAddress_, "10.1.0.15:2");
   EXPECT_EQ(host.peerAddress_, "10.1.0.15:3");
-  EXPECT_EQ(host.desk_.hall_, "hall-a");
-  EXPECT_EQ(host.desk_.retries_.ratio_, 0.2);
-  EXPECT_EQ(host.desk_.retries_.extra_, 62);
+  EXPECT_EQ(host.router_.hall_, "hall-a");
+  EXPECT_EQ(host.router_.retries_.ratio_, 0.2);
+  EXPECT_EQ(host.router_.retries_.extra_, 62);
   EXPECT_EQ(host.stopGrace_, seconds(6));
   EXPECT_EQ(host.member_.self_.instance_, "edge-1");
   EXPECT_EQ(host.member_.self_.address_, "10.1.0.15:3");
