--- a/Libraries/LibGateway/CallerChecks.cpp
+++ b/Libraries/LibGateway/CallerChecks.cpp
@@ -23,41 +23,41 @@
   const auto& request = aPending.request_;
   const auto* route = routes_->Match(request.host_, request.path_);
   aPending.group_ = request.apiKey_.empty() ? nullptr : routes_->FindGroup(request.apiKey_);
-  const auto bar = BarOf(aNow, route, aPending.group_);
+  const auto rejection = RejectionReasonOf(aNow, route, aPending.group_);
   aPending.route_ = route;
-  if (bar) {
-    Bar(aNow, aPending, *bar);
+  if (rejection) {
+    RejectCaller(aNow, aPending, *rejection);
   }
-  return !bar;
+  return !rejection;
 }
 
 bool
-GatewayRouter::TryPassGate(Instant aNow, PendingRequest& aPending)
+GatewayRouter::TryAdmitToGroup(Instant aNow, PendingRequest& aPending)
 {
   const auto* group = aPending.group_;
   if (group == nullptr) {
     return true;
   }
-  if (!gate_->TryAdmit(aNow, *group, aPending.isLate_)) {
-    Bar(aNow, aPending, RefusalReason::OverLimit);
+  if (!admission_->TryAdmit(aNow, *group, aPending.isLate_)) {
+    RejectCaller(aNow, aPending, RefusalReason::OverLimit);
     return false;
   }
-  tally_.OnGroup(group->name_, std::nullopt);
+  statistics_.OnGroup(group->name_, std::nullopt);
   return true;
 }
 
 void
-GatewayRouter::Bar(Instant aNow, PendingRequest& aPending, RefusalReason aReason)
+GatewayRouter::RejectCaller(Instant aNow, PendingRequest& aPending, RefusalReason aReason)
 {
   if (aPending.group_ != nullptr) {
-    tally_.OnGroup(aPending.group_->name_, aReason);
+    statistics_.OnGroup(aPending.group_->name_, aReason);
   }
   Refuse(aNow, aPending, aReason);
 }
 
 // The answer to a caller without a known key does not reveal whether the route exists.
 std::optional<RefusalReason>
-GatewayRouter::BarOf(Instant aNow, const Route* aRoute, const CallerGroup* aGroup) const
+GatewayRouter::RejectionReasonOf(Instant aNow, const Route* aRoute, const CallerGroup* aGroup) const
 {
   const bool needsKey = NeedsApiKey(*routes_, aRoute);
   if (needsKey && aNow >= apiKeysUntil_) {
@@ -93,7 +93,7 @@
   }
   for (const auto number : revoked) {
     auto& pending = pending_.at(number);
-    pending.obstacle_ = RefusalReason::UnknownApiKey;
+    pending.blockReason_ = RefusalReason::UnknownApiKey;
     RefuseWaiting(aNow, pending);
   }
 }
--- a/Libraries/LibGateway/GatewayRouter.cpp
+++ b/Libraries/LibGateway/GatewayRouter.cpp
@@ -7,41 +7,41 @@
 namespace {
 
 // Shortest retry delay that is sent to clients.
-constexpr Duration kLeastRetryAfter = milliseconds(50);
+constexpr Duration kMinRetryDelay = milliseconds(50);
 // Jitter: clients that were refused together retry after a random multiple of the expected wait,
 // between these bounds. This is the widest even spread around the wait in which nobody retries at
 // once.
-constexpr double kLeastSpread = 0.5;
-constexpr double kMostSpread = 1.5;
+constexpr double kMinJitter = 0.5;
+constexpr double kMaxJitter = 1.5;
 // A request that can no longer be answered in time waits no longer than its client would before a
 // retry.
-constexpr Duration kLateWait = kLeastRetryAfter;
+constexpr Duration kMaxLateWait = kMinRetryDelay;
 // Retry delay for callers of a group that is over its limit, or whose API key could not be
 // verified: both conditions end within about a second, or last.
-constexpr Duration kBarredPause = seconds(1);
+constexpr Duration kRejectedRetryDelay = seconds(1);
 // Clients retry within a third of the time they have left (guaranteed by the platform); a later
 // retry would not be made at all.
-constexpr double kRetryAfterOfTimeLeft = 0.3;
+constexpr double kRetryDelayPerTimeLeft = 0.3;
 // A request that arrives before the first configuration waits for it for this fraction of the
 // client's time: an instance receives it within some 0.2 s of its start. The wait is less than a
 // quarter of the latency targets, which are above a third of that time.
-constexpr double kUnroutedPart = 0.08;
+constexpr double kConfigurationWaitPerTimeLeft = 0.08;
 // Within this time of its first configuration an instance also learns of the servers and of the
 // owners of keys: about as long as reading a table of the store takes.
-constexpr Duration kLearnTime = milliseconds(200);
+constexpr Duration kStartupLearnTime = milliseconds(200);
 // Assumed time left of a request without a route and without a time limit of its client.
-constexpr Duration kUnknownTarget = seconds(1);
+constexpr Duration kAssumedTimeLeft = seconds(1);
 // Reserved for the way back of the answer when a server is sent its time limit.
-constexpr Duration kWayBack = milliseconds(2);
+constexpr Duration kAnswerTransitTime = milliseconds(2);
 // Grace period for an answer that the server sends at its time limit.
 constexpr Duration kAnswerGrace = milliseconds(20);
 // With less time than this, a send would only waste work of the server.
-constexpr Duration kLeastSendTime = milliseconds(5);
+constexpr Duration kMinSendTime = milliseconds(5);
 // Sends beyond the attempts of the route, for servers that did not run the request.
-constexpr unsigned kSpareSends = 2;
+constexpr unsigned kExtraSends = 2;
 // Delay before a retry after an owner answered that it does not own the key: about one move of
 // keys, so that the view can catch up.
-constexpr Duration kWrongOwnerPause = milliseconds(30);
+constexpr Duration kWrongOwnerRetryDelay = milliseconds(30);
 // Time for which the address of an ended incarnation is suspended; the directory has been updated
 // by then.
 constexpr Duration kOtherLifePause = seconds(3);
@@ -81,7 +81,7 @@
 }
 
 QueuePosition<RequestNumber>
-PlaceOf(const PendingRequest& aPending)
+PositionOf(const PendingRequest& aPending)
 {
   return { aPending.Rank(), aPending.isLate_, aPending.deadline_, aPending.request_.number_ };
 }
@@ -116,18 +116,18 @@
   pending.request_ = std::move(aRequest);
   pending.arrival_ = aNow;
   if (routes_) {
-    Admit(aNow, pending);
+    RouteRequest(aNow, pending);
     return;
   }
-  const auto timeLeft = pending.request_.timeLeft_.value_or(kUnknownTarget);
+  const auto timeLeft = pending.request_.timeLeft_.value_or(kAssumedTimeLeft);
   pending.deadline_ = aNow + timeLeft;
-  pending.refuseAt_ = aNow + Scale(timeLeft, kUnroutedPart);
+  pending.refuseAt_ = aNow + Scale(timeLeft, kConfigurationWaitPerTimeLeft);
   SetTimer(pending, pending.refuseAt_);
 }
 
 // The request may have waited for the first configuration.
 void
-GatewayRouter::Admit(Instant aNow, PendingRequest& aPending)
+GatewayRouter::RouteRequest(Instant aNow, PendingRequest& aPending)
 {
   if (!TryIdentify(aNow, aPending)) {
     return;
@@ -135,11 +135,11 @@
   const auto& route = *aPending.route_;
   const auto timeLeft = aPending.request_.timeLeft_.value_or(route.timeLimit_);
   aPending.deadline_ = aPending.arrival_ + std::min(timeLeft, route.timeLimit_);
-  auto& patience = patience_[route.Name()];
-  patience.OnRequest(timeLeft);
-  aPending.inTimeUntil_ = aPending.arrival_ + route.latencyTarget_ - patience.AgeOf(timeLeft);
+  auto& requestAge = requestAges_[route.Name()];
+  requestAge.OnRequest(timeLeft);
+  aPending.inTimeUntil_ = aPending.arrival_ + route.latencyTarget_ - requestAge.AgeOf(timeLeft);
   aPending.isLate_ = aPending.inTimeUntil_ <= aNow;
-  if (!TryPassGate(aNow, aPending)) {
+  if (!TryAdmitToGroup(aNow, aPending)) {
     return;
   }
   aPending.service_ = routes_->FindService(ChooseTarget(route));
@@ -179,25 +179,25 @@
     if (aOutcome.isOtherLife_) {
       load->second.Suspend(aNow, kOtherLifePause);
     }
-    NoteRest(aNow, pending, aOutcome, load->second);
-    NoteRateLimit(aNow, pending, aOutcome, load->second);
+    RecordBackoff(aNow, pending, aOutcome, load->second);
+    RecordRateLimit(aNow, pending, aOutcome, load->second);
   }
-  tally_.OnAttempt(pending.server_, aOutcome.end_);
+  statistics_.OnAttempt(pending.server_, aOutcome.end_);
   pending.attempt_ = 0;
   pending.runs_ += MayHaveRun(aOutcome.end_) ? 1 : 0;
   if (pending.isClientGone_) {
     Finish(number);
   } else {
-    SettleAttempt(aNow, pending, aOutcome);
+    ResolveAttempt(aNow, pending, aOutcome);
   }
-  Pump(aNow, service);
+  SendQueued(aNow, service);
 }
 
 void
-GatewayRouter::NoteRest(Instant aNow,
-                        const PendingRequest& aPending,
-                        const AttemptOutcome& aOutcome,
-                        ServerLoad& aLoad)
+GatewayRouter::RecordBackoff(Instant aNow,
+                             const PendingRequest& aPending,
+                             const AttemptOutcome& aOutcome,
+                             ServerLoad& aLoad)
 {
   if (aOutcome.backoff_ && aLoad.StartBackoff(aNow, *aOutcome.backoff_)) {
     events_.Record(Event::ServerAskedForRest,
@@ -207,16 +207,16 @@
 }
 
 void
-GatewayRouter::NoteRateLimit(Instant aNow,
-                             const PendingRequest& aPending,
-                             const AttemptOutcome& aOutcome,
-                             ServerLoad& aLoad)
+GatewayRouter::RecordRateLimit(Instant aNow,
+                               const PendingRequest& aPending,
+                               const AttemptOutcome& aOutcome,
+                               ServerLoad& aLoad)
 {
   if (!aOutcome.rateLimit_) {
     return;
   }
   const auto rate = *aOutcome.rateLimit_;
-  if (aLoad.NamedLimit().OnAdvertised(
+  if (aLoad.AdvertisedLimit().OnAdvertised(
         aNow, aPending.sentAt_, rate, 1 / static_cast<double>(InstanceCount()))) {
     events_.Record(Event::ServerLimitsRate,
                    "server=" + aPending.server_ + " request=" + aPending.request_.id_ +
@@ -225,7 +225,9 @@
 }
 
 void
-GatewayRouter::SettleAttempt(Instant aNow, PendingRequest& aPending, const AttemptOutcome& aOutcome)
+GatewayRouter::ResolveAttempt(Instant aNow,
+                              PendingRequest& aPending,
+                              const AttemptOutcome& aOutcome)
 {
   const bool isAnswered = aOutcome.end_ == AttemptEnd::Answered;
   const bool isGoodAnswer = isAnswered && !IsServerError(aOutcome);
@@ -235,7 +237,7 @@
   }
   if (isAnswered) {
     const auto number = aPending.request_.number_;
-    tally_.OnAnswer(NameOf(aPending.route_), aOutcome.status_, aNow - aPending.arrival_);
+    statistics_.OnAnswer(NameOf(aPending.route_), aOutcome.status_, aNow - aPending.arrival_);
     events_.Record(
       Event::GatewayAnswer,
       "request=" + aPending.request_.id_ + " route=" + NameOf(aPending.route_) +
@@ -263,7 +265,7 @@
                    " rest_us=" + std::to_string(aOutcome.backoff_.value_or(Duration(0)).count()));
   aPending.tried_.push_back(aPending.server_);
   if (aOutcome.end_ == AttemptEnd::WrongServer && !aOutcome.isOtherLife_) {
-    aPending.notBefore_ = aNow + kWrongOwnerPause;
+    aPending.notBefore_ = aNow + kWrongOwnerRetryDelay;
   }
   if (!TrySend(aNow, aPending)) {
     WaitOrRefuse(aNow, aPending);
@@ -277,11 +279,11 @@
   const bool isAllowed =
     (route.isRepeatable_ || !MayHaveRun(aOutcome.end_)) && IsApiKeyProven(aNow, aPending);
   const bool hasAttempts =
-    aPending.runs_ < route.maxAttempts_ && aPending.sends_ < route.maxAttempts_ + kSpareSends;
-  if (!isAllowed || !hasAttempts || aNow + kLeastSendTime >= aPending.deadline_) {
+    aPending.runs_ < route.maxAttempts_ && aPending.sends_ < route.maxAttempts_ + kExtraSends;
+  if (!isAllowed || !hasAttempts || aNow + kMinSendTime >= aPending.deadline_) {
     return false;
   }
-  if (RemainingDelay(aNow, aPending) + kLeastSendTime >= aPending.deadline_ - aNow) {
+  if (RemainingDelay(aNow, aPending) + kMinSendTime >= aPending.deadline_ - aNow) {
     return false;
   }
   // A request that never reached a server is no additional load, so it takes nothing from the
@@ -314,7 +316,7 @@
     attempts_.erase(pending.attempt_);
   }
   Finish(aRequest);
-  Pump(aNow, service);
+  SendQueued(aNow, service);
 }
 
 void
@@ -331,9 +333,9 @@
     }
     services.insert(pending.service_->name_);
     if (pending.attempt_ != 0) {
-      GiveUp(aNow, pending);
-    } else if (pending.ask_ != 0) {
-      OnAskDue(aNow, pending);
+      TimeOut(aNow, pending);
+    } else if (pending.permitRequest_ != 0) {
+      OnPermitRequestTimeout(aNow, pending);
     } else if (aNow >= std::min(pending.refuseAt_, pending.deadline_)) {
       RefuseWaiting(aNow, pending);
     } else {
@@ -341,7 +343,7 @@
     }
   }
   for (const auto& service : services) {
-    Pump(aNow, service);
+    SendQueued(aNow, service);
   }
 }
 
@@ -352,12 +354,12 @@
 }
 
 void
-GatewayRouter::GiveUp(Instant aNow, PendingRequest& aPending)
+GatewayRouter::TimeOut(Instant aNow, PendingRequest& aPending)
 {
   actions_.Cancel(aPending.attempt_);
   permits_.TellEnd(
     { aPending.attempt_, SendResult::Broken, aNow - aPending.sentAt_, std::nullopt, Duration(0) });
-  tally_.OnAttempt(aPending.server_, AttemptEnd::Broken);
+  statistics_.OnAttempt(aPending.server_, AttemptEnd::Broken);
   if (const auto load = loads_.find(aPending.server_); load != loads_.end()) {
     load->second.OnTimeOut(aNow, aPending.attempt_);
   }
@@ -375,7 +377,8 @@
 GatewayRouter::RefuseWaiting(Instant aNow, PendingRequest& aPending)
 {
   LeaveQueue(aPending);
-  Refuse(aNow, aPending, aPending.runs_ > 0 ? RefusalReason::OutcomeUnknown : aPending.obstacle_);
+  Refuse(
+    aNow, aPending, aPending.runs_ > 0 ? RefusalReason::OutcomeUnknown : aPending.blockReason_);
 }
 
 void
@@ -394,7 +397,7 @@
       " sends=" + std::to_string(aPending.sends_) + " runs=" + std::to_string(aPending.runs_) +
       " age_us=" + std::to_string((aNow - aPending.arrival_).count()) +
       " time_left_us=" + std::to_string(aPending.request_.timeLeft_.value_or(Duration(0)).count()));
-  tally_.OnRefusal(NameOf(aPending.route_), aReason, aNow - aPending.arrival_);
+  statistics_.OnRefusal(NameOf(aPending.route_), aReason, aNow - aPending.arrival_);
   actions_.Refuse(number, { aReason, aPending.runs_ == 0, RetryAfterOf(aNow, aPending) });
   Finish(number);
 }
@@ -402,26 +405,27 @@
 Duration
 GatewayRouter::RetryAfterOf(Instant aNow, PendingRequest& aPending)
 {
-  std::uniform_real_distribution<double> draw(kLeastSpread, kMostSpread);
+  std::uniform_real_distribution<double> draw(kMinJitter, kMaxJitter);
   if (!aPending.routes_) {
-    return Scale(kUnknownTarget, kRetryAfterOfTimeLeft);
+    return Scale(kAssumedTimeLeft, kRetryDelayPerTimeLeft);
   }
   if (aPending.service_ == nullptr) {
-    const auto left = aPending.request_.timeLeft_.value_or(kUnknownTarget);
-    return std::min(Scale(left, kRetryAfterOfTimeLeft), Scale(kBarredPause, draw(random_)));
+    const auto left = aPending.request_.timeLeft_.value_or(kAssumedTimeLeft);
+    return std::min(Scale(left, kRetryDelayPerTimeLeft), Scale(kRejectedRetryDelay, draw(random_)));
   }
   // The client may retry after the time limit of a single try.
   const auto given = aPending.request_.timeLeft_.value_or(aPending.route_->timeLimit_);
   const auto left = std::max(Duration(0), Duration(aPending.arrival_ + given - aNow));
-  const auto most = Scale(left, kRetryAfterOfTimeLeft);
+  const auto most = Scale(left, kRetryDelayPerTimeLeft);
   const auto wait =
     aPending.dispatcherWait_ ? aPending.dispatcherWait_ : ExpectedWait(aNow, aPending);
   if (!wait) {
     return most;
   }
-  auto& spell = spells_[aPending.owner_.empty() ? aPending.service_->name_ : aPending.owner_];
-  const auto lasting = spell.OnRefusal(aNow);
-  return std::min(most, std::max(kLeastRetryAfter, Scale(std::max(*wait, lasting), draw(random_))));
+  auto& streak =
+    refusalStreaks_[aPending.owner_.empty() ? aPending.service_->name_ : aPending.owner_];
+  const auto lasting = streak.OnRefusal(aNow);
+  return std::min(most, std::max(kMinRetryDelay, Scale(std::max(*wait, lasting), draw(random_))));
 }
 
 void
@@ -429,7 +433,7 @@
 {
   auto& pending = pending_.at(aRequest);
   LeaveQueue(pending);
-  DropAsk(pending);
+  WithdrawPermitRequest(pending);
   SetTimer(pending, Instant::max());
   pending_.erase(aRequest);
 }
@@ -441,26 +445,26 @@
     return false;
   }
   if (!IsApiKeyProven(aNow, aPending)) {
-    aPending.obstacle_ = RefusalReason::ApiKeysUnproven;
+    aPending.blockReason_ = RefusalReason::ApiKeysUnproven;
     return false;
   }
-  return TryAsk(aNow, aPending) || TrySendAlone(aNow, aPending);
+  return TryRequestPermit(aNow, aPending) || TrySendWithoutPermit(aNow, aPending);
 }
 
 bool
-GatewayRouter::TrySendAlone(Instant aNow, PendingRequest& aPending)
+GatewayRouter::TrySendWithoutPermit(Instant aNow, PendingRequest& aPending)
 {
   ServerCandidate chosen{};
   const auto choice = ChooseServer(aNow, aPending, chosen);
   if (choice == Choice::Found && aPending.isLate_ && !chosen.load_->HasSpareCapacity()) {
-    aPending.obstacle_ = RefusalReason::NoCapacity;
+    aPending.blockReason_ = RefusalReason::NoCapacity;
     return false;
   }
   if (choice != Choice::Found) {
-    aPending.obstacle_ = ObstacleOf(choice);
+    aPending.blockReason_ = RefusalReasonOf(choice);
     return false;
   }
-  const auto timeLeft = TimeToSend(aNow, aPending);
+  const auto timeLeft = SendTimeLimit(aNow, aPending);
   if (!timeLeft) {
     return false;
   }
@@ -472,14 +476,14 @@
 }
 
 std::optional<Duration>
-GatewayRouter::TimeToSend(Instant aNow, const PendingRequest& aPending)
+GatewayRouter::SendTimeLimit(Instant aNow, const PendingRequest& aPending)
 {
-  const Duration left = aPending.deadline_ - aNow - kWayBack;
-  return left < kLeastSendTime ? std::nullopt : std::optional(left);
+  const Duration left = aPending.deadline_ - aNow - kAnswerTransitTime;
+  return left < kMinSendTime ? std::nullopt : std::optional(left);
 }
 
 RefusalReason
-GatewayRouter::ObstacleOf(Choice aChoice)
+GatewayRouter::RefusalReasonOf(Choice aChoice)
 {
   switch (aChoice) {
     case Choice::NoServer:
@@ -528,8 +532,8 @@
   const auto inTime = aPending.inTimeUntil_ - latency;
   if (wait && aNow + *wait <= inTime) {
     aPending.refuseAt_ = inTime;
-  } else if (wait && *wait <= kLateWait) {
-    aPending.refuseAt_ = aNow + kLateWait;
+  } else if (wait && *wait <= kMaxLateWait) {
+    aPending.refuseAt_ = aNow + kMaxLateWait;
   } else {
     aPending.refuseAt_ = aNow;
     RefuseWaiting(aNow, aPending);
@@ -553,7 +557,7 @@
 Duration
 GatewayRouter::RemainingBackoff(Instant aNow, PendingRequest& aPending)
 {
-  return LeastOfServers(
+  return MinOverServers(
     aNow, aPending, [aNow](const ServerLoad& aLoad) { return aLoad.RemainingBackoff(aNow); });
 }
 
@@ -565,14 +569,14 @@
   if (permits_.CanAsk(aPending.service_->name_)) {
     return RemainingBackoff(aNow, aPending);
   }
-  const auto ahead = WaitingAhead(aPending);
-  return LeastOfServers(aNow, aPending, [aNow, ahead](const ServerLoad& aLoad) {
+  const auto ahead = QueuedAhead(aPending);
+  return MinOverServers(aNow, aPending, [aNow, ahead](const ServerLoad& aLoad) {
     return aLoad.RemainingDelay(aNow, ahead);
   });
 }
 
 Duration
-GatewayRouter::LeastOfServers(Instant aNow,
+GatewayRouter::MinOverServers(Instant aNow,
                               PendingRequest& aPending,
                               const std::function<Duration(const ServerLoad&)>& aTimeOf)
 {
@@ -600,7 +604,7 @@
   const auto& service = aPending.service_->name_;
   const auto ownership = ownership_.find(service);
   if (ownership == ownership_.end()) {
-    return ExpectedLearning(aNow);
+    return ExpectedStartupWait(aNow);
   }
   const auto* range =
     aPending.request_.key_ ? ownership->second.Find(*aPending.request_.key_) : nullptr;
@@ -609,17 +613,17 @@
   }
   const auto* record = directory_.Find(range->owner_);
   if (!range->previous_.empty() || record == nullptr || !record->AcceptsWork()) {
-    return moveTimes_[service].Remaining(WaitingForMove(aNow, service, *range, record));
+    return moveTimes_[service].ExpectedRemaining(MoveAge(aNow, service, *range, record));
   }
   const auto& load = LoadOf(*record, *aPending.service_);
-  return load.ExpectedQueueTime(aNow, WaitingAhead(aPending), ExpectedLatency(aPending));
+  return load.ExpectedQueueTime(aNow, QueuedAhead(aPending), ExpectedLatency(aPending));
 }
 
 Duration
-GatewayRouter::WaitingForMove(Instant aNow,
-                              const std::string& aService,
-                              const KeyRange& aRange,
-                              const ServerRecord* aOwner) const
+GatewayRouter::MoveAge(Instant aNow,
+                       const std::string& aService,
+                       const KeyRange& aRange,
+                       const ServerRecord* aOwner) const
 {
   const auto moving = movingSince_.find({ aService, aRange.fence_ });
   if (moving != movingSince_.end()) {
@@ -635,7 +639,7 @@
 {
   const auto& servers = StateOf(aPending.service_->name_).servers_;
   if (servers.empty()) {
-    return ExpectedLearning(aNow);
+    return ExpectedStartupWait(aNow);
   }
   std::size_t limits = 0;
   for (const auto& server : servers) {
@@ -644,14 +648,14 @@
   if (limits == 0) {
     return std::nullopt;
   }
-  const auto ahead = static_cast<double>(WaitingAhead(aPending) + 1);
+  const auto ahead = static_cast<double>(QueuedAhead(aPending) + 1);
   return Scale(ExpectedLatency(aPending), ahead / static_cast<double>(limits));
 }
 
 std::optional<Duration>
-GatewayRouter::ExpectedLearning(Instant aNow) const
+GatewayRouter::ExpectedStartupWait(Instant aNow) const
 {
-  const auto until = firstRoutesAt_ + kLearnTime;
+  const auto until = firstRoutesAt_ + kStartupLearnTime;
   return aNow < until ? std::optional(Duration(until - aNow)) : std::nullopt;
 }
 
@@ -665,7 +669,7 @@
 }
 
 std::size_t
-GatewayRouter::WaitingAhead(const PendingRequest& aPending)
+GatewayRouter::QueuedAhead(const PendingRequest& aPending)
 {
   std::size_t ahead = 0;
   for (const auto& place : StateOf(aPending.service_->name_).queue_) {
@@ -681,7 +685,7 @@
 void
 GatewayRouter::Queue(Instant aNow, PendingRequest& aPending)
 {
-  StateOf(aPending.service_->name_).queue_.insert(PlaceOf(aPending));
+  StateOf(aPending.service_->name_).queue_.insert(PositionOf(aPending));
   auto time = std::min(aPending.refuseAt_, aPending.deadline_);
   if (aNow < aPending.notBefore_) {
     time = std::min(time, aPending.notBefore_);
@@ -697,12 +701,12 @@
 GatewayRouter::LeaveQueue(const PendingRequest& aPending)
 {
   if (aPending.service_ != nullptr) {
-    StateOf(aPending.service_->name_).queue_.erase(PlaceOf(aPending));
+    StateOf(aPending.service_->name_).queue_.erase(PositionOf(aPending));
   }
 }
 
 void
-GatewayRouter::Pump(Instant aNow, const std::string& aService)
+GatewayRouter::SendQueued(Instant aNow, const std::string& aService)
 {
   const auto queue = StateOf(aService).queue_;
   for (const auto& place : queue) {
--- a/Libraries/LibGateway/GatewayRouter.h
+++ b/Libraries/LibGateway/GatewayRouter.h
@@ -70,18 +70,18 @@
   void SetOwnership(Instant aNow, KeyOwnership aOwnership);
   // Must be called after each change of the directory.
   void OnDirectoryChanged(Instant aNow);
-  void SetRetryParameters(const RetryBudgetParameters& aTerms);
+  void SetRetryParameters(const RetryBudgetParameters& aParameters);
   // Time until which the API keys of the present routes are known not to be revoked; unlimited if
   // never called.
   void SetApiKeysProvenUntil(Instant aUntil) { apiKeysUntil_ = aUntil; }
   // Groups have no limits unless this is called. The gate must outlive the router.
-  void SetGroupAdmission(GroupAdmission& aGate) { gate_ = &aGate; }
+  void SetGroupAdmission(GroupAdmission& aAdmission) { admission_ = &aAdmission; }
   // Whether this instance no longer receives updates of key ownership.
-  void SetUpdatesStale(bool aIsStale) { isNewsStale_ = aIsStale; }
+  void SetUpdatesStale(bool aAreStale) { areUpdatesStale_ = aAreStale; }
   // Number of instances that share the servers.
   void SetInstances(std::size_t aInstances) { instances_ = aInstances; }
 
-  const RequestStatistics& Statistics() const { return tally_; }
+  const RequestStatistics& Statistics() const { return statistics_; }
   // Number of requests that have not been answered yet, waiting ones included.
   std::size_t InFlight() const { return pending_.size(); }
   // Number of requests in the queues.
@@ -102,28 +102,28 @@
     NoCapacity,
   };
 
-  static RefusalReason ObstacleOf(Choice aChoice);
+  static RefusalReason RefusalReasonOf(Choice aChoice);
   // Sets the route and the group of a request. Refuses the request and returns false if its
   // caller may not use the route.
   bool TryIdentify(Instant aNow, PendingRequest& aPending);
   // Whether the rate limit of its group admits the request; refuses the request if not.
-  bool TryPassGate(Instant aNow, PendingRequest& aPending);
+  bool TryAdmitToGroup(Instant aNow, PendingRequest& aPending);
   // Refuses a request because of its caller, and counts that for the group.
-  void Bar(Instant aNow, PendingRequest& aPending, RefusalReason aReason);
+  void RejectCaller(Instant aNow, PendingRequest& aPending, RefusalReason aReason);
   // Why the caller may not use the route, which is null if none matched; no value if it may.
-  std::optional<RefusalReason> BarOf(Instant aNow,
-                                     const Route* aRoute,
-                                     const CallerGroup* aGroup) const;
+  std::optional<RefusalReason> RejectionReasonOf(Instant aNow,
+                                                 const Route* aRoute,
+                                                 const CallerGroup* aGroup) const;
   // Whether the request needs no API key, or its key is known not to be revoked.
   bool IsApiKeyProven(Instant aNow, const PendingRequest& aPending) const;
   // Refuses waiting requests whose API keys the present configuration no longer has.
   void RefuseRevoked(Instant aNow);
   // Routes a request: sends it, queues it or refuses it.
-  void Admit(Instant aNow, PendingRequest& aPending);
+  void RouteRequest(Instant aNow, PendingRequest& aPending);
   // Routes the requests that arrived before the first configuration.
-  void AdmitUnrouted(Instant aNow);
+  void RouteHeldRequests(Instant aNow);
   // Drops the state of routes and groups that are no longer configured.
-  void ForgetFormerRoutes();
+  void DropRemovedRoutes();
   ServiceState& StateOf(const std::string& aService);
   // Number of instances that share the servers; an assumed number while it is not known.
   std::size_t InstanceCount() const;
@@ -134,14 +134,14 @@
   // Sends the request if a server can take it now, or requests a permit for it.
   bool TrySend(Instant aNow, PendingRequest& aPending);
   // As TrySend, by the local state of this instance and without a permit.
-  bool TrySendAlone(Instant aNow, PendingRequest& aPending);
+  bool TrySendWithoutPermit(Instant aNow, PendingRequest& aPending);
   // Requests a permit if a dispatcher is available and, for a keyed service, the key has an
   // owner.
-  bool TryAsk(Instant aNow, PendingRequest& aPending);
+  bool TryRequestPermit(Instant aNow, PendingRequest& aPending);
   // Ends a permit request and returns the request that waited for it; null if none did.
-  PendingRequest* TakeAsk(AttemptNumber aNumber);
+  PendingRequest* TakePermitRequest(AttemptNumber aNumber);
   // Withdraws the permit request of the request, if there is one.
-  void DropAsk(PendingRequest& aPending);
+  void WithdrawPermitRequest(PendingRequest& aPending);
   // The server that the dispatcher chose, if this instance may send the request there by its own
   // view; otherwise no value.
   std::optional<ServerCandidate> PermittedServer(Instant aNow,
@@ -150,11 +150,11 @@
   // Report that a permit was not used. It includes the server's remaining backoff and shutdown,
   // which the dispatcher may not know: another instance may have been the dispatcher when the
   // server announced them.
-  SendEnd GivenBackPermit(Instant aNow, AttemptNumber aNumber, const std::string& aServer) const;
+  SendEnd UnusedPermitReport(Instant aNow, AttemptNumber aNumber, const std::string& aServer) const;
   // A permit request timed out.
-  void OnAskDue(Instant aNow, PendingRequest& aPending);
+  void OnPermitRequestTimeout(Instant aNow, PendingRequest& aPending);
   // Time limit to send to a server; no value if too little time is left for a send.
-  static std::optional<Duration> TimeToSend(Instant aNow, const PendingRequest& aPending);
+  static std::optional<Duration> SendTimeLimit(Instant aNow, const PendingRequest& aPending);
   void SendTo(Instant aNow,
               PendingRequest& aPending,
               const ServerCandidate& aServer,
@@ -163,9 +163,9 @@
   // Chooses the server for a request; sets aChosen if the result is Found.
   Choice ChooseServer(Instant aNow, PendingRequest& aPending, ServerCandidate& aChosen);
   // Learns the durations of the moves that have ended.
-  void NoteMoves(Instant aNow, const KeyOwnership& aOwnership);
+  void RecordMoves(Instant aNow, const KeyOwnership& aOwnership);
   // Whether a range is in handover between two owners, as far as this instance knows.
-  bool IsMoving(Instant aNow, const std::string& aService, const KeyRange& aRange) const;
+  bool IsInHandover(Instant aNow, const std::string& aService, const KeyRange& aRange) const;
   Choice ChooseOwner(Instant aNow, PendingRequest& aPending, ServerCandidate& aChosen);
   Choice ChooseAny(Instant aNow, const PendingRequest& aPending, ServerCandidate& aChosen);
   // Cost of sending one more request to a server: its expected latency, weighted by requests in
@@ -173,10 +173,10 @@
   double CostOf(Instant aNow, const ServerCandidate& aCandidate, Duration aDefault) const;
   // Sets aChosen to the cheapest of itself, if set, and two servers drawn at random (power of two
   // choices).
-  void DrawBetter(Instant aNow,
-                  const std::vector<ServerCandidate>& aServers,
-                  Duration aDefault,
-                  std::optional<ServerCandidate>& aChosen);
+  void SampleTwoChoices(Instant aNow,
+                        const std::vector<ServerCandidate>& aServers,
+                        Duration aDefault,
+                        std::optional<ServerCandidate>& aChosen);
   // Queues the request until it can be sent or is refused; refuses it at once if it is not
   // expected to be sent within a useful time.
   void WaitOrRefuse(Instant aNow, PendingRequest& aPending);
@@ -187,7 +187,7 @@
   // As RemainingBackoff; without a dispatcher it includes the waits for the servers' rate limits.
   Duration RemainingDelay(Instant aNow, PendingRequest& aPending);
   // Minimum of a function over the servers that may have the request; zero if there is none.
-  Duration LeastOfServers(Instant aNow,
+  Duration MinOverServers(Instant aNow,
                           PendingRequest& aPending,
                           const std::function<Duration(const ServerLoad&)>& aTimeOf);
   // Expected time until the request can be sent; no value if it cannot be estimated.
@@ -195,40 +195,40 @@
   std::optional<Duration> ExpectedWaitForOwner(Instant aNow, const PendingRequest& aPending);
   // Time since the move of a range began, or should have begun because its owner is leaving. The
   // owner may be null.
-  Duration WaitingForMove(Instant aNow,
-                          const std::string& aService,
-                          const KeyRange& aRange,
-                          const ServerRecord* aOwner) const;
+  Duration MoveAge(Instant aNow,
+                   const std::string& aService,
+                   const KeyRange& aRange,
+                   const ServerRecord* aOwner) const;
   std::optional<Duration> ExpectedWaitForAny(Instant aNow, const PendingRequest& aPending);
   // Expected time until this instance learns of servers and owners after its start; no value if
   // that time has passed.
-  std::optional<Duration> ExpectedLearning(Instant aNow) const;
+  std::optional<Duration> ExpectedStartupWait(Instant aNow) const;
   // Expected time from a send to its answer.
   Duration ExpectedLatency(const PendingRequest& aPending);
   // Number of requests that wait for the same server (or for the same service without keys) and
   // precede this one.
-  std::size_t WaitingAhead(const PendingRequest& aPending);
+  std::size_t QueuedAhead(const PendingRequest& aPending);
   void LeaveQueue(const PendingRequest& aPending);
   // Sends queued requests of a service as far as servers can take them now.
-  void Pump(Instant aNow, const std::string& aService);
+  void SendQueued(Instant aNow, const std::string& aService);
   // Records the backoff that a server requested, if it did.
-  void NoteRest(Instant aNow,
-                const PendingRequest& aPending,
-                const AttemptOutcome& aOutcome,
-                ServerLoad& aLoad);
-  // Records the rate limit that a server advertised, if it did.
-  void NoteRateLimit(Instant aNow,
+  void RecordBackoff(Instant aNow,
                      const PendingRequest& aPending,
                      const AttemptOutcome& aOutcome,
                      ServerLoad& aLoad);
+  // Records the rate limit that a server advertised, if it did.
+  void RecordRateLimit(Instant aNow,
+                       const PendingRequest& aPending,
+                       const AttemptOutcome& aOutcome,
+                       ServerLoad& aLoad);
   // Delivers, retries or refuses a request whose attempt has ended.
-  void SettleAttempt(Instant aNow, PendingRequest& aPending, const AttemptOutcome& aOutcome);
+  void ResolveAttempt(Instant aNow, PendingRequest& aPending, const AttemptOutcome& aOutcome);
   void Retry(Instant aNow, PendingRequest& aPending, const AttemptOutcome& aOutcome);
   // Whether the request may be retried; if so, takes the retry from the budget.
   bool TryTakeRetry(Instant aNow, PendingRequest& aPending, const AttemptOutcome& aOutcome);
   void RefuseWaiting(Instant aNow, PendingRequest& aPending);
   // Ends a request that reached its time limit while an attempt is in flight.
-  void GiveUp(Instant aNow, PendingRequest& aPending);
+  void TimeOut(Instant aNow, PendingRequest& aPending);
   void Refuse(Instant aNow, PendingRequest& aPending, RefusalReason aReason);
   // Delay after which a refused client should retry.
   Duration RetryAfterOf(Instant aNow, PendingRequest& aPending);
@@ -240,7 +240,7 @@
   void RefreshServers(Instant aNow, ServiceState& aState, const RoutedService& aService);
   // Limits the sends of this instance to its share of the slow-start rate of a server in slow
   // start.
-  void BoundSlowStart(Instant aNow,
+  void LimitSlowStart(Instant aNow,
                       const ServerRecord& aRecord,
                       const RoutedService& aService,
                       ServerLoad& aLoad);
@@ -250,8 +250,8 @@
   RequestActions& actions_;
   PermitSource& permits_;
   EventSink& events_;
-  UnlimitedAdmission openGate_;
-  GroupAdmission* gate_ = &openGate_;
+  UnlimitedAdmission unlimitedAdmission_;
+  GroupAdmission* admission_ = &unlimitedAdmission_;
   Instant apiKeysUntil_ = Instant::max();
   std::shared_ptr<const RouteTable> routes_;
   // Time at which the first configuration arrived.
@@ -262,23 +262,23 @@
   // By service.
   std::map<std::string, MoveTimeEstimator, std::less<>> moveTimes_;
   // By server, or by service if requests do not wait for a particular server.
-  std::map<std::string, RefusalStreak, std::less<>> spells_;
+  std::map<std::string, RefusalStreak, std::less<>> refusalStreaks_;
   // By the name of the route.
-  std::map<std::string, RequestAgeEstimator, std::less<>> patience_;
+  std::map<std::string, RequestAgeEstimator, std::less<>> requestAges_;
   std::map<std::string, ServiceState, std::less<>> services_;
   std::map<std::string, ServerLoad, std::less<>> loads_;
   std::unordered_map<RequestNumber, PendingRequest> pending_;
   std::unordered_map<AttemptNumber, RequestNumber> attempts_;
   // Requests that wait for permits.
-  std::unordered_map<AttemptNumber, RequestNumber> asks_;
+  std::unordered_map<AttemptNumber, RequestNumber> permitRequests_;
   std::set<std::pair<Instant, RequestNumber>> timers_;
   // Weighted round robin credits of each route's targets, by host and prefix.
   std::map<std::string, std::vector<double>, std::less<>> credits_;
-  RequestStatistics tally_;
+  RequestStatistics statistics_;
   std::minstd_rand random_;
   AttemptNumber lastAttempt_ = 0;
   std::size_t instances_ = 0;
-  bool isNewsStale_ = false;
+  bool areUpdatesStale_ = false;
 };
 
 } // namespace latchslip
--- a/Libraries/LibGateway/Messages.h
+++ b/Libraries/LibGateway/Messages.h
@@ -144,7 +144,7 @@
 public:
   virtual ~RequestActions() = default;
 
-  virtual void Send(const AttemptCommand& aOrder) = 0;
+  virtual void Send(const AttemptCommand& aCommand) = 0;
   // Closes the connection of an attempt, so that the server stops processing it.
   virtual void Cancel(AttemptNumber aAttempt) = 0;
   // Sends the answer of an attempt to the client. Called from within OnAttemptEnded.
--- a/Libraries/LibGateway/MoveTimeEstimator.cpp
+++ b/Libraries/LibGateway/MoveTimeEstimator.cpp
@@ -5,12 +5,12 @@
 namespace {
 
 // Number of moves in the sample: about one round of rebalancing.
-constexpr std::size_t kRecent = 15;
+constexpr std::size_t kSampleSize = 15;
 
 } // namespace
 
 MoveTimeEstimator::MoveTimeEstimator()
-  : recent_(kRecent)
+  : recent_(kSampleSize)
 {
 }
 
@@ -22,9 +22,9 @@
 }
 
 Duration
-MoveTimeEstimator::Remaining(Duration aPast) const
+MoveTimeEstimator::ExpectedRemaining(Duration aElapsed) const
 {
-  return aPast < usual_ ? usual_ - aPast : aPast;
+  return aElapsed < usual_ ? usual_ - aElapsed : aElapsed;
 }
 
 } // namespace latchslip
--- a/Libraries/LibGateway/MoveTimeEstimator.h
+++ b/Libraries/LibGateway/MoveTimeEstimator.h
@@ -13,10 +13,10 @@
 
   // A move ended, aTime after this instance learned of it.
   void OnMoved(Duration aTime);
-  // Expected remaining time of a move that this instance learned of aPast ago. A move that has
+  // Expected remaining time of a move that this instance learned of aElapsed ago. A move that has
   // outlasted the usual time is blocked, for example on a silent server; it is expected to last
   // as long again.
-  Duration Remaining(Duration aPast) const;
+  Duration ExpectedRemaining(Duration aElapsed) const;
 
 private:
   // Durations of the most recent moves.
--- a/Libraries/LibGateway/PendingRequest.h
+++ b/Libraries/LibGateway/PendingRequest.h
@@ -37,7 +37,7 @@
   AttemptNumber attempt_ = 0;
   AttemptNumber lastAttempt_ = 0;
   // The pending permit request; 0 if there is none.
-  AttemptNumber ask_ = 0;
+  AttemptNumber permitRequest_ = 0;
   // The dispatcher answered that a permit will follow.
   bool isPermitAnnounced_ = false;
   // Time until the dispatcher expects to have capacity, if it reported one.
@@ -59,7 +59,7 @@
   // Owner of the request's key, if there is one that the request waits for.
   std::string owner_;
   // Why the last try to send the request failed.
-  RefusalReason obstacle_ = RefusalReason::NoCapacity;
+  RefusalReason blockReason_ = RefusalReason::NoCapacity;
 
   // Queue rank, 0 for the most urgent: the priority of the group takes precedence over that of
   // the route.
--- a/Libraries/LibGateway/PermitRequests.cpp
+++ b/Libraries/LibGateway/PermitRequests.cpp
@@ -8,18 +8,18 @@
 
 // Timeout for the dispatcher's first answer to a permit request: many times the round trip within
 // a region, with a busy processor at both ends.
-constexpr Duration kFirstAnswer = milliseconds(40);
+constexpr Duration kPermitAnswerTimeout = milliseconds(40);
 // Timeout for an announced permit, counted from the last moment at which an answer would be in
 // time. A running dispatcher has ended the permit request by then.
-constexpr Duration kPromiseGrace = milliseconds(50);
+constexpr Duration kAnnouncedPermitGrace = milliseconds(50);
 // Delay after a permit for a server that this instance must not use, so that both views can
 // converge: about the delay of an update.
-constexpr Duration kDisagreementPause = milliseconds(30);
+constexpr Duration kViewConvergenceDelay = milliseconds(30);
 
 } // namespace
 
 bool
-GatewayRouter::TryAsk(Instant aNow, PendingRequest& aPending)
+GatewayRouter::TryRequestPermit(Instant aNow, PendingRequest& aPending)
 {
   const auto& service = *aPending.service_;
   if (!permits_.CanAsk(service.name_)) {
@@ -28,21 +28,21 @@
   if (service.isKeyed_) {
     ServerCandidate owner{};
     if (ChooseOwner(aNow, aPending, owner) == Choice::NoOwner) {
-      aPending.obstacle_ = RefusalReason::NoOwner;
+      aPending.blockReason_ = RefusalReason::NoOwner;
       return false;
     }
   }
   if (RemainingBackoff(aNow, aPending) > Duration(0)) {
-    aPending.obstacle_ = RefusalReason::NoCapacity;
+    aPending.blockReason_ = RefusalReason::NoCapacity;
     return false;
   }
   LeaveQueue(aPending);
-  aPending.ask_ = ++lastAttempt_;
+  aPending.permitRequest_ = ++lastAttempt_;
   aPending.isPermitAnnounced_ = false;
-  asks_[aPending.ask_] = aPending.request_.number_;
-  SetTimer(aPending, aNow + kFirstAnswer);
+  permitRequests_[aPending.permitRequest_] = aPending.request_.number_;
+  SetTimer(aPending, aNow + kPermitAnswerTimeout);
   permits_.RequestPermit(aNow,
-                         { aPending.ask_,
+                         { aPending.permitRequest_,
                            service.name_,
                            aPending.owner_,
                            settings_.hall_,
@@ -54,25 +54,25 @@
 }
 
 PendingRequest*
-GatewayRouter::TakeAsk(AttemptNumber aNumber)
+GatewayRouter::TakePermitRequest(AttemptNumber aNumber)
 {
-  const auto ask = asks_.find(aNumber);
-  if (ask == asks_.end()) {
+  const auto entry = permitRequests_.find(aNumber);
+  if (entry == permitRequests_.end()) {
     return nullptr;
   }
-  auto& pending = pending_.at(ask->second);
-  asks_.erase(ask);
-  pending.ask_ = 0;
+  auto& pending = pending_.at(entry->second);
+  permitRequests_.erase(entry);
+  pending.permitRequest_ = 0;
   return &pending;
 }
 
 void
-GatewayRouter::DropAsk(PendingRequest& aPending)
+GatewayRouter::WithdrawPermitRequest(PendingRequest& aPending)
 {
-  if (aPending.ask_ != 0) {
-    permits_.Withdraw(aPending.ask_);
-    asks_.erase(aPending.ask_);
-    aPending.ask_ = 0;
+  if (aPending.permitRequest_ != 0) {
+    permits_.Withdraw(aPending.permitRequest_);
+    permitRequests_.erase(aPending.permitRequest_);
+    aPending.permitRequest_ = 0;
   }
 }
 
@@ -99,9 +99,9 @@
 }
 
 SendEnd
-GatewayRouter::GivenBackPermit(Instant aNow,
-                               AttemptNumber aNumber,
-                               const std::string& aServer) const
+GatewayRouter::UnusedPermitReport(Instant aNow,
+                                  AttemptNumber aNumber,
+                                  const std::string& aServer) const
 {
   auto end = CancelledSend(aNumber);
   if (const auto load = loads_.find(aServer); load != loads_.end()) {
@@ -117,41 +117,42 @@
 void
 GatewayRouter::OnPermit(Instant aNow, AttemptNumber aNumber, const std::string& aServer)
 {
-  auto* pending = TakeAsk(aNumber);
+  auto* pending = TakePermitRequest(aNumber);
   if (pending == nullptr) {
     permits_.TellEnd(CancelledSend(aNumber));
     return;
   }
-  const auto timeLeft = TimeToSend(aNow, *pending);
+  const auto timeLeft = SendTimeLimit(aNow, *pending);
   const auto server = PermittedServer(aNow, *pending, aServer);
   if (server && timeLeft) {
     SendTo(aNow, *pending, *server, aNumber, *timeLeft);
     return;
   }
-  permits_.TellEnd(GivenBackPermit(aNow, aNumber, aServer));
-  pending->notBefore_ = aNow + kDisagreementPause;
+  permits_.TellEnd(UnusedPermitReport(aNow, aNumber, aServer));
+  pending->notBefore_ = aNow + kViewConvergenceDelay;
   WaitOrRefuse(aNow, *pending);
 }
 
 void
 GatewayRouter::OnPermitDelayed(Instant aNow, AttemptNumber aNumber)
 {
-  const auto ask = asks_.find(aNumber);
-  if (ask == asks_.end()) {
+  const auto entry = permitRequests_.find(aNumber);
+  if (entry == permitRequests_.end()) {
     return;
   }
-  auto& pending = pending_.at(ask->second);
+  auto& pending = pending_.at(entry->second);
   pending.isPermitAnnounced_ = true;
-  SetTimer(pending,
-           std::min(pending.deadline_, std::max(pending.inTimeUntil_, aNow) + kPromiseGrace));
+  SetTimer(
+    pending,
+    std::min(pending.deadline_, std::max(pending.inTimeUntil_, aNow) + kAnnouncedPermitGrace));
 }
 
 void
 GatewayRouter::OnPermitDenied(Instant aNow, AttemptNumber aNumber, Duration aWait)
 {
-  if (auto* pending = TakeAsk(aNumber)) {
+  if (auto* pending = TakePermitRequest(aNumber)) {
     pending->dispatcherWait_ = aWait;
-    pending->obstacle_ = RefusalReason::NoCapacity;
+    pending->blockReason_ = RefusalReason::NoCapacity;
     RefuseWaiting(aNow, *pending);
   }
 }
@@ -159,21 +160,21 @@
 void
 GatewayRouter::OnAskLost(Instant aNow, AttemptNumber aNumber)
 {
-  auto* pending = TakeAsk(aNumber);
+  auto* pending = TakePermitRequest(aNumber);
   if (pending != nullptr && !TrySend(aNow, *pending)) {
     WaitOrRefuse(aNow, *pending);
   }
 }
 
 void
-GatewayRouter::OnAskDue(Instant aNow, PendingRequest& aPending)
+GatewayRouter::OnPermitRequestTimeout(Instant aNow, PendingRequest& aPending)
 {
-  DropAsk(aPending);
+  WithdrawPermitRequest(aPending);
   permits_.OnPermitTimeout(aNow, aPending.service_->name_);
   if (aPending.isPermitAnnounced_) {
-    aPending.obstacle_ = RefusalReason::NoCapacity;
+    aPending.blockReason_ = RefusalReason::NoCapacity;
     RefuseWaiting(aNow, aPending);
-  } else if (!TrySendAlone(aNow, aPending)) {
+  } else if (!TrySendWithoutPermit(aNow, aPending)) {
     WaitOrRefuse(aNow, aPending);
   }
 }
--- a/Libraries/LibGateway/PermitSource.h
+++ b/Libraries/LibGateway/PermitSource.h
@@ -15,7 +15,7 @@
   // servers by its local state alone.
   virtual bool CanAsk(const std::string& aService) const = 0;
   // Sends a permit request.
-  virtual void RequestPermit(Instant aNow, const PermitAsk& aAsk) = 0;
+  virtual void RequestPermit(Instant aNow, const PermitAsk& aRequest) = 0;
   virtual void Withdraw(AttemptNumber aNumber) = 0;
   // The dispatcher did not answer a permit request before its timeout.
   virtual void OnPermitTimeout(Instant aNow, const std::string& aService) = 0;
--- a/Libraries/LibGateway/RateLimit.cpp
+++ b/Libraries/LibGateway/RateLimit.cpp
@@ -8,9 +8,9 @@
 
 // Minimum rate in requests per second, also for a server that advertises less: only an answer can
 // report the end of its limit.
-constexpr double kLeastRate = 0.1;
+constexpr double kMinRate = 0.1;
 // The bucket holds the tokens of this time, so that unevenly spaced requests can use the rate.
-constexpr Duration kSavedTime = milliseconds(500);
+constexpr Duration kBurstTime = milliseconds(500);
 
 } // namespace
 
@@ -19,23 +19,23 @@
 {
   const bool isNamed = aRate < kNoRateLimit;
   // The answer may have been written before the one that advertised the limit.
-  if (!isNamed && aSentAt < namedAt_) {
+  if (!isNamed && aSentAt < advertisedAt_) {
     return false;
   }
-  const bool isNews = isNamed != IsAdvertised();
-  rate_ = std::max(aRate, kLeastRate);
+  const bool isChange = isNamed != IsAdvertised();
+  rate_ = std::max(aRate, kMinRate);
   if (!isNamed) {
-    return isNews;
+    return isChange;
   }
-  namedAt_ = aNow;
+  advertisedAt_ = aNow;
   const double rate = rate_ * aShare;
-  const double most = std::max(1.0, rate * ToSeconds(kSavedTime));
-  bucket_.SetTerms(aNow, { rate, most, most });
-  if (isNews) {
+  const double most = std::max(1.0, rate * ToSeconds(kBurstTime));
+  bucket_.SetParameters(aNow, { rate, most, most });
+  if (isChange) {
     // What the server received before the limit already uses its capacity.
-    bucket_.Fill(aNow, 0);
+    bucket_.SetTokens(aNow, 0);
   }
-  return isNews;
+  return isChange;
 }
 
 void
--- a/Libraries/LibGateway/RateLimit.h
+++ b/Libraries/LibGateway/RateLimit.h
@@ -34,7 +34,7 @@
 private:
   double rate_ = kNoRateLimit;
   // Time at which the limit was last advertised.
-  Instant namedAt_ = Instant::min();
+  Instant advertisedAt_ = Instant::min();
   TokenBucket bucket_;
 };
 
--- a/Libraries/LibGateway/RecentDurations.cpp
+++ b/Libraries/LibGateway/RecentDurations.cpp
@@ -7,12 +7,12 @@
 void
 RecentDurations::Add(Duration aDuration)
 {
-  if (durations_.size() < most_) {
+  if (durations_.size() < capacity_) {
     durations_.push_back(aDuration);
     return;
   }
   durations_[oldest_] = aDuration;
-  oldest_ = (oldest_ + 1) % most_;
+  oldest_ = (oldest_ + 1) % capacity_;
 }
 
 Duration
--- a/Libraries/LibGateway/RecentDurations.h
+++ b/Libraries/LibGateway/RecentDurations.h
@@ -11,8 +11,8 @@
 class RecentDurations
 {
 public:
-  explicit RecentDurations(std::size_t aMost)
-    : most_(aMost)
+  explicit RecentDurations(std::size_t aCapacity)
+    : capacity_(aCapacity)
   {
   }
 
@@ -23,7 +23,7 @@
   Duration Ranked(std::size_t aRank) const;
 
 private:
-  std::size_t most_;
+  std::size_t capacity_;
   std::vector<Duration> durations_;
   // Index of the oldest duration once the buffer is full.
   std::size_t oldest_ = 0;
--- a/Libraries/LibGateway/RefusalStreak.h
+++ b/Libraries/LibGateway/RefusalStreak.h
@@ -13,7 +13,7 @@
   // Records a refusal; returns the time since the first refusal of the unbroken series.
   Duration OnRefusal(Instant aNow)
   {
-    if (aNow - lastRefusal_ > kEnd) {
+    if (aNow - lastRefusal_ > kStreakTimeout) {
       since_ = aNow;
     }
     lastRefusal_ = aNow;
@@ -23,7 +23,7 @@
 private:
   // A series ends after this long without a refusal: several times the shortest delay after which
   // refused clients are told to retry.
-  static constexpr Duration kEnd = milliseconds(500);
+  static constexpr Duration kStreakTimeout = milliseconds(500);
 
   Instant since_{ 0 };
   Instant lastRefusal_{ 0 };
--- a/Libraries/LibGateway/RequestAgeEstimator.h
+++ b/Libraries/LibGateway/RequestAgeEstimator.h
@@ -23,9 +23,9 @@
 private:
   // The time left of the most recent requests.
   RecentDurations recent_;
-  std::size_t sinceLearnt_ = 0;
+  std::size_t sinceUpdate_ = 0;
   // Estimated time left of a first attempt.
-  Duration whole_{ 0 };
+  Duration firstAttemptTimeLeft_{ 0 };
 };
 
 } // namespace latchslip
--- a/Libraries/LibGateway/RequestStatistics.cpp
+++ b/Libraries/LibGateway/RequestStatistics.cpp
@@ -25,32 +25,32 @@
 }
 
 void
-RequestStatistics::OnGroup(const std::string& aGroup, std::optional<RefusalReason> aBar)
+RequestStatistics::OnGroup(const std::string& aGroup, std::optional<RefusalReason> aRejection)
 {
   auto& group = groups_[aGroup];
-  if (aBar) {
-    ++group.rejected_.at(static_cast<std::size_t>(*aBar));
+  if (aRejection) {
+    ++group.rejected_.at(static_cast<std::size_t>(*aRejection));
   } else {
     ++group.admitted_;
   }
 }
 
 void
-RequestStatistics::KeepGroups(const std::function<bool(const std::string&)>& aIsThere)
+RequestStatistics::KeepGroups(const std::function<bool(const std::string&)>& aExists)
 {
-  std::erase_if(groups_, [&](const auto& aEntry) { return !aIsThere(aEntry.first); });
+  std::erase_if(groups_, [&](const auto& aEntry) { return !aExists(aEntry.first); });
 }
 
 void
-RequestStatistics::KeepRoutes(const std::function<bool(const std::string&)>& aIsThere)
+RequestStatistics::KeepRoutes(const std::function<bool(const std::string&)>& aExists)
 {
-  std::erase_if(routes_, [&](const auto& aEntry) { return !aIsThere(aEntry.first); });
+  std::erase_if(routes_, [&](const auto& aEntry) { return !aExists(aEntry.first); });
 }
 
 void
-RequestStatistics::KeepServers(const std::function<bool(const std::string&)>& aIsThere)
+RequestStatistics::KeepServers(const std::function<bool(const std::string&)>& aExists)
 {
-  std::erase_if(servers_, [&](const auto& aEntry) { return !aIsThere(aEntry.first); });
+  std::erase_if(servers_, [&](const auto& aEntry) { return !aExists(aEntry.first); });
 }
 
 } // namespace latchslip
--- a/Libraries/LibGateway/RequestStatistics.h
+++ b/Libraries/LibGateway/RequestStatistics.h
@@ -48,14 +48,14 @@
   void OnAnswer(const std::string& aRoute, unsigned aStatus, Duration aLatency);
   void OnRefusal(const std::string& aRoute, RefusalReason aReason, Duration aLatency);
   void OnAttempt(const std::string& aServer, AttemptEnd aEnd);
-  // aBar is why a request of the group was refused by the API key or rate limit checks; no value
-  // if it passed.
-  void OnGroup(const std::string& aGroup, std::optional<RefusalReason> aBar);
+  // aRejection is why a request of the group was refused by the API key or rate limit checks; no
+  // value if it passed.
+  void OnGroup(const std::string& aGroup, std::optional<RefusalReason> aRejection);
 
   // Drop the entries for which the predicate returns false.
-  void KeepRoutes(const std::function<bool(const std::string&)>& aIsThere);
-  void KeepGroups(const std::function<bool(const std::string&)>& aIsThere);
-  void KeepServers(const std::function<bool(const std::string&)>& aIsThere);
+  void KeepRoutes(const std::function<bool(const std::string&)>& aExists);
+  void KeepGroups(const std::function<bool(const std::string&)>& aExists);
+  void KeepServers(const std::function<bool(const std::string&)>& aExists);
 
   const std::map<std::string, RouteStatistics>& Routes() const { return routes_; }
   const std::map<std::string, GroupStatistics>& Groups() const { return groups_; }
--- a/Libraries/LibGateway/RetryBudget.cpp
+++ b/Libraries/LibGateway/RetryBudget.cpp
@@ -8,14 +8,14 @@
 
 // Fraction of the budget that is used: servers count retries when they arrive, so a retry sent
 // now may count in the next window.
-constexpr double kUsedPart = 0.8;
+constexpr double kUsableFraction = 0.8;
 // Lower bound on the number of instances, because others may be starting.
-constexpr std::size_t kLeastInstances = 12;
+constexpr std::size_t kMinInstances = 12;
 
 } // namespace
 
-RetryBudget::RetryBudget(RetryBudgetParameters aTerms)
-  : terms_(aTerms)
+RetryBudget::RetryBudget(RetryBudgetParameters aParameters)
+  : parameters_(aParameters)
 {
 }
 
@@ -40,8 +40,9 @@
     requests += isLeaving ? 0 : step.requests_;
     retries += step.retries_;
   }
-  const auto part = static_cast<double>(std::max(aInstances, kLeastInstances));
-  const double allowed = kUsedPart * (terms_.ratio_ * requests + terms_.extra_ / part);
+  const auto part = static_cast<double>(std::max(aInstances, kMinInstances));
+  const double allowed =
+    kUsableFraction * (parameters_.ratio_ * requests + parameters_.extra_ / part);
   if (retries + 1 > allowed) {
     return false;
   }
@@ -52,7 +53,7 @@
 RetryBudget::Step&
 RetryBudget::StepAt(Instant aNow)
 {
-  const auto length = std::max<Duration>(terms_.window_ / kSteps, Duration(1));
+  const auto length = std::max<Duration>(parameters_.window_ / kSteps, Duration(1));
   const auto number = aNow / length;
   auto& step = steps_[static_cast<std::size_t>(number) % steps_.size()];
   if (step.number_ != number) {
--- a/Libraries/LibGateway/RetryBudget.h
+++ b/Libraries/LibGateway/RetryBudget.h
@@ -24,13 +24,13 @@
 class RetryBudget
 {
 public:
-  explicit RetryBudget(RetryBudgetParameters aTerms);
+  explicit RetryBudget(RetryBudgetParameters aParameters);
 
   // Counts the first send of a request.
   void OnRequest(Instant aNow);
   // Takes one retry from the budget; returns false if the budget is exhausted.
   bool TryTake(Instant aNow, std::size_t aInstances);
-  void SetTerms(const RetryBudgetParameters& aTerms) { terms_ = aTerms; }
+  void SetParameters(const RetryBudgetParameters& aParameters) { parameters_ = aParameters; }
 
 private:
   // The sliding window is counted in this many steps; one more step holds the part that is
@@ -46,7 +46,7 @@
 
   Step& StepAt(Instant aNow);
 
-  RetryBudgetParameters terms_;
+  RetryBudgetParameters parameters_;
   std::array<Step, kSteps + 1> steps_{};
 };
 
--- a/Libraries/LibGateway/ServerChoice.cpp
+++ b/Libraries/LibGateway/ServerChoice.cpp
@@ -12,27 +12,27 @@
 
 // Cost factor of a server in another data hall: traffic between halls is charged, and its latency
 // is higher.
-constexpr double kOtherHallCost = 1.7;
+constexpr double kOtherHallCostFactor = 1.7;
 // Cost factor of a server to which a connection must be opened: connections are charged, and
 // opening one may hold a slot of the server for a moment. Less than 2, so that a second request
 // at a connected server costs more than a first at another one.
-constexpr double kNewConnectionCost = 1.5;
+constexpr double kNewConnectionCostFactor = 1.5;
 // Weight of failures in the cost: a server that fails every request counts as this many times as
 // slow.
-constexpr double kFailureCost = 15;
+constexpr double kFailureCostWeight = 15;
 // Without updates, a range that began to move this long ago has most likely arrived. The request
 // is sent to the new owner, which refuses keys that it does not hold.
-constexpr Duration kMoveTime = milliseconds(400);
+constexpr Duration kStaleMoveTimeout = milliseconds(400);
 // Factor by which an instance may exceed its equal share of a server's connections, because
 // clients are not spread evenly over the instances.
-constexpr std::size_t kUnevenness = 3;
+constexpr std::size_t kMaxConnectionShareFactor = 3;
 // Initial limit on requests in flight at one server, for all instances together, as a multiple of
 // its slots.
-constexpr std::size_t kFirstLimitPerSlot = 2;
+constexpr std::size_t kInitialLimitPerSlot = 2;
 // Maximum of that limit.
-constexpr std::size_t kMostLimitPerSlot = 3;
+constexpr std::size_t kMaxLimitPerSlot = 3;
 // Number of instances assumed while it is not known.
-constexpr std::size_t kUnknownInstances = 8;
+constexpr std::size_t kAssumedInstances = 8;
 
 bool
 HasServer(const std::vector<ServerCandidate>& aServers)
@@ -77,7 +77,7 @@
 std::size_t
 GatewayRouter::InstanceCount() const
 {
-  return instances_ == 0 ? kUnknownInstances : instances_;
+  return instances_ == 0 ? kAssumedInstances : instances_;
 }
 
 ServerLoad&
@@ -86,11 +86,13 @@
   const auto instances = InstanceCount();
   const std::size_t slots = std::max(1U, aRecord.slots_);
   const auto connections = std::max<std::size_t>(1, aService.maxConnections_ / instances);
-  const auto most = std::min(slots * kMostLimitPerSlot, connections * kUnevenness);
+  const auto most = std::min(slots * kMaxLimitPerSlot, connections * kMaxConnectionShareFactor);
   const auto first = std::clamp<std::size_t>(
-    (slots * kFirstLimitPerSlot * kUnevenness + instances - 1) / instances, 1, most);
+    (slots * kInitialLimitPerSlot * kMaxConnectionShareFactor + instances - 1) / instances,
+    1,
+    most);
   auto& load = loads_.try_emplace(aRecord.id_, first, most).first->second;
-  load.SetMostLimit(most);
+  load.SetMaxLimit(most);
   load.SetLife(aRecord.life_);
   return load;
 }
@@ -101,13 +103,13 @@
   aState.servers_.clear();
   for (const auto* record : directory_.OfService(aService.name_)) {
     auto& load = LoadOf(*record, aService);
-    BoundSlowStart(aNow, *record, aService, load);
+    LimitSlowStart(aNow, *record, aService, load);
     aState.servers_.push_back({ record, &load });
   }
 }
 
 void
-GatewayRouter::BoundSlowStart(Instant aNow,
+GatewayRouter::LimitSlowStart(Instant aNow,
                               const ServerRecord& aRecord,
                               const RoutedService& aService,
                               ServerLoad& aLoad)
@@ -142,12 +144,12 @@
     return directory_.Find(aEntry.first) == nullptr && aEntry.second.InFlight() == 0 &&
            aEntry.second.RemainingBackoff(aNow) == Duration(0);
   });
-  std::erase_if(spells_, [&](const auto& aEntry) {
+  std::erase_if(refusalStreaks_, [&](const auto& aEntry) {
     return !loads_.contains(aEntry.first) && routes_->FindService(aEntry.first) == nullptr;
   });
-  tally_.KeepServers([&](const std::string& aServer) { return loads_.contains(aServer); });
+  statistics_.KeepServers([&](const std::string& aServer) { return loads_.contains(aServer); });
   for (const auto& service : routes_->Configuration().services_) {
-    Pump(aNow, service.name_);
+    SendQueued(aNow, service.name_);
   }
 }
 
@@ -161,24 +163,24 @@
   std::erase_if(services_, [&](const auto& aEntry) {
     return routes_->FindService(aEntry.first) == nullptr && aEntry.second.queue_.empty();
   });
-  ForgetFormerRoutes();
+  DropRemovedRoutes();
   RefuseRevoked(aNow);
   OnDirectoryChanged(aNow);
-  AdmitUnrouted(aNow);
+  RouteHeldRequests(aNow);
 }
 
 void
-GatewayRouter::ForgetFormerRoutes()
+GatewayRouter::DropRemovedRoutes()
 {
   std::set<std::string> names{ kNoRoute };
   for (const auto& route : routes_->Configuration().routes_) {
     names.insert(route.Name());
   }
-  tally_.KeepRoutes([&](const std::string& aRoute) { return names.contains(aRoute); });
-  std::erase_if(patience_, [&](const auto& aEntry) { return !names.contains(aEntry.first); });
+  statistics_.KeepRoutes([&](const std::string& aRoute) { return names.contains(aRoute); });
+  std::erase_if(requestAges_, [&](const auto& aEntry) { return !names.contains(aEntry.first); });
   std::erase_if(moveTimes_,
                 [&](const auto& aEntry) { return routes_->FindService(aEntry.first) == nullptr; });
-  tally_.KeepGroups([&](const std::string& aGroup) {
+  statistics_.KeepGroups([&](const std::string& aGroup) {
     const auto& groups = routes_->Configuration().groups_;
     return std::any_of(groups.begin(), groups.end(), [&](const CallerGroup& aEntry) {
       return aEntry.name_ == aGroup;
@@ -187,7 +189,7 @@
 }
 
 void
-GatewayRouter::AdmitUnrouted(Instant aNow)
+GatewayRouter::RouteHeldRequests(Instant aNow)
 {
   std::vector<RequestNumber> unrouted;
   for (const auto& [number, pending] : pending_) {
@@ -196,7 +198,7 @@
     }
   }
   for (const auto number : unrouted) {
-    Admit(aNow, pending_.at(number));
+    RouteRequest(aNow, pending_.at(number));
   }
 }
 
@@ -212,17 +214,17 @@
       moving[key] = known == movingSince_.end() ? aNow : known->second;
     }
   }
-  NoteMoves(aNow, aOwnership);
+  RecordMoves(aNow, aOwnership);
   std::erase_if(movingSince_, [&](const auto& aEntry) { return aEntry.first.first == service; });
   movingSince_.merge(moving);
   ownership_[service] = std::move(aOwnership);
   if (services_.contains(service)) {
-    Pump(aNow, service);
+    SendQueued(aNow, service);
   }
 }
 
 void
-GatewayRouter::NoteMoves(Instant aNow, const KeyOwnership& aOwnership)
+GatewayRouter::RecordMoves(Instant aNow, const KeyOwnership& aOwnership)
 {
   for (const auto& range : aOwnership.ranges_) {
     const auto since = movingSince_.find({ aOwnership.service_, range.fence_ });
@@ -233,11 +235,11 @@
 }
 
 void
-GatewayRouter::SetRetryParameters(const RetryBudgetParameters& aTerms)
+GatewayRouter::SetRetryParameters(const RetryBudgetParameters& aParameters)
 {
-  settings_.retries_ = aTerms;
+  settings_.retries_ = aParameters;
   for (auto& [name, state] : services_) {
-    state.budget_.SetTerms(aTerms);
+    state.budget_.SetParameters(aParameters);
   }
 }
 
@@ -276,13 +278,13 @@
 }
 
 bool
-GatewayRouter::IsMoving(Instant aNow, const std::string& aService, const KeyRange& aRange) const
+GatewayRouter::IsInHandover(Instant aNow, const std::string& aService, const KeyRange& aRange) const
 {
-  if (aRange.previous_.empty() || !isNewsStale_) {
+  if (aRange.previous_.empty() || !areUpdatesStale_) {
     return !aRange.previous_.empty();
   }
   const auto since = movingSince_.find({ aService, aRange.fence_ });
-  return since == movingSince_.end() || aNow - since->second < kMoveTime;
+  return since == movingSince_.end() || aNow - since->second < kStaleMoveTimeout;
 }
 
 GatewayRouter::Choice
@@ -294,7 +296,7 @@
     return Choice::NoOwner;
   }
   const auto* range = ownership->second.Find(*aPending.request_.key_);
-  if (range == nullptr || IsMoving(aNow, aPending.service_->name_, *range)) {
+  if (range == nullptr || IsInHandover(aNow, aPending.service_->name_, *range)) {
     return Choice::NoOwner;
   }
   const auto* record = directory_.Find(range->owner_);
@@ -323,8 +325,8 @@
                });
   const auto typical = TypicalLatency(servers);
   std::optional<ServerCandidate> chosen;
-  DrawBetter(aNow, connected, typical, chosen);
-  DrawBetter(aNow, available, typical, chosen);
+  SampleTwoChoices(aNow, connected, typical, chosen);
+  SampleTwoChoices(aNow, available, typical, chosen);
   aChosen = *chosen;
   return Choice::Found;
 }
@@ -332,10 +334,10 @@
 // The choice is random because instances that do not see each other's load would otherwise all
 // choose the same best server.
 void
-GatewayRouter::DrawBetter(Instant aNow,
-                          const std::vector<ServerCandidate>& aServers,
-                          Duration aDefault,
-                          std::optional<ServerCandidate>& aChosen)
+GatewayRouter::SampleTwoChoices(Instant aNow,
+                                const std::vector<ServerCandidate>& aServers,
+                                Duration aDefault,
+                                std::optional<ServerCandidate>& aChosen)
 {
   constexpr int kDraws = 2;
   if (aServers.empty()) {
@@ -356,10 +358,10 @@
   const auto& load = *aCandidate.load_;
   const auto latency = static_cast<double>(load.ExpectedLatency(aNow, aDefault).count());
   const auto underWay = static_cast<double>(load.InFlight() + 1);
-  const auto hall = aCandidate.record_->hall_ == settings_.hall_ ? 1.0 : kOtherHallCost;
+  const auto hall = aCandidate.record_->hall_ == settings_.hall_ ? 1.0 : kOtherHallCostFactor;
   const auto connection =
-    actions_.HasConnection(aCandidate.record_->address_) ? 1.0 : kNewConnectionCost;
-  return latency * underWay * hall * connection * (1 + kFailureCost * load.FailureShare());
+    actions_.HasConnection(aCandidate.record_->address_) ? 1.0 : kNewConnectionCostFactor;
+  return latency * underWay * hall * connection * (1 + kFailureCostWeight * load.FailureShare());
 }
 
 } // namespace latchslip
--- a/Libraries/LibGateway/ServerDirectory.cpp
+++ b/Libraries/LibGateway/ServerDirectory.cpp
@@ -12,14 +12,14 @@
 
 // Delay before a record is dropped that disappears while the store is available. Its server has
 // stopped or is partitioned; the delay only merges reordered changes.
-constexpr Duration kRemovalPause = milliseconds(200);
+constexpr Duration kRemovalDelay = milliseconds(200);
 // Maximum number of dropped records that are kept: more than the servers that a fleet replaces in
 // a minute, and negligible in memory.
-constexpr std::size_t kMostFormer = 1024;
+constexpr std::size_t kMaxDroppedRecords = 1024;
 // Slow start of the servers of a restored hall. They report within this time that they are in
 // slow start, if they are: two heartbeats of a second, plus an allowance for the delay to this
 // instance.
-constexpr Duration kRestoreSlowStart = milliseconds(2300);
+constexpr Duration kRestoredHallSlowStart = milliseconds(2300);
 
 } // namespace
 
@@ -31,27 +31,27 @@
     // The same write in another epoch of the store: it is no later than before.
     aRecord.revision_ = known->revision_;
   }
-  doubtedRecords_.erase(aRecord.id_);
-  if (aNow < CopyUntil() && TakesBack(aRecord)) {
+  deferredRecords_.erase(aRecord.id_);
+  if (aNow < StaleCopyUntil() && RevertsKnownState(aRecord)) {
     auto id = aRecord.id_;
-    doubtedRecords_.insert_or_assign(std::move(id), std::move(aRecord));
+    deferredRecords_.insert_or_assign(std::move(id), std::move(aRecord));
     return;
   }
-  PutNow(aNow, std::move(aRecord));
+  ApplyRecord(aNow, std::move(aRecord));
 }
 
 bool
-ServerDirectory::TakesBack(const ServerRecord& aRecord) const
+ServerDirectory::RevertsKnownState(const ServerRecord& aRecord) const
 {
   const auto* listed = Find(aRecord.id_);
   if (listed == nullptr) {
-    return former_.contains(aRecord.id_);
+    return droppedRecords_.contains(aRecord.id_);
   }
   return listed->isLeaving_ && !aRecord.isLeaving_;
 }
 
 void
-ServerDirectory::PutNow(Instant aNow, ServerRecord aRecord)
+ServerDirectory::ApplyRecord(Instant aNow, ServerRecord aRecord)
 {
   aRecord.isHallDrained_ = drainedHalls_.contains(aRecord.hall_);
   const auto* known = FindAny(aRecord.id_);
@@ -72,9 +72,9 @@
 ServerDirectory::RecordLeaving(Instant aNow, const std::string& aId, std::uint64_t aLife)
 {
   const auto listed = records_.find(aId);
-  const auto former = former_.find(aId);
+  const auto former = droppedRecords_.find(aId);
   if (listed == records_.end()) {
-    if (former != former_.end() && former->second.life_ == aLife) {
+    if (former != droppedRecords_.end() && former->second.life_ == aLife) {
       former->second.hasAnnouncedLeaving_ = true;
     }
     return false;
@@ -91,7 +91,7 @@
 void
 ServerDirectory::Remove(Instant aNow, const std::string& aId)
 {
-  doubtedRecords_.erase(aId);
+  deferredRecords_.erase(aId);
   if (records_.contains(aId)) {
     removals_.try_emplace(aId, RemovalTime(aNow));
   }
@@ -115,7 +115,7 @@
 void
 ServerDirectory::DrainHall(const std::string& aHall)
 {
-  doubtedRestores_.erase(aHall);
+  deferredRestores_.erase(aHall);
   drainedHalls_.insert(aHall);
   for (auto& [id, record] : records_) {
     record.isHallDrained_ = record.isHallDrained_ || record.hall_ == aHall;
@@ -125,15 +125,15 @@
 void
 ServerDirectory::RestoreHall(Instant aNow, const std::string& aHall)
 {
-  if (aNow < CopyUntil()) {
-    doubtedRestores_.insert(aHall);
+  if (aNow < StaleCopyUntil()) {
+    deferredRestores_.insert(aHall);
     return;
   }
-  RestoreHallNow(aNow, aHall);
+  ApplyRestore(aNow, aHall);
 }
 
 void
-ServerDirectory::RestoreHallNow(Instant aNow, const std::string& aHall)
+ServerDirectory::ApplyRestore(Instant aNow, const std::string& aHall)
 {
   if (drainedHalls_.erase(aHall) == 0) {
     return;
@@ -141,7 +141,7 @@
   for (auto& [id, record] : records_) {
     if (record.hall_ == aHall) {
       record.isHallDrained_ = false;
-      record.slowStartUntil_ = std::max(record.slowStartUntil_, aNow + kRestoreSlowStart);
+      record.slowStartUntil_ = std::max(record.slowStartUntil_, aNow + kRestoredHallSlowStart);
     }
   }
 }
@@ -149,13 +149,13 @@
 void
 ServerDirectory::OnStoreRolledBack(Instant aNow)
 {
-  cameBackAt_ = aNow;
+  rolledBackAt_ = aNow;
 }
 
 Instant
-ServerDirectory::CopyUntil() const
+ServerDirectory::StaleCopyUntil() const
 {
-  return cameBackAt_ == Instant::min() ? cameBackAt_ : cameBackAt_ + kReregistrationTime;
+  return rolledBackAt_ == Instant::min() ? rolledBackAt_ : rolledBackAt_ + kReregistrationTime;
 }
 
 void
@@ -170,7 +170,7 @@
   // NOTE: Records whose disappearance was already known keep their removal time: the update came
   // from an instance that reaches the store, and is binding from then on.
   isStoreLost_ = false;
-  regainedAt_ = aNow;
+  storeRegainedAt_ = aNow;
 }
 
 Instant
@@ -182,8 +182,8 @@
     return aNow + kReregistrationTime;
   }
   const auto afterOutage =
-    regainedAt_ == Instant::min() ? regainedAt_ : regainedAt_ + kReregistrationTime;
-  return std::max({ aNow + kRemovalPause, afterOutage, CopyUntil() });
+    storeRegainedAt_ == Instant::min() ? storeRegainedAt_ : storeRegainedAt_ + kReregistrationTime;
+  return std::max({ aNow + kRemovalDelay, afterOutage, StaleCopyUntil() });
 }
 
 bool
@@ -195,25 +195,25 @@
       ++removal;
       continue;
     }
-    Forget(records_.find(removal->first));
+    DropRecord(records_.find(removal->first));
     removal = removals_.erase(removal);
     isChanged = true;
   }
-  if (aNow >= CopyUntil()) {
-    isChanged = TakeDoubted(aNow) || isChanged;
+  if (aNow >= StaleCopyUntil()) {
+    isChanged = ApplyDeferred(aNow) || isChanged;
   }
   return isChanged;
 }
 
 bool
-ServerDirectory::TakeDoubted(Instant aNow)
+ServerDirectory::ApplyDeferred(Instant aNow)
 {
-  const bool isAny = !doubtedRecords_.empty() || !doubtedRestores_.empty();
-  for (auto& [id, record] : std::exchange(doubtedRecords_, {})) {
-    PutNow(aNow, std::move(record));
+  const bool isAny = !deferredRecords_.empty() || !deferredRestores_.empty();
+  for (auto& [id, record] : std::exchange(deferredRecords_, {})) {
+    ApplyRecord(aNow, std::move(record));
   }
-  for (const auto& hall : std::exchange(doubtedRestores_, {})) {
-    RestoreHallNow(aNow, hall);
+  for (const auto& hall : std::exchange(deferredRestores_, {})) {
+    ApplyRestore(aNow, hall);
   }
   return isAny;
 }
@@ -231,8 +231,8 @@
   if (const auto* listed = Find(aId)) {
     return listed;
   }
-  const auto former = former_.find(aId);
-  return former == former_.end() ? nullptr : &former->second;
+  const auto former = droppedRecords_.find(aId);
+  return former == droppedRecords_.end() ? nullptr : &former->second;
 }
 
 std::vector<const ServerRecord*>
@@ -248,18 +248,18 @@
 }
 
 void
-ServerDirectory::Forget(std::map<std::string, ServerRecord, std::less<>>::iterator aRecord)
+ServerDirectory::DropRecord(std::map<std::string, ServerRecord, std::less<>>::iterator aRecord)
 {
-  if (former_.size() >= kMostFormer) {
-    const auto oldest =
-      std::min_element(former_.begin(), former_.end(), [](const auto& aLeft, const auto& aRight) {
+  if (droppedRecords_.size() >= kMaxDroppedRecords) {
+    const auto oldest = std::min_element(
+      droppedRecords_.begin(), droppedRecords_.end(), [](const auto& aLeft, const auto& aRight) {
         return aLeft.second.revision_ < aRight.second.revision_;
       });
-    former_.erase(oldest);
+    droppedRecords_.erase(oldest);
   }
   // The record of an earlier listing is obsolete.
-  former_.erase(aRecord->first);
-  former_.insert(records_.extract(aRecord));
+  droppedRecords_.erase(aRecord->first);
+  droppedRecords_.insert(records_.extract(aRecord));
 }
 
 bool
--- a/Libraries/LibGateway/ServerDirectory.h
+++ b/Libraries/LibGateway/ServerDirectory.h
@@ -100,28 +100,28 @@
 private:
   Instant RemovalTime(Instant aNow) const;
   // Time until which the store may show a state from before the last writes.
-  Instant CopyUntil() const;
+  Instant StaleCopyUntil() const;
   // Whether a record reverts a known state, as an older copy of the store does: that a server is
   // leaving, or gone.
-  bool TakesBack(const ServerRecord& aRecord) const;
-  void PutNow(Instant aNow, ServerRecord aRecord);
-  void RestoreHallNow(Instant aNow, const std::string& aHall);
+  bool RevertsKnownState(const ServerRecord& aRecord) const;
+  void ApplyRecord(Instant aNow, ServerRecord aRecord);
+  void ApplyRestore(Instant aNow, const std::string& aHall);
   // Applies all deferred changes; returns whether there were any.
-  bool TakeDoubted(Instant aNow);
-  void Forget(std::map<std::string, ServerRecord, std::less<>>::iterator aRecord);
+  bool ApplyDeferred(Instant aNow);
+  void DropRecord(std::map<std::string, ServerRecord, std::less<>>::iterator aRecord);
 
   std::map<std::string, ServerRecord, std::less<>> records_;
   // The most recently dropped records.
-  std::map<std::string, ServerRecord, std::less<>> former_;
+  std::map<std::string, ServerRecord, std::less<>> droppedRecords_;
   std::set<std::string> drainedHalls_;
   // Time at which each record that has disappeared is dropped.
   std::map<std::string, Instant, std::less<>> removals_;
-  // Records that revert a known state, deferred until CopyUntil().
-  std::map<std::string, ServerRecord, std::less<>> doubtedRecords_;
-  std::set<std::string> doubtedRestores_;
+  // Records that revert a known state, deferred until StaleCopyUntil().
+  std::map<std::string, ServerRecord, std::less<>> deferredRecords_;
+  std::set<std::string> deferredRestores_;
   bool isStoreLost_ = false;
-  Instant regainedAt_ = Instant::min();
-  Instant cameBackAt_ = Instant::min();
+  Instant storeRegainedAt_ = Instant::min();
+  Instant rolledBackAt_ = Instant::min();
 };
 
 } // namespace latchslip
--- a/Libraries/LibGateway/ServerHealth.cpp
+++ b/Libraries/LibGateway/ServerHealth.cpp
@@ -9,14 +9,14 @@
 // Weight of a new result in the moving average of failures.
 constexpr double kFailureWeight = 0.1;
 // Suspension after a shed request: about one service time of one of the server's slots.
-constexpr Duration kShedPause = milliseconds(20);
+constexpr Duration kShedSuspension = milliseconds(20);
 // Suspension after a failed connection, doubled with each further failure (exponential backoff).
-constexpr Duration kUnreachedPause = milliseconds(200);
-constexpr unsigned kMostDoublings = 3;
+constexpr Duration kUnreachableSuspension = milliseconds(200);
+constexpr unsigned kMaxDoublings = 3;
 // An attempt is overdue, which means that the server may be unresponsive, after this multiple of
 // the usual latency, and at least after the time below.
-constexpr double kOverdueMeans = 6.0;
-constexpr Duration kLeastOverdue = milliseconds(300);
+constexpr double kOverdueLatencyFactor = 6.0;
+constexpr Duration kMinOverdueTime = milliseconds(300);
 
 } // namespace
 
@@ -29,13 +29,13 @@
   const bool isFailure = aResult != SendResult::Answered && aResult != SendResult::Declined;
   failureShare_ += kFailureWeight * ((isFailure ? 1.0 : 0.0) - failureShare_);
   if (aResult == SendResult::NotReached) {
-    Suspend(aNow, kUnreachedPause * (1U << std::min(unreached_, kMostDoublings)));
-    ++unreached_;
+    Suspend(aNow, kUnreachableSuspension * (1U << std::min(connectFailures_, kMaxDoublings)));
+    ++connectFailures_;
     return;
   }
-  unreached_ = 0;
+  connectFailures_ = 0;
   if (aResult == SendResult::Shed || aResult == SendResult::Broken) {
-    Suspend(aNow, kShedPause);
+    Suspend(aNow, kShedSuspension);
   }
   if (aResult != SendResult::Broken) {
     answeredAt_ = aNow;
@@ -52,7 +52,7 @@
 ServerHealth::IsOverdue(Instant aNow, Instant aSentAt, Duration aUsual) const
 {
   return answeredAt_ < aSentAt &&
-         aNow - aSentAt > std::max(kLeastOverdue, Scale(aUsual, kOverdueMeans));
+         aNow - aSentAt > std::max(kMinOverdueTime, Scale(aUsual, kOverdueLatencyFactor));
 }
 
 } // namespace latchslip
--- a/Libraries/LibGateway/ServerHealth.h
+++ b/Libraries/LibGateway/ServerHealth.h
@@ -56,7 +56,7 @@
 
 private:
   double failureShare_ = 0;
-  unsigned unreached_ = 0;
+  unsigned connectFailures_ = 0;
   Instant suspendedUntil_ = Instant::min();
   Instant answeredAt_ = Instant::min();
 };
--- a/Libraries/LibGateway/ServerLoad.cpp
+++ b/Libraries/LibGateway/ServerLoad.cpp
@@ -8,38 +8,38 @@
 namespace {
 
 // Weight of a new latency in the moving average: about the last ten answers count.
-constexpr double kMeanWeight = 0.1;
+constexpr double kLatencyWeight = 0.1;
 // The limit grows by the first fraction with an answer in time that arrived while the limit was
 // reached, and shrinks to the second with a late answer; it settles where about one answer in six
 // is late. Requests that wait longer at a server take places in its queue that others could use
 // in time. With 14 servers at full load, 12 instances and a target of 400 ms, 10 to 14 answers in
 // a hundred were late; a limit based on multiples of an idle server's latency had 42, at the same
 // answers per second.
-constexpr double kGrowth = 0.05;
-constexpr double kLateShrink = 0.8;
+constexpr double kGrowthFactor = 0.05;
+constexpr double kLateShrinkFactor = 0.8;
 // An overdue request is expected to end within this fraction of the mean time between two ends.
-constexpr double kOverduePart = 0.5;
+constexpr double kOverdueEndFraction = 0.5;
 // If no answer was late for this long, whatever delayed answers is over, and the limit grows by
 // one with each full round.
-constexpr Duration kCalm = milliseconds(1000);
-constexpr double kShedShrink = 0.5;
+constexpr Duration kCalmTime = milliseconds(1000);
+constexpr double kShedShrinkFactor = 0.5;
 // The limit shrinks at most once in this time, about one service time, so that one burst of shed
 // requests counts once.
-constexpr Duration kShrinkPause = milliseconds(100);
+constexpr Duration kShrinkInterval = milliseconds(100);
 
 } // namespace
 
-ServerLoad::ServerLoad(std::size_t aLimit, std::size_t aMostLimit)
-  : firstLimit_(static_cast<double>(aLimit))
-  , limit_(firstLimit_)
-  , mostLimit_(static_cast<double>(std::max(aLimit, aMostLimit)))
+ServerLoad::ServerLoad(std::size_t aLimit, std::size_t aMaxLimit)
+  : initialLimit_(static_cast<double>(aLimit))
+  , limit_(initialLimit_)
+  , maxLimit_(static_cast<double>(std::max(aLimit, aMaxLimit)))
 {
 }
 
 void
 ServerLoad::OnSent(Instant aNow, AttemptNumber aAttempt, Duration aTarget)
 {
-  underWay_.emplace(aAttempt, Attempt{ aNow, aTarget });
+  inFlight_.emplace(aAttempt, Attempt{ aNow, aTarget });
   slowStart_.OnSent(aNow);
   rateLimit_.OnSent(aNow);
 }
@@ -53,39 +53,39 @@
     return;
   }
   // Attempts in flight end by themselves when their connections break.
-  mean_ = Duration(0);
+  meanLatency_ = Duration(0);
   health_ = {};
-  lateAt_ = Instant::min();
-  restUntil_ = Instant::min();
+  lastLateAt_ = Instant::min();
+  backoffUntil_ = Instant::min();
   rateLimit_ = {};
-  limit_ = std::min(firstLimit_, mostLimit_);
+  limit_ = std::min(initialLimit_, maxLimit_);
   shrunkAt_ = Instant::min();
 }
 
 void
 ServerLoad::OnEnded(Instant aNow, AttemptNumber aAttempt, SendResult aResult)
 {
-  const auto sent = underWay_.find(aAttempt);
-  if (sent == underWay_.end()) {
+  const auto sent = inFlight_.find(aAttempt);
+  if (sent == inFlight_.end()) {
     return;
   }
-  const bool wasFull = underWay_.size() >= Limit();
+  const bool wasFull = inFlight_.size() >= Limit();
   const auto latency = aNow - sent->second.sentAt_;
   const bool isLate = latency > sent->second.target_;
-  underWay_.erase(sent);
+  inFlight_.erase(sent);
   health_.OnEnded(aNow, aResult);
   if (aResult == SendResult::Answered) {
     LearnLatency(latency);
     LearnLimit(aNow, isLate, wasFull);
   } else if (aResult == SendResult::Shed || aResult == SendResult::Broken) {
-    Shrink(aNow, kShedShrink);
+    Shrink(aNow, kShedShrinkFactor);
   }
 }
 
 void
 ServerLoad::OnTimeOut(Instant aNow, AttemptNumber aAttempt)
 {
-  if (const auto sent = underWay_.find(aAttempt); sent != underWay_.end()) {
+  if (const auto sent = inFlight_.find(aAttempt); sent != inFlight_.end()) {
     ++work_.answers_;
     work_.busy_ += aNow - sent->second.sentAt_;
     OnEnded(aNow, aAttempt, SendResult::Broken);
@@ -95,7 +95,7 @@
 void
 ServerLoad::OnCancelled(AttemptNumber aAttempt)
 {
-  underWay_.erase(aAttempt);
+  inFlight_.erase(aAttempt);
 }
 
 void
@@ -105,17 +105,17 @@
 }
 
 bool
-ServerLoad::StartBackoff(Instant aNow, Duration aRest)
+ServerLoad::StartBackoff(Instant aNow, Duration aBackoff)
 {
-  const bool isNew = aNow >= restUntil_;
-  restUntil_ = std::max(restUntil_, aNow + aRest);
+  const bool isNew = aNow >= backoffUntil_;
+  backoffUntil_ = std::max(backoffUntil_, aNow + aBackoff);
   return isNew;
 }
 
 Duration
 ServerLoad::RemainingBackoff(Instant aNow) const
 {
-  return aNow < restUntil_ ? Duration(restUntil_ - aNow) : Duration(0);
+  return aNow < backoffUntil_ ? Duration(backoffUntil_ - aNow) : Duration(0);
 }
 
 Duration
@@ -127,10 +127,10 @@
 }
 
 void
-ServerLoad::SetMostLimit(std::size_t aMostLimit)
+ServerLoad::SetMaxLimit(std::size_t aMaxLimit)
 {
-  mostLimit_ = std::max<double>(1, static_cast<double>(aMostLimit));
-  limit_ = std::min(limit_, mostLimit_);
+  maxLimit_ = std::max<double>(1, static_cast<double>(aMaxLimit));
+  limit_ = std::min(limit_, maxLimit_);
 }
 
 bool
@@ -139,24 +139,24 @@
   if (RemainingDelay(aNow, 0) > Duration(0) || health_.IsSuspended(aNow)) {
     return false;
   }
-  return underWay_.size() < Limit() && !IsOverdue(aNow);
+  return inFlight_.size() < Limit() && !IsOverdue(aNow);
 }
 
 bool
 ServerLoad::IsOverdue(Instant aNow) const
 {
-  if (underWay_.empty()) {
+  if (inFlight_.empty()) {
     return false;
   }
-  return health_.IsOverdue(aNow, underWay_.begin()->second.sentAt_, mean_);
+  return health_.IsOverdue(aNow, inFlight_.begin()->second.sentAt_, meanLatency_);
 }
 
 Duration
 ServerLoad::ExpectedLatency(Instant aNow, Duration aDefault) const
 {
-  const auto mean = mean_ == Duration(0) ? aDefault : mean_;
-  return underWay_.empty() ? mean
-                           : std::max(mean, Duration(aNow - underWay_.begin()->second.sentAt_));
+  const auto mean = meanLatency_ == Duration(0) ? aDefault : meanLatency_;
+  return inFlight_.empty() ? mean
+                           : std::max(mean, Duration(aNow - inFlight_.begin()->second.sentAt_));
 }
 
 Duration
@@ -165,9 +165,9 @@
   // Requests in flight end one after the other, the oldest first.
   const auto interval = Scale(aLatency, 1 / std::max<double>(1, static_cast<double>(Limit())));
   auto first = interval;
-  if (!underWay_.empty()) {
-    const Duration past = aNow - underWay_.begin()->second.sentAt_;
-    first = std::max(aLatency - past, Scale(interval, kOverduePart));
+  if (!inFlight_.empty()) {
+    const Duration past = aNow - inFlight_.begin()->second.sentAt_;
+    first = std::max(aLatency - past, Scale(interval, kOverdueEndFraction));
   }
   return std::max(first, health_.RemainingDelay(aNow)) +
          interval * static_cast<Duration::rep>(aAhead);
@@ -186,26 +186,26 @@
 {
   ++work_.answers_;
   work_.busy_ += aLatency;
-  mean_ = Blend(mean_, aLatency, kMeanWeight);
+  meanLatency_ = Blend(meanLatency_, aLatency, kLatencyWeight);
 }
 
 void
 ServerLoad::LearnLimit(Instant aNow, bool aIsLate, bool aWasFull)
 {
   if (aIsLate) {
-    lateAt_ = aNow;
-    Shrink(aNow, kLateShrink);
+    lastLateAt_ = aNow;
+    Shrink(aNow, kLateShrinkFactor);
   } else if (aWasFull) {
-    const bool isCalm = lateAt_ == Instant::min() || aNow - lateAt_ > kCalm;
-    const double growth = isCalm ? 1 / limit_ : kGrowth * limit_;
-    limit_ = std::min(mostLimit_, limit_ + growth);
+    const bool isCalm = lastLateAt_ == Instant::min() || aNow - lastLateAt_ > kCalmTime;
+    const double growth = isCalm ? 1 / limit_ : kGrowthFactor * limit_;
+    limit_ = std::min(maxLimit_, limit_ + growth);
   }
 }
 
 void
 ServerLoad::Shrink(Instant aNow, double aFactor)
 {
-  if (shrunkAt_ != Instant::min() && aNow - shrunkAt_ < kShrinkPause) {
+  if (shrunkAt_ != Instant::min() && aNow - shrunkAt_ < kShrinkInterval) {
     return;
   }
   shrunkAt_ = aNow;
--- a/Libraries/LibGateway/ServerLoad.h
+++ b/Libraries/LibGateway/ServerLoad.h
@@ -18,8 +18,8 @@
 class ServerLoad
 {
 public:
-  // aLimit is the initial limit on requests in flight, aMostLimit its maximum.
-  ServerLoad(std::size_t aLimit, std::size_t aMostLimit);
+  // aLimit is the initial limit on requests in flight, aMaxLimit its maximum.
+  ServerLoad(std::size_t aLimit, std::size_t aMaxLimit);
 
   // An answer that takes longer than aTarget is late for its caller.
   void OnSent(Instant aNow, AttemptNumber aAttempt, Duration aTarget);
@@ -30,19 +30,19 @@
   void OnCancelled(AttemptNumber aAttempt);
   // Suspends sends for aTime because the server's address belongs to another server.
   void Suspend(Instant aNow, Duration aTime);
-  // The server requested a backoff of aRest from this instance. Returns whether this starts a
+  // The server requested a backoff of aBackoff from this instance. Returns whether this starts a
   // backoff, rather than extending one that is in effect.
-  bool StartBackoff(Instant aNow, Duration aRest);
+  bool StartBackoff(Instant aNow, Duration aBackoff);
   // Remaining backoff; zero if there is none.
   Duration RemainingBackoff(Instant aNow) const;
-  void SetMostLimit(std::size_t aMostLimit);
+  void SetMaxLimit(std::size_t aMaxLimit);
   // Sets the server's current incarnation, 0 if not reported, and drops what was learned of an
   // earlier one.
   void SetLife(std::uint64_t aLife);
 
   SlowStartLimiter& SlowStart() { return slowStart_; }
   // The rate limit that the server advertises.
-  RateLimit& NamedLimit() { return rateLimit_; }
+  RateLimit& AdvertisedLimit() { return rateLimit_; }
 
   // Time until one more request may be sent after aAhead others, by the backoff, the slow start
   // and the advertised rate limit. Zero if none of them delays it.
@@ -54,17 +54,17 @@
   // Whether less than half of the limit is in flight, so that requests that can be answered in
   // time need not queue behind late ones. Half is the coarsest fraction that a limit of two can
   // represent.
-  bool HasSpareCapacity() const { return 2 * static_cast<double>(underWay_.size()) < limit_; }
+  bool HasSpareCapacity() const { return 2 * static_cast<double>(inFlight_.size()) < limit_; }
   // Expected time until the next request can be sent when aAhead others wait before it, given
   // aLatency for each answer.
   Duration ExpectedQueueTime(Instant aNow, std::size_t aAhead, Duration aLatency) const;
   // Mean latency of answers; zero before the first answer.
-  Duration MeanLatency() const { return mean_; }
+  Duration MeanLatency() const { return meanLatency_; }
   // Returns and resets the work that the server did.
   ServerWork TakeWork();
   // Moving average of the fraction of attempts that failed, 0 to 1.
   double FailureShare() const { return health_.FailureShare(); }
-  std::size_t InFlight() const { return underWay_.size(); }
+  std::size_t InFlight() const { return inFlight_.size(); }
   std::size_t Limit() const { return static_cast<std::size_t>(limit_); }
 
 private:
@@ -81,16 +81,16 @@
     Duration target_{ 0 };
   };
 
-  std::map<AttemptNumber, Attempt> underWay_;
-  Duration mean_{ 0 };
+  std::map<AttemptNumber, Attempt> inFlight_;
+  Duration meanLatency_{ 0 };
   ServerWork work_;
   ServerHealth health_;
   // Time of the last late answer.
-  Instant lateAt_ = Instant::min();
-  double firstLimit_;
+  Instant lastLateAt_ = Instant::min();
+  double initialLimit_;
   double limit_;
-  double mostLimit_;
-  Instant restUntil_ = Instant::min();
+  double maxLimit_;
+  Instant backoffUntil_ = Instant::min();
   std::uint64_t life_ = 0;
   SlowStartLimiter slowStart_;
   RateLimit rateLimit_;
--- a/Libraries/LibGateway/ServiceState.cpp
+++ b/Libraries/LibGateway/ServiceState.cpp
@@ -5,7 +5,7 @@
 namespace {
 
 // Assumed latency of a service without any answer yet.
-constexpr Duration kUnknownLatency = milliseconds(50);
+constexpr Duration kAssumedLatency = milliseconds(50);
 
 } // namespace
 
@@ -21,7 +21,7 @@
       ++count;
     }
   }
-  return count == 0 ? kUnknownLatency : Duration(sum / count);
+  return count == 0 ? kAssumedLatency : Duration(sum / count);
 }
 
 } // namespace latchslip
--- a/Libraries/LibGateway/ServiceState.h
+++ b/Libraries/LibGateway/ServiceState.h
@@ -22,8 +22,8 @@
 // One instance's state of a service that it routes to.
 struct ServiceState
 {
-  explicit ServiceState(RetryBudgetParameters aTerms)
-    : budget_(aTerms)
+  explicit ServiceState(RetryBudgetParameters aParameters)
+    : budget_(aParameters)
   {
   }
 
--- a/Libraries/LibGateway/SlowStartLimiter.cpp
+++ b/Libraries/LibGateway/SlowStartLimiter.cpp
@@ -5,11 +5,11 @@
 namespace latchslip {
 
 void
-SlowStartLimiter::Begin(Instant aNow, Instant aUntil, double aRate, double aFirst)
+SlowStartLimiter::Begin(Instant aNow, Instant aUntil, double aRate, double aInitialTokens)
 {
-  bucket_.SetTerms(aNow, { aRate, 1, 0 });
+  bucket_.SetParameters(aNow, { aRate, 1, 0 });
   if (IsOver(aNow)) {
-    bucket_.Fill(aNow, aFirst);
+    bucket_.SetTokens(aNow, aInitialTokens);
   }
   until_ = std::max(until_, aUntil);
 }
--- a/Libraries/LibGateway/SlowStartLimiter.h
+++ b/Libraries/LibGateway/SlowStartLimiter.h
@@ -13,9 +13,9 @@
 class SlowStartLimiter
 {
 public:
-  // Allows aRate requests per second until aUntil. aFirst, 0 to 1, is the initial fraction of a
-  // token; a random value on each instance keeps their first requests from arriving together.
-  void Begin(Instant aNow, Instant aUntil, double aRate, double aFirst);
+  // Allows aRate requests per second until aUntil. aInitialTokens, 0 to 1, is the initial fraction
+  // of a token; a random value on each instance keeps their first requests from arriving together.
+  void Begin(Instant aNow, Instant aUntil, double aRate, double aInitialTokens);
   // Whether one more request may be sent now.
   bool HasCapacity(Instant aNow) const;
   void OnSent(Instant aNow);
--- a/Libraries/LibGateway/TokenBucket.cpp
+++ b/Libraries/LibGateway/TokenBucket.cpp
@@ -7,28 +7,28 @@
 namespace {
 
 // The wait for a token that never comes. Adding it to a present time does not overflow.
-constexpr Duration kForEver = std::chrono::hours(24 * 365);
+constexpr Duration kMaxWait = std::chrono::hours(24 * 365);
 
 } // namespace
 
 void
-TokenBucket::SetTerms(Instant aNow, TokenBucketParameters aTerms)
+TokenBucket::SetParameters(Instant aNow, TokenBucketParameters aParameters)
 {
-  Fill(aNow, Tokens(aNow));
-  terms_ = aTerms;
+  SetTokens(aNow, Tokens(aNow));
+  parameters_ = aParameters;
 }
 
 void
-TokenBucket::Fill(Instant aNow, double aTokens)
+TokenBucket::SetTokens(Instant aNow, double aTokens)
 {
   tokens_ = aTokens;
-  countedAt_ = std::max(countedAt_, aNow);
+  updatedAt_ = std::max(updatedAt_, aNow);
 }
 
 void
 TokenBucket::Take(Instant aNow)
 {
-  Fill(aNow, std::max(-terms_.mostDebt_, Tokens(aNow) - 1));
+  SetTokens(aNow, std::max(-parameters_.maxDebt_, Tokens(aNow) - 1));
 }
 
 Duration
@@ -38,18 +38,18 @@
   if (missing <= 0) {
     return Duration(0);
   }
-  if (terms_.rate_ * ToSeconds(kForEver) <= missing) {
-    return kForEver;
+  if (parameters_.rate_ * ToSeconds(kMaxWait) <= missing) {
+    return kMaxWait;
   }
   // Rounded up, so that the token exists when the time has passed.
-  return Scale(seconds(1), missing / terms_.rate_) + Duration(1);
+  return Scale(seconds(1), missing / parameters_.rate_) + Duration(1);
 }
 
 double
 TokenBucket::Tokens(Instant aNow) const
 {
-  const auto past = std::max(Duration(0), Duration(aNow - countedAt_));
-  return std::min(terms_.most_, tokens_ + terms_.rate_ * ToSeconds(past));
+  const auto past = std::max(Duration(0), Duration(aNow - updatedAt_));
+  return std::min(parameters_.capacity_, tokens_ + parameters_.rate_ * ToSeconds(past));
 }
 
 } // namespace latchslip
--- a/Libraries/LibGateway/TokenBucket.h
+++ b/Libraries/LibGateway/TokenBucket.h
@@ -12,9 +12,9 @@
   // Tokens per second.
   double rate_ = 0;
   // Capacity in tokens.
-  double most_ = 1;
+  double capacity_ = 1;
   // Overdraft: tokens that may be taken from the empty bucket.
-  double mostDebt_ = 0;
+  double maxDebt_ = 0;
 };
 
 // Token bucket rate limiter: tokens accrue at a fixed rate, and each send takes one.
@@ -22,9 +22,9 @@
 {
 public:
   // Changes the parameters from now on; keeps the accrued tokens.
-  void SetTerms(Instant aNow, TokenBucketParameters aTerms);
+  void SetParameters(Instant aNow, TokenBucketParameters aParameters);
   // Sets the number of tokens.
-  void Fill(Instant aNow, double aTokens);
+  void SetTokens(Instant aNow, double aTokens);
   bool HasToken(Instant aNow) const { return Tokens(aNow) >= 1; }
   // Takes a token, down to the overdraft.
   void Take(Instant aNow);
@@ -35,9 +35,9 @@
 private:
   double Tokens(Instant aNow) const;
 
-  TokenBucketParameters terms_;
+  TokenBucketParameters parameters_;
   double tokens_ = 0;
-  Instant countedAt_{ 0 };
+  Instant updatedAt_{ 0 };
 };
 
 } // namespace latchslip
--- a/Tests/LibGateway/RecordedActions.h
+++ b/Tests/LibGateway/RecordingActions.h
@@ -12,10 +12,10 @@
 namespace latchslip {
 
 // Records the actions of a router.
-class RecordedActions : public RequestActions
+class RecordingActions : public RequestActions
 {
 public:
-  void Send(const AttemptCommand& aOrder) override { sent_.push_back(aOrder); }
+  void Send(const AttemptCommand& aCommand) override { sent_.push_back(aCommand); }
   void Cancel(AttemptNumber aAttempt) override { cancelled_.push_back(aAttempt); }
   void Deliver(RequestNumber aRequest, AttemptNumber) override { delivered_.push_back(aRequest); }
   void Refuse(RequestNumber aRequest, const Refusal& aRefusal) override
@@ -32,7 +32,7 @@
   }
   void CountKey(const std::string& aService, KeyNumber aKey) override
   {
-    ++wanted_[{ aService, aKey }];
+    ++keyCounts_[{ aService, aKey }];
   }
 
   std::vector<AttemptCommand> sent_;
@@ -44,7 +44,7 @@
   // The servers that announced that they are shutting down, each with its incarnation.
   std::set<std::pair<std::string, std::uint64_t>> leaving_;
   // How often each key was requested.
-  std::map<std::pair<std::string, KeyNumber>, int> wanted_;
+  std::map<std::pair<std::string, KeyNumber>, int> keyCounts_;
 };
 
 } // namespace latchslip
--- a/Tests/LibGateway/TestCallerGroups.cpp
+++ b/Tests/LibGateway/TestCallerGroups.cpp
@@ -1,6 +1,6 @@
 #include "LibGateway/ApiKeyIndex.h"
 #include "LibGateway/GatewayRouter.h"
-#include "RecordedActions.h"
+#include "RecordingActions.h"
 
 #include <gtest/gtest.h>
 
@@ -38,27 +38,27 @@
 }
 
 // Admits as many requests as the test allows.
-class CountedGate : public GroupAdmission
+class CountingAdmission : public GroupAdmission
 {
 public:
   bool TryAdmit(Instant, const CallerGroup& aGroup, bool) override
   {
-    asked_.push_back(aGroup.name_);
+    requestedGroups_.push_back(aGroup.name_);
     return left_-- > 0;
   }
 
   int left_ = 1000;
-  std::vector<std::string> asked_;
+  std::vector<std::string> requestedGroups_;
 };
 
 // Two groups, "a" more urgent than "b"; the route "/open/" is public.
-class DeskWithGroups : public testing::Test
+class RouterWithGroups : public testing::Test
 {
 protected:
-  DeskWithGroups()
+  RouterWithGroups()
   {
     router_.SetInstances(1);
-    router_.SetGroupAdmission(gate_);
+    router_.SetGroupAdmission(admission_);
     PutServer("s1");
     SetGroups({ { "a", { "key-a" }, 0 }, { "b", { "key-b" }, 1 } });
   }
@@ -89,7 +89,7 @@
     router_.SetRoutes(now_, std::make_shared<const RouteTable>(std::move(table)));
   }
 
-  RequestNumber Ask(const std::string& aPath, const std::string& aApiKey)
+  RequestNumber SendRequest(const std::string& aPath, const std::string& aApiKey)
   {
     RoutedRequest request;
     request.number_ = ++lastRequest_;
@@ -102,17 +102,17 @@
   }
 
   // Sends requests until one waits for the server, and returns that one.
-  RequestNumber AskUntilOneWaits(const std::string& aApiKey)
+  RequestNumber SendUntilOneWaits(const std::string& aApiKey)
   {
     // Some answers, so that the expected wait is short.
     for (int count = 0; count < 10; ++count) {
-      const auto request = Ask("/closed/", aApiKey);
+      const auto request = SendRequest("/closed/", aApiKey);
       now_ += milliseconds(5);
       End(request);
     }
     for (int count = 0; count < 100; ++count) {
       const auto sent = actions_.sent_.size();
-      const auto request = Ask("/closed/", aApiKey);
+      const auto request = SendRequest("/closed/", aApiKey);
       if (actions_.sent_.size() == sent) {
         return request;
       }
@@ -123,9 +123,9 @@
   void End(RequestNumber aRequest)
   {
     const auto send =
-      std::find_if(actions_.sent_.begin(), actions_.sent_.end(), [&](const AttemptCommand& aOrder) {
-        return aOrder.request_ == aRequest;
-      });
+      std::find_if(actions_.sent_.begin(),
+                   actions_.sent_.end(),
+                   [&](const AttemptCommand& aCommand) { return aCommand.request_ == aRequest; });
     router_.OnAttemptEnded(now_, send->number_, { AttemptEnd::Answered, 200, false, std::nullopt });
   }
 
@@ -139,10 +139,10 @@
   std::uint64_t version_ = 0;
   RequestNumber lastRequest_ = 0;
   SilentEvents events_;
-  RecordedActions actions_;
+  RecordingActions actions_;
   ServerDirectory directory_;
   NullPermitSource permits_;
-  CountedGate gate_;
+  CountingAdmission admission_;
   GatewayRouter router_{ { "hall", { 0.2, 0, seconds(10) }, 1 },
                          directory_,
                          actions_,
@@ -150,19 +150,19 @@
                          events_ };
 };
 
-TEST_F(DeskWithGroups, KnownKey_RequestGoesOnWithTheNameOfItsGroup)
+TEST_F(RouterWithGroups, KnownKey_RequestIsSentWithItsGroup)
 {
-  Ask("/closed/", "key-b");
+  SendRequest("/closed/", "key-b");
   ASSERT_EQ(actions_.sent_.size(), 1U);
   EXPECT_EQ(actions_.sent_[0].group_, "b");
   EXPECT_TRUE(actions_.sent_[0].hidesApiKey_);
 }
 
-TEST_F(DeskWithGroups, KeyIsUnknownOrMissing_IsRefusedAlikeWithAndWithoutRoute)
+TEST_F(RouterWithGroups, KeyIsUnknownOrMissing_IsRefusedAlikeWithAndWithoutRoute)
 {
   for (const auto* path : { "/closed/", "/nowhere/" }) {
     for (const auto* key : { "key-c", "" }) {
-      const auto request = Ask(path, key);
+      const auto request = SendRequest(path, key);
       EXPECT_EQ(ReasonOf(request), RefusalReason::UnknownApiKey) << path << key;
       EXPECT_TRUE(actions_.refused_.at(request).isNotRun_);
     }
@@ -170,54 +170,54 @@
   EXPECT_TRUE(actions_.sent_.empty());
 }
 
-TEST_F(DeskWithGroups, KnownKeyWithoutRoute_HasNoRoute)
+TEST_F(RouterWithGroups, KnownKeyWithoutRoute_IsRefusedForTheMissingRoute)
 {
-  EXPECT_EQ(ReasonOf(Ask("/nowhere/", "key-a")), RefusalReason::NoRoute);
+  EXPECT_EQ(ReasonOf(SendRequest("/nowhere/", "key-a")), RefusalReason::NoRoute);
 }
 
-TEST_F(DeskWithGroups, RouteIsPublic_NeedsNoKeyAndTellsAKnownGroup)
+TEST_F(RouterWithGroups, RouteIsPublic_NeedsNoKeyAndSendsAKnownGroup)
 {
-  Ask("/open/", "");
-  Ask("/open/", "key-a");
+  SendRequest("/open/", "");
+  SendRequest("/open/", "key-a");
   ASSERT_EQ(actions_.sent_.size(), 2U);
   EXPECT_EQ(actions_.sent_[0].group_, "");
   EXPECT_EQ(actions_.sent_[1].group_, "a");
 }
 
-TEST_F(DeskWithGroups, ConfigurationHasNoGroups_KeysMeanNothing)
+TEST_F(RouterWithGroups, ConfigurationHasNoGroups_KeysAreIgnored)
 {
   SetGroups({});
-  Ask("/closed/", "key-c");
+  SendRequest("/closed/", "key-c");
   ASSERT_EQ(actions_.sent_.size(), 1U);
   EXPECT_EQ(actions_.sent_[0].group_, "");
   EXPECT_FALSE(actions_.sent_[0].hidesApiKey_);
 }
 
-TEST_F(DeskWithGroups, KeysAreNotProven_RequestsWithKeysAreRefusedUntilTheyAre)
+TEST_F(RouterWithGroups, KeysAreUnverified_RequestsWithKeysAreRefusedUntilTheyAreVerified)
 {
   router_.SetApiKeysProvenUntil(now_);
-  const auto refused = Ask("/closed/", "key-a");
+  const auto refused = SendRequest("/closed/", "key-a");
   EXPECT_EQ(ReasonOf(refused), RefusalReason::ApiKeysUnproven);
   EXPECT_TRUE(actions_.refused_.at(refused).isNotRun_);
   EXPECT_GT(actions_.refused_.at(refused).retryAfter_, Duration(0));
-  Ask("/open/", "");
+  SendRequest("/open/", "");
   EXPECT_EQ(actions_.sent_.size(), 1U);
   router_.SetApiKeysProvenUntil(now_ + seconds(1));
-  Ask("/closed/", "key-a");
+  SendRequest("/closed/", "key-a");
   EXPECT_EQ(actions_.sent_.size(), 2U);
 }
 
-TEST_F(DeskWithGroups, KeyIsTakenAwayWhileItsRequestWaits_RequestIsRefusedAtOnce)
+TEST_F(RouterWithGroups, KeyIsRevokedWhileItsRequestWaits_RequestIsRefusedAtOnce)
 {
-  const auto waiting = AskUntilOneWaits("key-b");
+  const auto waiting = SendUntilOneWaits("key-b");
   ASSERT_NE(waiting, 0U);
   SetGroups({ { "a", { "key-a" }, 0 }, { "b", {}, 1 } });
   EXPECT_EQ(ReasonOf(waiting), RefusalReason::UnknownApiKey);
 }
 
-TEST_F(DeskWithGroups, ProofRunsOutWhileARequestWaits_IsNotSentAnyMore)
+TEST_F(RouterWithGroups, KeyVerificationExpiresWhileARequestWaits_IsNotSent)
 {
-  const auto waiting = AskUntilOneWaits("key-b");
+  const auto waiting = SendUntilOneWaits("key-b");
   ASSERT_NE(waiting, 0U);
   router_.SetApiKeysProvenUntil(now_);
   const auto sent = actions_.sent_.size();
@@ -225,36 +225,36 @@
   EXPECT_EQ(actions_.sent_.size(), sent);
 }
 
-TEST_F(DeskWithGroups, KeyPassesToAnotherGroup_RequestsGoOnForThatOne)
+TEST_F(RouterWithGroups, KeyMovesToAnotherGroup_RequestsAreSentForThatGroup)
 {
   SetGroups({ { "a", { "key-a", "key-b" }, 0 }, { "b", {}, 1 } });
-  Ask("/closed/", "key-b");
+  SendRequest("/closed/", "key-b");
   ASSERT_EQ(actions_.sent_.size(), 1U);
   EXPECT_EQ(actions_.sent_[0].group_, "a");
 }
 
-TEST_F(DeskWithGroups, GroupIsOverItsLimit_IsRefusedAndToldWhenToComeBack)
+TEST_F(RouterWithGroups, GroupExceedsItsLimit_IsRefusedWithARetryDelay)
 {
-  gate_.left_ = 1;
-  Ask("/closed/", "key-a");
-  const auto refused = Ask("/closed/", "key-a");
+  admission_.left_ = 1;
+  SendRequest("/closed/", "key-a");
+  const auto refused = SendRequest("/closed/", "key-a");
   EXPECT_EQ(actions_.sent_.size(), 1U);
   EXPECT_EQ(ReasonOf(refused), RefusalReason::OverLimit);
   EXPECT_GT(actions_.refused_.at(refused).retryAfter_, Duration(0));
 }
 
-TEST_F(DeskWithGroups, RequestIsBarred_CountsAgainstNoLimit)
+TEST_F(RouterWithGroups, RequestIsRejected_DoesNotCountAgainstTheLimit)
 {
-  Ask("/nowhere/", "key-a");
-  Ask("/closed/", "key-c");
-  EXPECT_TRUE(gate_.asked_.empty());
+  SendRequest("/nowhere/", "key-a");
+  SendRequest("/closed/", "key-c");
+  EXPECT_TRUE(admission_.requestedGroups_.empty());
 }
 
-TEST_F(DeskWithGroups, RequestsOfTwoGroupsWait_TheMoreUrgentGroupGoesFirst)
+TEST_F(RouterWithGroups, RequestsOfTwoGroupsWait_MoreUrgentGroupIsSentFirst)
 {
-  const auto ofB = AskUntilOneWaits("key-b");
+  const auto ofB = SendUntilOneWaits("key-b");
   ASSERT_NE(ofB, 0U);
-  const auto ofA = Ask("/closed/", "key-a");
+  const auto ofA = SendRequest("/closed/", "key-a");
   const auto sent = actions_.sent_.size();
   End(actions_.sent_.back().request_);
   ASSERT_GT(actions_.sent_.size(), sent);
--- a/Tests/LibGateway/TestGatewayRouter.cpp
+++ b/Tests/LibGateway/TestGatewayRouter.cpp
@@ -1,6 +1,6 @@
 #include "../CountedEvents.h"
 #include "LibGateway/GatewayRouter.h"
-#include "RecordedActions.h"
+#include "RecordingActions.h"
 
 #include <gtest/gtest.h>
 #include <set>
@@ -11,10 +11,10 @@
 
 // Routes "/read/" (repeatable, lowest priority) and "/write/" (not repeatable), both to "plain";
 // "/key/" to the keyed service; "/split/" to two services.
-class DeskOfThreeServers : public testing::Test
+class RouterOfThreeServers : public testing::Test
 {
 protected:
-  DeskOfThreeServers()
+  RouterOfThreeServers()
   {
     for (const auto* id : { "p1", "p2", "p3" }) {
       PutServer(id, "plain");
@@ -39,7 +39,7 @@
                          { "keyed", 2, { { 0, 99, "k1", 1, "" }, { 100, 199, "k2", 2, "" } } });
     // Earns some retry budget.
     for (int index = 0; index < 100; ++index) {
-      const auto number = Ask("/read/warm");
+      const auto number = SendRequest("/read/warm");
       Answer(number, 200);
     }
     actions_ = {};
@@ -67,9 +67,9 @@
     directory_.Put(now_, { aId, aService, aId + ":80", "hall", 4, aIsLeaving, ++revision_ });
   }
 
-  RequestNumber Ask(const std::string& aPath,
-                    std::optional<KeyNumber> aKey = std::nullopt,
-                    Duration aTimeLeft = milliseconds(400))
+  RequestNumber SendRequest(const std::string& aPath,
+                            std::optional<KeyNumber> aKey = std::nullopt,
+                            Duration aTimeLeft = milliseconds(400))
   {
     RoutedRequest request;
     request.number_ = ++lastRequest_;
@@ -87,15 +87,15 @@
     const auto send =
       std::find_if(actions_.sent_.rbegin(),
                    actions_.sent_.rend(),
-                   [&](const AttemptCommand& aOrder) { return aOrder.request_ == aRequest; });
+                   [&](const AttemptCommand& aCommand) { return aCommand.request_ == aRequest; });
     return *send;
   }
 
   std::size_t SendsOf(RequestNumber aRequest) const
   {
     return static_cast<std::size_t>(std::count_if(
-      actions_.sent_.begin(), actions_.sent_.end(), [&](const AttemptCommand& aOrder) {
-        return aOrder.request_ == aRequest;
+      actions_.sent_.begin(), actions_.sent_.end(), [&](const AttemptCommand& aCommand) {
+        return aCommand.request_ == aRequest;
       }));
   }
 
@@ -106,10 +106,10 @@
   }
 
   // The server refuses the request and requests a backoff.
-  void TurnAway(RequestNumber aRequest, Duration aRest)
+  void RefuseWithBackoff(RequestNumber aRequest, Duration aBackoff)
   {
     auto outcome = OutcomeOf(AttemptEnd::NotRun, 503);
-    outcome.backoff_ = aRest;
+    outcome.backoff_ = aBackoff;
     router_.OnAttemptEnded(now_, SendOf(aRequest).number_, outcome);
   }
 
@@ -154,7 +154,7 @@
   std::uint64_t revision_ = 0;
   RequestNumber lastRequest_ = 0;
   CountedEvents events_;
-  RecordedActions actions_;
+  RecordingActions actions_;
   ServerDirectory directory_;
   NullPermitSource permits_;
   GatewayRouter router_{ { "hall", { 0.2, 0, seconds(10) }, 1 },
@@ -164,22 +164,22 @@
                          events_ };
 };
 
-TEST_F(DeskOfThreeServers, KeyWithoutOwnerOrWithAFullOne_EachRequestCountsOnce)
+TEST_F(RouterOfThreeServers, KeyHasNoOwnerOrAFullOne_EachRequestIsCountedOnce)
 {
-  Ask("/key/x", 500);
+  SendRequest("/key/x", 500);
   for (int index = 0; index < 40; ++index) {
-    Ask("/key/x", 50);
+    SendRequest("/key/x", 50);
   }
   ASSERT_LT(actions_.sent_.size(), 40U);
-  EXPECT_EQ((actions_.wanted_[{ "keyed", 500 }]), 1);
-  EXPECT_EQ((actions_.wanted_[{ "keyed", 50 }]), 40);
-  Ask("/read/x", 50);
-  EXPECT_EQ(actions_.wanted_.size(), 2U);
+  EXPECT_EQ((actions_.keyCounts_[{ "keyed", 500 }]), 1);
+  EXPECT_EQ((actions_.keyCounts_[{ "keyed", 50 }]), 40);
+  SendRequest("/read/x", 50);
+  EXPECT_EQ(actions_.keyCounts_.size(), 2U);
 }
 
-TEST_F(DeskOfThreeServers, RequestArrives_IsSentOnceWithTheTimeThatIsLeft)
+TEST_F(RouterOfThreeServers, RequestArrives_IsSentOnceWithTheTimeThatIsLeft)
 {
-  const auto request = Ask("/read/1");
+  const auto request = SendRequest("/read/1");
   ASSERT_EQ(SendsOf(request), 1U);
   EXPECT_LE(SendOf(request).timeLeft_, milliseconds(400));
   EXPECT_GT(SendOf(request).timeLeft_, milliseconds(380));
@@ -187,16 +187,16 @@
   EXPECT_EQ(actions_.delivered_, std::vector<RequestNumber>{ request });
 }
 
-TEST_F(DeskOfThreeServers, ConnectionToOneLiesIdle_ItGetsTheRequestUnlessItIsBusy)
+TEST_F(RouterOfThreeServers, OneServerHasAnIdleConnection_IsPreferredUnlessBusy)
 {
   int elsewhere = 0;
   for (int index = 0; index < 20; ++index) {
     actions_.connected_ = { "p2:80" };
-    const auto first = Ask("/read/x");
+    const auto first = SendRequest("/read/x");
     EXPECT_EQ(SendOf(first).server_, "p2");
     // Its connection is in use now, and one more request would need a second one.
     actions_.connected_.clear();
-    const auto second = Ask("/read/x");
+    const auto second = SendRequest("/read/x");
     elsewhere += SendOf(second).server_ == "p2" ? 0 : 1;
     Answer(first, 200);
     Answer(second, 200);
@@ -205,13 +205,13 @@
   EXPECT_GE(elsewhere, 14);
 }
 
-TEST_F(DeskOfThreeServers, RequestsEnd_AreCountedByRouteAndServer)
+TEST_F(RouterOfThreeServers, RequestsEnd_AreCountedByRouteAndServer)
 {
-  const auto answered = Ask("/read/x");
+  const auto answered = SendRequest("/read/x");
   const auto server = SendOf(answered).server_;
   const auto before = router_.Statistics().Servers().at(server).front();
   Answer(answered, 200);
-  Ask("/nowhere");
+  SendRequest("/nowhere");
   const auto& routes = router_.Statistics().Routes();
   EXPECT_EQ(routes.at("a.example/read/").answers_.at(200), 101U);
   EXPECT_EQ(routes.at("-").refusals_.at(static_cast<std::size_t>(RefusalReason::NoRoute)), 1U);
@@ -223,10 +223,10 @@
   EXPECT_FALSE(router_.Statistics().Servers().contains(server));
 }
 
-TEST_F(DeskOfThreeServers, RequestComesBeforeAConfiguration_WaitsForItForAMoment)
+TEST_F(RouterOfThreeServers, RequestArrivesBeforeAConfiguration_WaitsBriefly)
 {
   GatewayRouter router({ "hall", {}, 1 }, directory_, actions_, permits_, events_);
-  const auto ask = [&](RequestNumber aNumber) {
+  const auto send = [&](RequestNumber aNumber) {
     RoutedRequest request;
     request.number_ = aNumber;
     request.host_ = "a.example";
@@ -234,15 +234,15 @@
     request.timeLeft_ = milliseconds(1000);
     router.OnRequest(now_, std::move(request));
   };
-  ask(7001);
+  send(7001);
   EXPECT_TRUE(actions_.refused_.empty());
   now_ += milliseconds(80);
   router.OnTime(now_);
   ASSERT_TRUE(actions_.refused_.contains(7001));
   EXPECT_EQ(actions_.refused_[7001].reason_, RefusalReason::NoConfiguration);
   EXPECT_TRUE(actions_.refused_[7001].isNotRun_);
-  ask(7002);
-  ask(7003);
+  send(7002);
+  send(7003);
   router.OnClientGone(now_, 7003);
   now_ += milliseconds(50);
   RoutingConfiguration configuration;
@@ -255,7 +255,7 @@
   EXPECT_EQ(SendsOf(7003), 0U);
 }
 
-TEST_F(DeskOfThreeServers, OwnersAreNotKnownYet_WaitsForThemOnlyAfterAStart)
+TEST_F(RouterOfThreeServers, OwnersAreUnknown_WaitsForThemOnlyAfterAStart)
 {
   GatewayRouter router({ "hall", {}, 1 }, directory_, actions_, permits_, events_);
   RoutingConfiguration configuration;
@@ -265,7 +265,7 @@
   configuration.routes_.front().latencyTarget_ = milliseconds(400);
   router.SetRoutes(now_,
                    std::make_shared<const RouteTable>(RouteTable::Create(configuration).value()));
-  const auto ask = [&](GatewayRouter& aDesk, RequestNumber aNumber) {
+  const auto send = [&](GatewayRouter& aDesk, RequestNumber aNumber) {
     RoutedRequest request;
     request.number_ = aNumber;
     request.host_ = "a.example";
@@ -274,7 +274,7 @@
     request.timeLeft_ = milliseconds(1000);
     aDesk.OnRequest(now_, std::move(request));
   };
-  ask(router, 7001);
+  send(router, 7001);
   now_ += milliseconds(50);
   router.OnTime(now_);
   EXPECT_TRUE(actions_.refused_.empty());
@@ -284,51 +284,51 @@
   another.SetRoutes(now_,
                     std::make_shared<const RouteTable>(RouteTable::Create(configuration).value()));
   now_ += seconds(1);
-  ask(another, 7002);
+  send(another, 7002);
   EXPECT_TRUE(IsRefused(7002, RefusalReason::NoOwner));
 }
 
-TEST_F(DeskOfThreeServers, NoRouteMatches_IsRefusedAtOnce)
+TEST_F(RouterOfThreeServers, NoRouteMatches_IsRefusedAtOnce)
 {
-  EXPECT_TRUE(IsRefused(Ask("/nowhere/"), RefusalReason::NoRoute));
+  EXPECT_TRUE(IsRefused(SendRequest("/nowhere/"), RefusalReason::NoRoute));
 }
 
-TEST_F(DeskOfThreeServers, RepeatableBreaks_IsTriedAtAnotherServer)
+TEST_F(RouterOfThreeServers, RepeatableBreaks_IsTriedAtAnotherServer)
 {
-  const auto request = Ask("/read/1");
+  const auto request = SendRequest("/read/1");
   const auto first = SendOf(request).server_;
   End(request, AttemptEnd::Broken);
   ASSERT_EQ(SendsOf(request), 2U);
   EXPECT_NE(SendOf(request).server_, first);
 }
 
-TEST_F(DeskOfThreeServers, NotRepeatableBreaks_IsNeverSentAgainAndSaidToBeUnknown)
+TEST_F(RouterOfThreeServers, NotRepeatableBreaks_IsNotRetriedAndItsOutcomeIsUnknown)
 {
-  const auto request = Ask("/write/1");
+  const auto request = SendRequest("/write/1");
   End(request, AttemptEnd::Broken);
   EXPECT_EQ(SendsOf(request), 1U);
   ASSERT_TRUE(IsRefused(request, RefusalReason::OutcomeUnknown));
   EXPECT_FALSE(actions_.refused_[request].isNotRun_);
 }
 
-TEST_F(DeskOfThreeServers, NotRepeatableIsShed_IsTriedElsewhere)
+TEST_F(RouterOfThreeServers, NotRepeatableIsShed_IsTriedElsewhere)
 {
-  const auto request = Ask("/write/1");
+  const auto request = SendRequest("/write/1");
   End(request, AttemptEnd::NotRun, 503);
   EXPECT_EQ(SendsOf(request), 2U);
 }
 
-TEST_F(DeskOfThreeServers, NotRepeatableFailsWithAServerError_ItsAnswerIsDelivered)
+TEST_F(RouterOfThreeServers, NotRepeatableFailsWithAServerError_ItsAnswerIsDelivered)
 {
-  const auto request = Ask("/write/1");
+  const auto request = SendRequest("/write/1");
   Answer(request, 500);
   EXPECT_EQ(SendsOf(request), 1U);
   EXPECT_EQ(actions_.delivered_, std::vector<RequestNumber>{ request });
 }
 
-TEST_F(DeskOfThreeServers, RepeatableFailsEverywhere_StopsAtItsAttemptsAndDeliversTheLast)
+TEST_F(RouterOfThreeServers, RepeatableFailsEverywhere_StopsAtMaxAttemptsAndDeliversTheLastAnswer)
 {
-  const auto request = Ask("/read/1");
+  const auto request = SendRequest("/read/1");
   Answer(request, 500);
   ASSERT_EQ(SendsOf(request), 2U);
   Answer(request, 500);
@@ -336,9 +336,9 @@
   EXPECT_EQ(actions_.delivered_, std::vector<RequestNumber>{ request });
 }
 
-TEST_F(DeskOfThreeServers, ShedEverywhere_IsRefusedAsNotRunWithATimeToComeBack)
+TEST_F(RouterOfThreeServers, ShedEverywhere_IsRefusedAsNotRunWithARetryDelay)
 {
-  const auto request = Ask("/write/1");
+  const auto request = SendRequest("/write/1");
   while (actions_.refused_.empty()) {
     if (router_.Waiting() == 0) {
       End(request, AttemptEnd::NotRun, 503);
@@ -352,12 +352,12 @@
 }
 
 // Of the target of 200 ms the answer itself is assumed to take 50, as long as no answer was seen.
-TEST_F(DeskOfThreeServers, AllServersFull_WaitsWhileAnAnswerMayBeInTimeAndIsRefusedThen)
+TEST_F(RouterOfThreeServers, AllServersFull_WaitsWhileAnAnswerMayBeInTimeAndIsRefusedThen)
 {
   while (router_.Waiting() == 0) {
-    Ask("/read/fill");
+    SendRequest("/read/fill");
   }
-  const auto request = Ask("/write/1");
+  const auto request = SendRequest("/write/1");
   Pass(milliseconds(149));
   EXPECT_TRUE(actions_.refused_.empty());
   Pass(milliseconds(2));
@@ -365,18 +365,18 @@
   EXPECT_EQ(SendsOf(request), 0U);
 }
 
-TEST_F(DeskOfThreeServers, TurnWouldComeTooLate_IsRefusedAtOnceWithTheTimeThatItTakes)
+TEST_F(RouterOfThreeServers, QueueTimeIsTooLong_IsRefusedAtOnceWithARetryDelay)
 {
   // Answers of 150 ms leave 50 ms to wait.
   for (int index = 0; index < 60; ++index) {
-    const auto request = Ask("/key/x", 5);
+    const auto request = SendRequest("/key/x", 5);
     now_ += milliseconds(150);
     Answer(request, 200);
   }
   while (router_.Waiting() == 0 && actions_.refused_.empty()) {
-    Ask("/key/fill", 5);
+    SendRequest("/key/fill", 5);
   }
-  const auto request = Ask("/key/x", 5);
+  const auto request = SendRequest("/key/x", 5);
   ASSERT_TRUE(IsRefused(request, RefusalReason::NoCapacity));
   EXPECT_EQ(SendsOf(request), 0U);
   EXPECT_TRUE(actions_.refused_[request].isNotRun_);
@@ -384,12 +384,12 @@
   EXPECT_LE(actions_.refused_[request].retryAfter_, milliseconds(400) / 3);
 }
 
-TEST_F(DeskOfThreeServers, ManyAreRefusedTogether_TheyComeBackAtDifferentTimes)
+TEST_F(RouterOfThreeServers, ManyAreRefusedTogether_RetryDelaysHaveJitter)
 {
   router_.SetOwnership(now_, { "keyed", 3, { { 0, 99, "k2", 3, "k1" } } });
   std::set<Duration> times;
   for (int index = 0; index < 20; ++index) {
-    const auto request = Ask("/key/x", 5, seconds(4));
+    const auto request = SendRequest("/key/x", 5, seconds(4));
     times.insert(actions_.refused_.at(request).retryAfter_);
   }
   EXPECT_GT(times.size(), 10U);
@@ -397,53 +397,53 @@
 
 // Most requests arrive with 400 ms left, so one with 150 ms was first tried longer ago than its
 // latency target. It leaves half of the capacity to others, and waits only for a moment.
-TEST_F(DeskOfThreeServers, CallerTriedLongBefore_YieldsToThoseWhoMayBeInTime)
+TEST_F(RouterOfThreeServers, RequestIsALateRetry_YieldsToRequestsThatCanBeInTime)
 {
   std::size_t places = 0;
-  while (SendsOf(Ask("/key/x", 5)) == 1) {
+  while (SendsOf(SendRequest("/key/x", 5)) == 1) {
     ++places;
   }
   ASSERT_GE(places, 4U);
-  const auto late = Ask("/key/x", 105, milliseconds(150));
+  const auto late = SendRequest("/key/x", 105, milliseconds(150));
   EXPECT_EQ(SendsOf(late), 1U);
   for (std::size_t count = 1; count < places / 2; ++count) {
-    Ask("/key/x", 105);
+    SendRequest("/key/x", 105);
   }
-  const auto yielding = Ask("/key/x", 105, milliseconds(150));
+  const auto yielding = SendRequest("/key/x", 105, milliseconds(150));
   EXPECT_EQ(SendsOf(yielding), 0U);
-  EXPECT_EQ(SendsOf(Ask("/key/x", 105)), 1U);
+  EXPECT_EQ(SendsOf(SendRequest("/key/x", 105)), 1U);
   Pass(milliseconds(51));
   EXPECT_TRUE(IsRefused(yielding, RefusalReason::NoCapacity));
 }
 
-TEST_F(DeskOfThreeServers, RoomComesWhileSomeWait_MostUrgentGoesFirst)
+TEST_F(RouterOfThreeServers, CapacityIsFreedWhileSomeWait_MostUrgentIsSentFirst)
 {
   std::vector<RequestNumber> running;
   while (router_.Waiting() == 0) {
-    running.push_back(Ask("/read/fill"));
+    running.push_back(SendRequest("/read/fill"));
   }
   const auto lastWaiting = running.back();
-  const auto urgent = Ask("/write/1");
+  const auto urgent = SendRequest("/write/1");
   Answer(running.front(), 200);
   EXPECT_EQ(SendsOf(urgent), 1U);
   EXPECT_EQ(SendsOf(lastWaiting), 0U);
 }
 
-TEST_F(DeskOfThreeServers, ServerIsLeaving_GetsNothingNew)
+TEST_F(RouterOfThreeServers, ServerIsLeaving_GetsNothingNew)
 {
   PutServer("p1", "plain", true);
   PutServer("p2", "plain", true);
   router_.OnDirectoryChanged(now_);
   for (int index = 0; index < 4; ++index) {
-    EXPECT_EQ(SendOf(Ask("/read/1")).server_, "p3");
+    EXPECT_EQ(SendOf(SendRequest("/read/1")).server_, "p3");
   }
 }
 
-TEST_F(DeskOfThreeServers, ServerLeavesWhileARequestWaits_ItIsNotSentThere)
+TEST_F(RouterOfThreeServers, ServerLeavesWhileARequestWaits_ItIsNotSentThere)
 {
   std::vector<RequestNumber> running;
   while (router_.Waiting() == 0) {
-    running.push_back(Ask("/read/fill"));
+    running.push_back(SendRequest("/read/fill"));
   }
   const auto waiting = running.back();
   const auto freed = SendOf(running.front()).server_;
@@ -453,20 +453,20 @@
   EXPECT_EQ(SendsOf(waiting), 0U);
 }
 
-TEST_F(DeskOfThreeServers, KeyHasAnOwner_OnlyTheOwnerGetsIt)
+TEST_F(RouterOfThreeServers, KeyHasAnOwner_OnlyTheOwnerGetsIt)
 {
-  EXPECT_EQ(SendOf(Ask("/key/1", 5)).server_, "k1");
-  EXPECT_EQ(SendOf(Ask("/key/1", 105)).server_, "k2");
+  EXPECT_EQ(SendOf(SendRequest("/key/1", 5)).server_, "k1");
+  EXPECT_EQ(SendOf(SendRequest("/key/1", 105)).server_, "k2");
 }
 
-TEST_F(DeskOfThreeServers, KeyIsMoving_WaitsAndGoesToTheNewOwner)
+TEST_F(RouterOfThreeServers, KeyIsMoving_WaitsAndIsSentToTheNewOwner)
 {
   // A move that took 40 ms has been observed.
   router_.SetOwnership(now_, { "keyed", 3, { { 0, 99, "k2", 3, "k1" } } });
   Pass(milliseconds(40));
   router_.SetOwnership(now_, { "keyed", 3, { { 0, 99, "k2", 3, "" } } });
   router_.SetOwnership(now_, { "keyed", 4, { { 0, 99, "k1", 4, "k2" } } });
-  const auto request = Ask("/key/1", 5);
+  const auto request = SendRequest("/key/1", 5);
   EXPECT_EQ(SendsOf(request), 0U);
   Pass(milliseconds(20));
   EXPECT_TRUE(actions_.refused_.empty());
@@ -476,16 +476,16 @@
 }
 
 // Such a move is blocked, for example on the grants of a silent server.
-TEST_F(DeskOfThreeServers, KeyHasBeenMovingForLong_IsRefusedAtOnce)
+TEST_F(RouterOfThreeServers, KeyHasBeenMovingForLong_IsRefusedAtOnce)
 {
   router_.SetOwnership(now_, { "keyed", 3, { { 0, 99, "k2", 3, "k1" } } });
   Pass(seconds(2));
-  const auto request = Ask("/key/1", 5);
+  const auto request = SendRequest("/key/1", 5);
   EXPECT_TRUE(IsRefused(request, RefusalReason::NoOwner));
   EXPECT_GE(actions_.refused_[request].retryAfter_, milliseconds(110));
 }
 
-TEST_F(DeskOfThreeServers, NewsOfTheEndOfAMoveAreMissed_NewOwnerIsTried)
+TEST_F(RouterOfThreeServers, UpdateOfTheEndOfAMoveIsMissed_NewOwnerIsTried)
 {
   router_.SetUpdatesStale(true);
   router_.SetOwnership(now_, { "keyed", 3, { { 0, 99, "k2", 3, "k1" } } });
@@ -493,58 +493,58 @@
   router_.SetOwnership(now_,
                        { "keyed", 4, { { 0, 99, "k2", 3, "k1" }, { 100, 199, "k1", 4, "" } } });
   Pass(milliseconds(150));
-  const auto request = Ask("/key/1", 5);
+  const auto request = SendRequest("/key/1", 5);
   ASSERT_EQ(SendsOf(request), 1U);
   EXPECT_EQ(SendOf(request).server_, "k2");
 }
 
-TEST_F(DeskOfThreeServers, MoveTakesLongButNewsCome_NewOwnerIsNotTriedEarly)
+TEST_F(RouterOfThreeServers, MoveTakesLongButUpdatesArrive_NewOwnerIsNotTriedEarly)
 {
   router_.SetOwnership(now_, { "keyed", 3, { { 0, 99, "k2", 3, "k1" } } });
   Pass(seconds(5));
-  EXPECT_EQ(SendsOf(Ask("/key/1", 5)), 0U);
+  EXPECT_EQ(SendsOf(SendRequest("/key/1", 5)), 0U);
 }
 
-TEST_F(DeskOfThreeServers, KeyHasNoOwnerForLong_IsRefusedAsNotRun)
+TEST_F(RouterOfThreeServers, KeyHasNoOwnerForLong_IsRefusedAsNotRun)
 {
-  const auto request = Ask("/key/1", 5000);
+  const auto request = SendRequest("/key/1", 5000);
   Pass(milliseconds(50));
   EXPECT_TRUE(IsRefused(request, RefusalReason::NoOwner));
   EXPECT_TRUE(actions_.refused_[request].isNotRun_);
 }
 
-TEST_F(DeskOfThreeServers, OwnerSaysItIsNot_IsSentAgainOnlyAfterAPause)
+TEST_F(RouterOfThreeServers, OwnerDeniesOwnership_IsRetriedOnlyAfterADelay)
 {
   for (int index = 0; index < 50; ++index) {
-    Answer(Ask("/key/1", 5), 200);
+    Answer(SendRequest("/key/1", 5), 200);
   }
-  const auto request = Ask("/key/1", 5);
+  const auto request = SendRequest("/key/1", 5);
   End(request, AttemptEnd::WrongServer, 421);
   EXPECT_EQ(SendsOf(request), 1U);
   Pass(milliseconds(35));
   EXPECT_EQ(SendsOf(request), 2U);
 }
 
-TEST_F(DeskOfThreeServers, NoAnswerUntilTheLimit_IsGivenUpAndCancelled)
+TEST_F(RouterOfThreeServers, NoAnswerUntilTheTimeLimit_IsCancelledAndRefused)
 {
-  const auto request = Ask("/read/1");
+  const auto request = SendRequest("/read/1");
   Pass(milliseconds(450));
   EXPECT_TRUE(IsRefused(request, RefusalReason::OutOfTime));
   EXPECT_FALSE(actions_.refused_[request].isNotRun_);
   EXPECT_EQ(actions_.cancelled_.size(), 1U);
 }
 
-TEST_F(DeskOfThreeServers, ClientOfARepeatableLeaves_ServerIsRelieved)
+TEST_F(RouterOfThreeServers, ClientOfARepeatableDisconnects_AttemptIsCancelled)
 {
-  const auto request = Ask("/read/1");
+  const auto request = SendRequest("/read/1");
   router_.OnClientGone(now_, request);
   EXPECT_EQ(actions_.cancelled_, std::vector<AttemptNumber>{ SendOf(request).number_ });
   EXPECT_EQ(router_.InFlight(), 0U);
 }
 
-TEST_F(DeskOfThreeServers, ClientOfANotRepeatableLeaves_ItRunsToItsEnd)
+TEST_F(RouterOfThreeServers, ClientOfANotRepeatableDisconnects_AttemptRunsToItsEnd)
 {
-  const auto request = Ask("/write/1");
+  const auto request = SendRequest("/write/1");
   router_.OnClientGone(now_, request);
   EXPECT_TRUE(actions_.cancelled_.empty());
   Answer(request, 200);
@@ -552,35 +552,35 @@
   EXPECT_EQ(router_.InFlight(), 0U);
 }
 
-TEST_F(DeskOfThreeServers, ClientLeavesWhileWaiting_NothingIsSent)
+TEST_F(RouterOfThreeServers, ClientDisconnectsWhileWaiting_NothingIsSent)
 {
   while (router_.Waiting() == 0) {
-    Ask("/read/fill");
+    SendRequest("/read/fill");
   }
-  const auto request = Ask("/write/1");
+  const auto request = SendRequest("/write/1");
   router_.OnClientGone(now_, request);
   Answer(1 + lastRequest_ - 2, 200);
   EXPECT_EQ(SendsOf(request), 0U);
 }
 
-TEST_F(DeskOfThreeServers, RouteHasWeights_SharesAreKeptOverShortSpans)
+TEST_F(RouterOfThreeServers, RouteHasWeights_SharesAreExactOverShortRuns)
 {
   std::size_t others = 0;
   for (int index = 0; index < 50; ++index) {
-    const auto request = Ask("/split/1");
+    const auto request = SendRequest("/split/1");
     others += SendOf(request).server_ == "o1" ? 1U : 0U;
     Answer(request, 200);
   }
   EXPECT_EQ(others, 5U);
 }
 
-TEST_F(DeskOfThreeServers, OnePartOfASplitRouteIsFull_WhatDoesNotFitIsRefusedAndNotMoved)
+TEST_F(RouterOfThreeServers, OneTargetOfASplitRouteIsFull_ItsRequestsAreRefusedAndNotRerouted)
 {
   // The target with a tenth of the weight answers nothing; the other has capacity.
   constexpr int kAsked = 200;
   int toPlain = 0;
   for (int index = 0; index < kAsked; ++index) {
-    const auto request = Ask("/split/x");
+    const auto request = SendRequest("/split/x");
     if (SendsOf(request) == 1 && SendOf(request).server_ != "o1") {
       ++toPlain;
       Answer(request, 200);
@@ -598,22 +598,22 @@
   }
 }
 
-TEST_F(DeskOfThreeServers, AnotherLifeAnswers_AddressIsLeftAlone)
+TEST_F(RouterOfThreeServers, AnotherIncarnationAnswers_AddressIsSuspended)
 {
-  const auto request = Ask("/read/1");
+  const auto request = SendRequest("/read/1");
   const auto first = SendOf(request).server_;
   End(request, AttemptEnd::WrongServer, 421, true);
   for (int index = 0; index < 30; ++index) {
-    const auto next = Ask("/read/1");
+    const auto next = SendRequest("/read/1");
     EXPECT_NE(SendOf(next).server_, first);
     Answer(next, 200);
   }
 }
 
-TEST_F(DeskOfThreeServers, ServiceLeavesTheConfigurationWhileRequestsWait_TheyAreRefused)
+TEST_F(RouterOfThreeServers, ServiceIsRemovedWhileRequestsWait_TheyAreRefused)
 {
   while (router_.Waiting() == 0) {
-    Ask("/read/fill");
+    SendRequest("/read/fill");
   }
   const auto waiting = lastRequest_;
   RoutingConfiguration configuration;
@@ -630,11 +630,11 @@
   EXPECT_EQ(actions_.refused_.count(waiting), 1U);
 }
 
-TEST_F(DeskOfThreeServers, RetriesAreSpent_FailureIsFinal)
+TEST_F(RouterOfThreeServers, RetryBudgetIsExhausted_FailureIsFinal)
 {
   std::size_t sends = 0;
   for (int index = 0; index < 100; ++index) {
-    const auto request = Ask("/read/1");
+    const auto request = SendRequest("/read/1");
     now_ += milliseconds(30);
     Answer(request, 500);
     sends += SendsOf(request);
@@ -648,7 +648,7 @@
 TEST(GatewayRouter, NoConfigurationForAMoment_IsRefusedAsNotRun)
 {
   SilentEvents events;
-  RecordedActions actions;
+  RecordingActions actions;
   const ServerDirectory directory;
   NullPermitSource permits;
   GatewayRouter router({ "hall", {}, 1 }, directory, actions, permits, events);
@@ -661,7 +661,7 @@
   EXPECT_TRUE(actions.refused_[7].isNotRun_);
 }
 
-TEST_F(DeskOfThreeServers, HallIsDrained_NothingIsSentOrSentAgainToItsServers)
+TEST_F(RouterOfThreeServers, HallIsDrained_NothingIsSentOrRetriedThere)
 {
   auto elsewhere = *directory_.Find("p1");
   elsewhere.hall_ = "other-hall";
@@ -669,17 +669,17 @@
   directory_.DrainHall("hall");
   router_.OnDirectoryChanged(now_);
   for (int index = 0; index < 20; ++index) {
-    const auto request = Ask("/read/x");
+    const auto request = SendRequest("/read/x");
     EXPECT_EQ(SendOf(request).server_, "p1");
     End(request, AttemptEnd::NotRun, 503);
     EXPECT_EQ(SendOf(request).server_, "p1");
     now_ += milliseconds(100);
   }
-  const auto keyed = Ask("/key/x", 50);
+  const auto keyed = SendRequest("/key/x", 50);
   EXPECT_EQ(SendsOf(keyed), 0U);
 }
 
-TEST_F(DeskOfThreeServers, ServersStartSlowly_EachGetsThisInstancesPartOfTheRate)
+TEST_F(RouterOfThreeServers, ServersAreInSlowStart_EachGetsThisInstancesShareOfTheRate)
 {
   RoutingConfiguration configuration;
   configuration.version_ = 2;
@@ -695,7 +695,7 @@
                     std::make_shared<const RouteTable>(RouteTable::Create(configuration).value()));
   std::map<std::string, int> sends;
   for (int index = 0; index < 300; ++index) {
-    const auto request = Ask("/read/x");
+    const auto request = SendRequest("/read/x");
     if (SendsOf(request) > 0) {
       ++sends[SendOf(request).server_];
       Answer(request, 200);
@@ -707,9 +707,9 @@
   EXPECT_GT(sends["p3"], 200);
 }
 
-TEST_F(DeskOfThreeServers, AnswerSaysThatItsServerLeaves_TheFleetIsTold)
+TEST_F(RouterOfThreeServers, AnswerAnnouncesThatItsServerLeaves_IsPassedOn)
 {
-  const auto request = Ask("/write/1");
+  const auto request = SendRequest("/write/1");
   AttemptOutcome outcome;
   outcome.end_ = AttemptEnd::Answered;
   outcome.status_ = 200;
@@ -721,33 +721,33 @@
 }
 
 // Guards against sends to the owner of a key during the backoff that it requested.
-TEST_F(DeskOfThreeServers, OwnerAsksForRest_IsSentNothingBeforeItsEnd)
+TEST_F(RouterOfThreeServers, OwnerRequestsBackoff_IsSentNothingBeforeItsEnd)
 {
-  TurnAway(Ask("/key/1", 5), seconds(3));
+  RefuseWithBackoff(SendRequest("/key/1", 5), seconds(3));
   actions_.sent_.clear();
   for (int index = 0; index < 28; ++index) {
-    Ask("/key/1", 5);
+    SendRequest("/key/1", 5);
     Pass(milliseconds(100));
   }
   EXPECT_TRUE(actions_.sent_.empty());
   Pass(milliseconds(300));
-  Ask("/key/1", 5);
+  SendRequest("/key/1", 5);
   EXPECT_EQ(actions_.sent_.size(), 1U);
 }
 
 // Guards against an instance without a dispatcher that sends an owner more than its share of the
 // owner's rate limit.
-TEST_F(DeskOfThreeServers, OwnerNamesARateLimit_GetsItsPartOfItOnly)
+TEST_F(RouterOfThreeServers, OwnerAdvertisesARateLimit_InstanceKeepsToItsShare)
 {
   constexpr double kLimit = 10;
   constexpr std::size_t kInstances = 4;
   constexpr int kSeconds = 8;
   router_.SetInstances(kInstances);
-  AnswerWithLimit(Ask("/key/1", 5), kLimit);
+  AnswerWithLimit(SendRequest("/key/1", 5), kLimit);
   actions_.sent_.clear();
   std::size_t sent = 0;
   for (int index = 0; index < kSeconds * 20; ++index) {
-    Ask("/key/1", 5);
+    SendRequest("/key/1", 5);
     Pass(milliseconds(50));
     while (sent < actions_.sent_.size()) {
       AnswerWithLimit(actions_.sent_[sent++].request_, kLimit);
@@ -759,12 +759,12 @@
 }
 
 // Guards against holding requests for a server that accepts the next one only seconds later.
-TEST_F(DeskOfThreeServers, OwnerNamesALowRateLimit_RequestsBeyondItAreRefusedAtOnce)
+TEST_F(RouterOfThreeServers, OwnerAdvertisesALowRateLimit_RequestsBeyondItAreRefusedAtOnce)
 {
   router_.SetInstances(8);
-  AnswerWithLimit(Ask("/key/1", 5), 0.5);
-  AnswerWithLimit(Ask("/key/1", 5), 0.5);
-  const auto request = Ask("/key/1", 5);
+  AnswerWithLimit(SendRequest("/key/1", 5), 0.5);
+  AnswerWithLimit(SendRequest("/key/1", 5), 0.5);
+  const auto request = SendRequest("/key/1", 5);
   ASSERT_TRUE(actions_.refused_.contains(request));
   EXPECT_EQ(actions_.refused_.at(request).reason_, RefusalReason::NoCapacity);
   EXPECT_TRUE(actions_.refused_.at(request).isNotRun_);
@@ -772,26 +772,26 @@
 
 // Guards against a request that waits for its owner's rate limit and is not woken up while
 // nothing else happens.
-TEST_F(DeskOfThreeServers, OwnerNamesARateLimit_WhatWaitsForItsTurnIsSentThen)
+TEST_F(RouterOfThreeServers, OwnerAdvertisesARateLimit_WaitingRequestIsSentWhenATokenAccrues)
 {
-  AnswerWithLimit(Ask("/key/1", 5), 10);
+  AnswerWithLimit(SendRequest("/key/1", 5), 10);
   actions_.sent_.clear();
   Pass(milliseconds(50));
-  const auto request = Ask("/key/1", 5);
+  const auto request = SendRequest("/key/1", 5);
   EXPECT_TRUE(actions_.sent_.empty());
   Pass(milliseconds(60));
   EXPECT_EQ(SendsOf(request), 1U);
 }
 
 // Guards against ignoring a rate limit where any server may have the request.
-TEST_F(DeskOfThreeServers, AServerNamesARateLimit_OthersGetTheRequestsBeyondIt)
+TEST_F(RouterOfThreeServers, OneServerAdvertisesARateLimit_OthersGetTheRequestsBeyondIt)
 {
-  const auto first = Ask("/read/1");
+  const auto first = SendRequest("/read/1");
   const auto limited = SendOf(first).server_;
   AnswerWithLimit(first, 1);
   int atLimited = 0;
   for (int index = 0; index < 100; ++index) {
-    const auto request = Ask("/read/1");
+    const auto request = SendRequest("/read/1");
     ASSERT_EQ(SendsOf(request), 1U);
     const bool isLimited = SendOf(request).server_ == limited;
     atLimited += isLimited ? 1 : 0;
@@ -802,14 +802,14 @@
 }
 
 // Guards against ignoring a backoff where any server may have the request.
-TEST_F(DeskOfThreeServers, AServerAsksForRest_OthersGetTheRequests)
+TEST_F(RouterOfThreeServers, OneServerRequestsBackoff_OthersGetTheRequests)
 {
-  const auto first = Ask("/read/1");
+  const auto first = SendRequest("/read/1");
   const auto resting = SendOf(first).server_;
-  TurnAway(first, seconds(3));
+  RefuseWithBackoff(first, seconds(3));
   actions_.sent_.clear();
   for (int index = 0; index < 50; ++index) {
-    const auto request = Ask("/read/1");
+    const auto request = SendRequest("/read/1");
     ASSERT_EQ(SendsOf(request), 1U);
     EXPECT_NE(SendOf(request).server_, resting);
     Answer(request, 200);
@@ -818,7 +818,7 @@
 }
 
 // Guards against holding requests for a move that cannot happen while the store is unavailable.
-TEST_F(DeskOfThreeServers, OwnerLeavesAndItsKeysDoNotMove_RequestsAreSoonRefusedAtOnce)
+TEST_F(RouterOfThreeServers, OwnerLeavesAndItsKeysDoNotMove_RequestsAreSoonRefusedAtOnce)
 {
   // Moves usually take 50 ms, which is a useful wait.
   router_.SetOwnership(now_,
@@ -827,27 +827,27 @@
   router_.SetOwnership(now_, { "keyed", 3, { { 0, 99, "k1", 1, "" }, { 100, 199, "k2", 3, "" } } });
   directory_.RecordLeaving(now_, "k1", 0);
   router_.OnDirectoryChanged(now_);
-  EXPECT_FALSE(actions_.refused_.contains(Ask("/key/1", 5)));
+  EXPECT_FALSE(actions_.refused_.contains(SendRequest("/key/1", 5)));
   Pass(seconds(1));
-  const auto request = Ask("/key/1", 5);
+  const auto request = SendRequest("/key/1", 5);
   ASSERT_TRUE(actions_.refused_.contains(request));
   EXPECT_EQ(actions_.refused_.at(request).reason_, RefusalReason::NoOwner);
   EXPECT_TRUE(actions_.refused_.at(request).isNotRun_);
 }
 
-TEST_F(DeskOfThreeServers, ServerAsksForRestTwiceInOne_IsLoggedOnce)
+TEST_F(RouterOfThreeServers, ServerRequestsBackoffDuringOne_IsLoggedOnce)
 {
-  const auto first = Ask("/key/1", 5);
-  const auto second = Ask("/key/1", 5);
-  TurnAway(first, seconds(3));
-  TurnAway(second, seconds(3));
+  const auto first = SendRequest("/key/1", 5);
+  const auto second = SendRequest("/key/1", 5);
+  RefuseWithBackoff(first, seconds(3));
+  RefuseWithBackoff(second, seconds(3));
   EXPECT_EQ(events_.CountOf(Event::ServerAskedForRest), 1);
 }
 
-TEST_F(DeskOfThreeServers, ServerNamesARateLimit_ItsBeginAndItsEndAreLogged)
+TEST_F(RouterOfThreeServers, ServerAdvertisesARateLimit_ItsBeginAndItsEndAreLogged)
 {
   for (const double limit : { 8.7, 8.2, kNoRateLimit, kNoRateLimit }) {
-    AnswerWithLimit(Ask("/key/1", 5), limit);
+    AnswerWithLimit(SendRequest("/key/1", 5), limit);
     Pass(seconds(1));
   }
   EXPECT_EQ(events_.CountOf(Event::ServerLimitsRate), 2);
--- a/Tests/LibGateway/TestPermitRequests.cpp
+++ b/Tests/LibGateway/TestPermitRequests.cpp
@@ -1,5 +1,5 @@
 #include "LibGateway/GatewayRouter.h"
-#include "RecordedActions.h"
+#include "RecordingActions.h"
 
 #include <gtest/gtest.h>
 #include <set>
@@ -9,18 +9,21 @@
 namespace {
 
 // Records permit requests and reports; the test answers them.
-class RecordedPermits : public PermitSource
+class RecordingPermitSource : public PermitSource
 {
 public:
-  bool CanAsk(const std::string&) const override { return isHeard_; }
-  void RequestPermit(Instant, const PermitAsk& aAsk) override { asks_.push_back(aAsk); }
+  bool CanAsk(const std::string&) const override { return isAvailable_; }
+  void RequestPermit(Instant, const PermitAsk& aRequest) override
+  {
+    permitRequests_.push_back(aRequest);
+  }
   void Withdraw(AttemptNumber aNumber) override { withdrawn_.insert(aNumber); }
-  void OnPermitTimeout(Instant, const std::string&) override { isHeard_ = false; }
+  void OnPermitTimeout(Instant, const std::string&) override { isAvailable_ = false; }
   void TellSend(Instant, const SendNotice& aNotice) override { notices_.push_back(aNotice); }
   void TellEnd(const SendEnd& aEnd) override { ends_.push_back(aEnd); }
 
-  bool isHeard_ = true;
-  std::vector<PermitAsk> asks_;
+  bool isAvailable_ = true;
+  std::vector<PermitAsk> permitRequests_;
   std::set<AttemptNumber> withdrawn_;
   std::vector<SendNotice> notices_;
   std::vector<SendEnd> ends_;
@@ -28,10 +31,10 @@
 
 // An instance with a dispatcher: requests to "/plain/" may use any server of "plain", those to
 // "/keyed/" need the owner of their key among the servers of "keyed".
-class DeskWithADispatcher : public testing::Test
+class RouterWithADispatcher : public testing::Test
 {
 protected:
-  DeskWithADispatcher()
+  RouterWithADispatcher()
   {
     for (const auto* id : { "p1", "p2" }) {
       directory_.Put(now_, { id, "plain", std::string(id) + ":80", "hall", 4, false, 1 });
@@ -71,16 +74,16 @@
 
   void Permit(const std::string& aServer)
   {
-    router_.OnPermit(now_, permits_.asks_.back().number_, aServer);
+    router_.OnPermit(now_, permits_.permitRequests_.back().number_, aServer);
   }
 
   // The server of the last send refuses the request and requests a backoff.
-  void TurnAway(Duration aRest)
+  void RefuseWithBackoff(Duration aBackoff)
   {
     AttemptOutcome outcome;
     outcome.end_ = AttemptEnd::NotRun;
     outcome.status_ = 503;
-    outcome.backoff_ = aRest;
+    outcome.backoff_ = aBackoff;
     router_.OnAttemptEnded(now_, actions_.sent_.back().number_, outcome);
   }
 
@@ -97,8 +100,8 @@
   Instant now_ = seconds(100);
   RequestNumber lastRequest_ = 0;
   SilentEvents events_;
-  RecordedActions actions_;
-  RecordedPermits permits_;
+  RecordingActions actions_;
+  RecordingPermitSource permits_;
   ServerDirectory directory_;
   GatewayRouter router_{ { "hall", { 0.2, 62, seconds(10) }, 1 },
                          directory_,
@@ -107,10 +110,10 @@
                          events_ };
 };
 
-TEST_F(DeskWithADispatcher, RequestComes_IsSentWhereItIsPermittedAndItsEndIsTold)
+TEST_F(RouterWithADispatcher, RequestArrives_IsSentWithThePermitAndItsEndIsReported)
 {
   const auto request = Request("/plain/1");
-  ASSERT_EQ(permits_.asks_.size(), 1U);
+  ASSERT_EQ(permits_.permitRequests_.size(), 1U);
   EXPECT_TRUE(actions_.sent_.empty());
   Permit("p2");
   ASSERT_EQ(actions_.sent_.size(), 1U);
@@ -121,49 +124,51 @@
     now_, actions_.sent_[0].number_, { AttemptEnd::Answered, 200, false, status });
   EXPECT_EQ(actions_.delivered_, std::vector<RequestNumber>{ request });
   ASSERT_EQ(permits_.ends_.size(), 1U);
-  EXPECT_EQ(permits_.ends_[0],
-            (SendEnd{ permits_.asks_[0].number_, SendResult::Answered, milliseconds(30), status }));
+  EXPECT_EQ(
+    permits_.ends_[0],
+    (SendEnd{
+      permits_.permitRequests_[0].number_, SendResult::Answered, milliseconds(30), status }));
   EXPECT_TRUE(permits_.notices_.empty());
 }
 
-TEST_F(DeskWithADispatcher, KeyHasAnOwner_ThatOneIsAskedFor)
+TEST_F(RouterWithADispatcher, KeyHasAnOwner_PermitIsRequestedForTheOwner)
 {
   Request("/keyed/1", 50);
-  ASSERT_EQ(permits_.asks_.size(), 1U);
-  EXPECT_EQ(permits_.asks_[0].server_, "k1");
+  ASSERT_EQ(permits_.permitRequests_.size(), 1U);
+  EXPECT_EQ(permits_.permitRequests_[0].server_, "k1");
   Request("/keyed/1", 500);
-  EXPECT_EQ(permits_.asks_.size(), 1U) << "nobody owns that key";
+  EXPECT_EQ(permits_.permitRequests_.size(), 1U) << "nobody owns that key";
 }
 
-TEST_F(DeskWithADispatcher, OwnerAsksForRest_DispatcherIsToldAndNoPermitIsAskedFor)
+TEST_F(RouterWithADispatcher, OwnerRequestsBackoff_IsReportedToDispatcherAndNoPermitIsRequested)
 {
   Request("/keyed/1", 50);
   Permit("k1");
-  TurnAway(seconds(3));
+  RefuseWithBackoff(seconds(3));
   ASSERT_EQ(permits_.ends_.size(), 1U);
   EXPECT_EQ(permits_.ends_[0].backoff_, seconds(3));
   const auto request = Request("/keyed/1", 50);
-  EXPECT_EQ(permits_.asks_.size(), 1U);
+  EXPECT_EQ(permits_.permitRequests_.size(), 1U);
   ASSERT_TRUE(actions_.refused_.contains(request));
   EXPECT_TRUE(actions_.refused_[request].isNotRun_);
   Pass(seconds(3));
   Request("/keyed/1", 50);
-  EXPECT_EQ(permits_.asks_.size(), 2U);
+  EXPECT_EQ(permits_.permitRequests_.size(), 2U);
 }
 
 // Guards against permits from a dispatcher that was not informed of the backoff, such as a new
 // one.
-TEST_F(DeskWithADispatcher, PermitIsForAServerThatWantsRest_IsGivenBackWithTheRestThatIsLeft)
+TEST_F(RouterWithADispatcher, PermitIsForAServerInBackoff_IsReturnedWithTheRemainingBackoff)
 {
   Request("/plain/1");
   Permit("p1");
-  TurnAway(seconds(3));
+  RefuseWithBackoff(seconds(3));
   permits_.ends_.clear();
   const auto sent = actions_.sent_.size();
   Permit("p1");
   EXPECT_EQ(actions_.sent_.size(), sent);
   ASSERT_EQ(permits_.ends_.size(), 1U);
-  auto givenBack = CancelledSend(permits_.asks_.back().number_);
+  auto givenBack = CancelledSend(permits_.permitRequests_.back().number_);
   givenBack.backoff_ = seconds(3);
   EXPECT_EQ(permits_.ends_[0], givenBack);
   Pass(milliseconds(40));
@@ -172,7 +177,7 @@
   EXPECT_EQ(actions_.sent_.back().server_, "p2");
 }
 
-TEST_F(DeskWithADispatcher, PermitIsForAServerThatSaidThatItLeaves_IsGivenBackWithThat)
+TEST_F(RouterWithADispatcher, PermitIsForALeavingServer_IsReturnedWithItsIncarnation)
 {
   Request("/plain/1");
   directory_.RecordLeaving(now_, "p1", 0);
@@ -183,7 +188,7 @@
   EXPECT_EQ(permits_.ends_[0].leavingLife_, 0U);
 }
 
-TEST_F(DeskWithADispatcher, AnswerSaysThatItsServerLeaves_DispatcherIsTold)
+TEST_F(RouterWithADispatcher, AnswerAnnouncesThatItsServerLeaves_IsReportedToDispatcher)
 {
   Request("/plain/1");
   Permit("p1");
@@ -196,31 +201,31 @@
   EXPECT_EQ(permits_.ends_[0].leavingLife_, 0U);
 }
 
-TEST_F(DeskWithADispatcher, PermitIsDenied_IsRefusedAtOnceAsNotRun)
+TEST_F(RouterWithADispatcher, PermitIsDenied_IsRefusedAtOnceAsNotRun)
 {
   const auto request = Request("/plain/1");
-  router_.OnPermitDenied(now_, permits_.asks_[0].number_, milliseconds(100));
+  router_.OnPermitDenied(now_, permits_.permitRequests_[0].number_, milliseconds(100));
   ASSERT_TRUE(actions_.refused_.contains(request));
   EXPECT_TRUE(actions_.refused_[request].isNotRun_);
   EXPECT_EQ(actions_.refused_[request].reason_, RefusalReason::NoCapacity);
   EXPECT_GE(actions_.refused_[request].retryAfter_, milliseconds(50));
 }
 
-TEST_F(DeskWithADispatcher, DispatcherDoesNotAnswer_InstanceChoosesAloneAndTellsOfIt)
+TEST_F(RouterWithADispatcher, DispatcherDoesNotAnswer_RequestIsSentWithoutPermitAndReported)
 {
   Request("/plain/1");
   Pass(milliseconds(50));
   EXPECT_EQ(actions_.sent_.size(), 1U);
-  EXPECT_TRUE(permits_.withdrawn_.contains(permits_.asks_[0].number_));
+  EXPECT_TRUE(permits_.withdrawn_.contains(permits_.permitRequests_[0].number_));
   EXPECT_EQ(permits_.notices_.size(), 1U);
   Request("/plain/2");
   EXPECT_EQ(actions_.sent_.size(), 2U) << "it is not asked while it is silent";
 }
 
-TEST_F(DeskWithADispatcher, PermitComesTwice_IsUsedOnceAndGivenBackOnce)
+TEST_F(RouterWithADispatcher, PermitArrivesTwice_IsUsedOnceAndReturnedOnce)
 {
   Request("/plain/1");
-  const auto number = permits_.asks_[0].number_;
+  const auto number = permits_.permitRequests_[0].number_;
   router_.OnPermit(now_, number, "p1");
   router_.OnPermit(now_, number, "p2");
   EXPECT_EQ(actions_.sent_.size(), 1U);
@@ -228,7 +233,7 @@
   EXPECT_EQ(permits_.ends_[0].result_, SendResult::Cancelled);
 }
 
-TEST_F(DeskWithADispatcher, PermitIsForAServerOfADrainedHall_IsGivenBack)
+TEST_F(RouterWithADispatcher, PermitIsForAServerOfADrainedHall_IsReturned)
 {
   Request("/plain/1");
   directory_.DrainHall("hall");
@@ -239,7 +244,7 @@
   EXPECT_EQ(permits_.ends_[0].result_, SendResult::Cancelled);
 }
 
-TEST_F(DeskWithADispatcher, KeyMovedMeanwhile_PermitForItsFormerOwnerIsGivenBack)
+TEST_F(RouterWithADispatcher, KeyMovedMeanwhile_PermitForItsFormerOwnerIsReturned)
 {
   Request("/keyed/1", 50);
   router_.SetOwnership(now_, { "keyed", 3, { { 0, 99, "k2", 2, "k1" } } });
@@ -248,10 +253,10 @@
   EXPECT_EQ(permits_.ends_.size(), 1U);
 }
 
-TEST_F(DeskWithADispatcher, PromisedPermitNeverComes_IsRefusedWhenItWouldNotBeInTime)
+TEST_F(RouterWithADispatcher, AnnouncedPermitNeverArrives_IsRefusedWhenItWouldBeLate)
 {
   const auto request = Request("/plain/1");
-  router_.OnPermitDelayed(now_, permits_.asks_[0].number_);
+  router_.OnPermitDelayed(now_, permits_.permitRequests_[0].number_);
   Pass(milliseconds(150));
   EXPECT_FALSE(actions_.refused_.contains(request));
   Pass(milliseconds(150));
@@ -259,32 +264,32 @@
   EXPECT_TRUE(actions_.refused_[request].isNotRun_);
 }
 
-TEST_F(DeskWithADispatcher, ClientLeavesWhileItsRequestWaits_AskIsWithdrawn)
+TEST_F(RouterWithADispatcher, ClientDisconnectsWhileItsRequestWaits_PermitRequestIsWithdrawn)
 {
   const auto request = Request("/plain/1");
   router_.OnClientGone(now_, request);
-  EXPECT_TRUE(permits_.withdrawn_.contains(permits_.asks_[0].number_));
+  EXPECT_TRUE(permits_.withdrawn_.contains(permits_.permitRequests_[0].number_));
   Permit("p1");
   EXPECT_TRUE(actions_.sent_.empty());
 }
 
-TEST_F(DeskWithADispatcher, DispatcherIsGone_AnotherIsAsked)
+TEST_F(RouterWithADispatcher, DispatcherIsGone_PermitIsRequestedAgain)
 {
   Request("/plain/1");
-  router_.OnAskLost(now_, permits_.asks_[0].number_);
-  ASSERT_EQ(permits_.asks_.size(), 2U);
+  router_.OnAskLost(now_, permits_.permitRequests_[0].number_);
+  ASSERT_EQ(permits_.permitRequests_.size(), 2U);
   Permit("p1");
   EXPECT_EQ(actions_.sent_.size(), 1U);
 }
 
-TEST_F(DeskWithADispatcher, ServerDidNotRunIt_AnotherPermitIsAskedForWithWhatWasTried)
+TEST_F(RouterWithADispatcher, ServerDidNotRunIt_AnotherPermitIsRequestedWithTheTriedServers)
 {
   Request("/plain/1");
   Permit("p1");
   router_.OnAttemptEnded(
     now_, actions_.sent_[0].number_, { AttemptEnd::NotRun, 503, false, std::nullopt });
-  ASSERT_EQ(permits_.asks_.size(), 2U);
-  EXPECT_EQ(permits_.asks_[1].tried_, std::vector<std::string>{ "p1" });
+  ASSERT_EQ(permits_.permitRequests_.size(), 2U);
+  EXPECT_EQ(permits_.permitRequests_[1].tried_, std::vector<std::string>{ "p1" });
 }
 
 } // namespace
--- a/Tests/LibGateway/TestRateLimit.cpp
+++ b/Tests/LibGateway/TestRateLimit.cpp
@@ -10,7 +10,7 @@
 
 constexpr Instant kNow = seconds(100);
 
-TEST(RateLimit, AnswersNameIt_HoldsUntilALaterRequestIsAnsweredWithoutIt)
+TEST(RateLimit, LimitIsAdvertised_HoldsUntilALaterRequestIsAnsweredWithoutIt)
 {
   RateLimit limit;
   EXPECT_FALSE(limit.OnAdvertised(kNow, kNow, kNoRateLimit, 1));
@@ -23,7 +23,7 @@
 }
 
 // Guards against an answer on a slower connection that was written before the limit began.
-TEST(RateLimit, AnswerToAnEarlierRequestNamesNone_TheLimitStays)
+TEST(RateLimit, AnswerToAnEarlierRequestHasNone_LimitStays)
 {
   RateLimit limit;
   limit.OnAdvertised(kNow, kNow - milliseconds(90), 8.7, 1);
@@ -32,7 +32,7 @@
   EXPECT_EQ(limit.Rate(), 8.7);
 }
 
-TEST(RateLimit, NoneIsNamed_NothingIsBound)
+TEST(RateLimit, NoneIsAdvertised_NothingIsLimited)
 {
   RateLimit limit;
   limit.OnSent(kNow);
@@ -40,7 +40,7 @@
   EXPECT_EQ(limit.RemainingWait(kNow, 1000), Duration(0));
 }
 
-TEST(RateLimit, ItsPartIsSpent_NextOnesComeOneAfterAnother)
+TEST(RateLimit, ShareIsUsed_NextTokensAccrueOneAfterAnother)
 {
   RateLimit limit;
   limit.OnAdvertised(kNow, kNow, 8, 0.25);
@@ -52,7 +52,7 @@
 }
 
 // Guards against sends that other instances made without a permit and that are not counted.
-TEST(RateLimit, MoreIsSentThanHasRoom_IsMadeUpForByLaterOnes)
+TEST(RateLimit, MoreIsSentThanAllowed_LaterSendsAreDelayed)
 {
   RateLimit limit;
   limit.OnAdvertised(kNow, kNow, 10, 1);
@@ -64,7 +64,7 @@
 }
 
 // Guards against a limit whose end is never observed, because nothing is sent any more.
-TEST(RateLimit, NothingIsTaken_OneIsTriedNowAndThen)
+TEST(RateLimit, RateIsZero_OneRequestIsSentOccasionally)
 {
   RateLimit limit;
   limit.OnAdvertised(kNow, kNow, 0, 1);
@@ -74,7 +74,7 @@
 
 // Far more requests than a server accepts are sent by many instances, each of which has its share
 // of the rate.
-TEST(RateLimit, ManyInstancesSendWhatTheyMay_TheServerGetsWhatItTakes)
+TEST(RateLimit, ManyInstancesUseTheirShares_ServerGetsItsRate)
 {
   constexpr std::size_t kInstances = 74;
   constexpr double kRate = 8.7;
--- a/Tests/LibGateway/TestRefusalStreak.cpp
+++ b/Tests/LibGateway/TestRefusalStreak.cpp
@@ -6,28 +6,28 @@
 
 namespace {
 
-TEST(RefusalStreak, FirstRefusal_HasJustBegun)
+TEST(RefusalStreak, FirstRefusal_StreakStarts)
 {
-  RefusalStreak spell;
-  EXPECT_EQ(spell.OnRefusal(seconds(100)), Duration(0));
+  RefusalStreak streak;
+  EXPECT_EQ(streak.OnRefusal(seconds(100)), Duration(0));
 }
 
 TEST(RefusalStreak, RefusalsFollowEachOther_LastsSinceTheFirst)
 {
-  RefusalStreak spell;
+  RefusalStreak streak;
   Duration lasting{ 0 };
   for (Instant now = seconds(100); now <= seconds(102); now += milliseconds(400)) {
-    lasting = spell.OnRefusal(now);
+    lasting = streak.OnRefusal(now);
   }
   EXPECT_EQ(lasting, seconds(2));
 }
 
-TEST(RefusalStreak, NoneWasRefusedForAWhile_BeginsAnew)
+TEST(RefusalStreak, NoRefusalForAWhile_StreakStartsAgain)
 {
-  RefusalStreak spell;
-  spell.OnRefusal(seconds(100));
-  spell.OnRefusal(seconds(100) + milliseconds(300));
-  EXPECT_EQ(spell.OnRefusal(seconds(101)), Duration(0));
+  RefusalStreak streak;
+  streak.OnRefusal(seconds(100));
+  streak.OnRefusal(seconds(100) + milliseconds(300));
+  EXPECT_EQ(streak.OnRefusal(seconds(101)), Duration(0));
 }
 
 } // namespace
--- a/Tests/LibGateway/TestRequestAgeEstimator.cpp
+++ b/Tests/LibGateway/TestRequestAgeEstimator.cpp
@@ -6,42 +6,42 @@
 
 namespace {
 
-TEST(RequestAgeEstimator, FirstRequest_IsAFirstTry)
+TEST(RequestAgeEstimator, FirstRequest_IsAFirstAttempt)
 {
-  RequestAgeEstimator patience;
-  patience.OnRequest(milliseconds(2500));
-  EXPECT_EQ(patience.AgeOf(milliseconds(2500)), Duration(0));
+  RequestAgeEstimator requestAge;
+  requestAge.OnRequest(milliseconds(2500));
+  EXPECT_EQ(requestAge.AgeOf(milliseconds(2500)), Duration(0));
 }
 
 TEST(RequestAgeEstimator, RequestHasLessTimeLeftThanMost_IsAsOldAsTheDifference)
 {
-  RequestAgeEstimator patience;
+  RequestAgeEstimator requestAge;
   for (int index = 0; index < 100; ++index) {
-    patience.OnRequest(milliseconds(index % 3 == 0 ? 2500 : 1900));
+    requestAge.OnRequest(milliseconds(index % 3 == 0 ? 2500 : 1900));
   }
-  EXPECT_EQ(patience.AgeOf(milliseconds(1900)), milliseconds(600));
-  EXPECT_EQ(patience.AgeOf(milliseconds(2500)), Duration(0));
+  EXPECT_EQ(requestAge.AgeOf(milliseconds(1900)), milliseconds(600));
+  EXPECT_EQ(requestAge.AgeOf(milliseconds(2500)), Duration(0));
 }
 
-TEST(RequestAgeEstimator, FewHaveMoreTimeThanAllOthers_TheyDoNotMakeTheOthersOld)
+TEST(RequestAgeEstimator, FewHaveMoreTimeThanAllOthers_EstimateIgnoresThem)
 {
-  RequestAgeEstimator patience;
+  RequestAgeEstimator requestAge;
   for (int index = 0; index < 200; ++index) {
-    patience.OnRequest(milliseconds(index % 20 == 0 ? 60000 : 2500));
+    requestAge.OnRequest(milliseconds(index % 20 == 0 ? 60000 : 2500));
   }
-  EXPECT_EQ(patience.AgeOf(milliseconds(2500)), Duration(0));
+  EXPECT_EQ(requestAge.AgeOf(milliseconds(2500)), Duration(0));
 }
 
-TEST(RequestAgeEstimator, CallersGiveLessTimeThanBefore_IsLearntAnew)
+TEST(RequestAgeEstimator, CallersUseShorterTimeLimits_EstimateAdapts)
 {
-  RequestAgeEstimator patience;
+  RequestAgeEstimator requestAge;
   for (int index = 0; index < 100; ++index) {
-    patience.OnRequest(milliseconds(2500));
+    requestAge.OnRequest(milliseconds(2500));
   }
   for (int index = 0; index < 100; ++index) {
-    patience.OnRequest(milliseconds(800));
+    requestAge.OnRequest(milliseconds(800));
   }
-  EXPECT_EQ(patience.AgeOf(milliseconds(800)), Duration(0));
+  EXPECT_EQ(requestAge.AgeOf(milliseconds(800)), Duration(0));
 }
 
 } // namespace
--- a/Tests/LibGateway/TestServerDirectory.cpp
+++ b/Tests/LibGateway/TestServerDirectory.cpp
@@ -42,7 +42,7 @@
   ServerDirectory directory_;
 };
 
-TEST_F(DirectoryOfTwoServers, RecordDisappearsWhileStoreIsWell_IsDroppedSoon)
+TEST_F(DirectoryOfTwoServers, RecordDisappearsWhileStoreIsAvailable_IsDroppedSoon)
 {
   directory_.Remove(kNow, "s1");
   EXPECT_TRUE(IsListedAt("s1", milliseconds(100)));
@@ -50,7 +50,7 @@
   EXPECT_TRUE(IsListedAt("s2", seconds(60)));
 }
 
-TEST_F(DirectoryOfTwoServers, RecordDisappearsAfterOutage_IsKeptUntilLivingServersAreBack)
+TEST_F(DirectoryOfTwoServers, RecordDisappearsAfterOutage_IsKeptUntilRunningServersAreBack)
 {
   directory_.OnStoreLost(kNow);
   directory_.OnStoreRegained(kNow + seconds(4));
@@ -68,7 +68,7 @@
 }
 
 // The next tests cover the three acknowledged states that an older copy of the store reverts.
-TEST_F(DirectoryOfTwoServers, CopyShowsALeavingServerAsReady_ItStaysLeavingUntilItCouldSaySoAgain)
+TEST_F(DirectoryOfTwoServers, CopyShowsALeavingServerAsReady_StaysLeavingUntilItCouldRepeatIt)
 {
   directory_.Put(kNow, { "s1", "rates", "10.0.0.1:80", "hall", 4, true, 3 });
   directory_.OnStoreRolledBack(kNow);
@@ -80,7 +80,7 @@
   EXPECT_TRUE(directory_.Find("s1")->AcceptsWork());
 }
 
-TEST_F(DirectoryOfTwoServers, LeavingServerSaysSoAgainAfterTheCopy_ItStaysLeaving)
+TEST_F(DirectoryOfTwoServers, LeavingServerRepeatsItAfterTheCopy_StaysLeaving)
 {
   directory_.Put(kNow, { "s1", "rates", "10.0.0.1:80", "hall", 4, true, 3 });
   directory_.OnStoreRolledBack(kNow);
@@ -104,7 +104,7 @@
   EXPECT_FALSE(IsListedAt("s1", seconds(5)));
 }
 
-TEST_F(DirectoryOfTwoServers, CopyLacksAServer_ItIsKeptUntilItCouldWriteItselfAgain)
+TEST_F(DirectoryOfTwoServers, CopyLacksAServer_IsKeptUntilItCouldRegisterAgain)
 {
   directory_.OnStoreRolledBack(kNow);
   directory_.Remove(kNow, "s1");
@@ -112,7 +112,7 @@
   EXPECT_FALSE(IsListedAt("s1", milliseconds(2400)));
 }
 
-TEST_F(DirectoryOfTwoServers, CopyLacksADrainedHall_ItStaysDrainedUntilOperatorsCouldSaySoAgain)
+TEST_F(DirectoryOfTwoServers, CopyLacksADrainedHall_StaysDrainedUntilOperatorsCouldRepeatIt)
 {
   directory_.DrainHall("hall");
   directory_.OnStoreRolledBack(kNow);
@@ -125,7 +125,7 @@
   EXPECT_TRUE(directory_.Find("s1")->AcceptsWork());
 }
 
-TEST_F(DirectoryOfTwoServers, CopyLacksADrainedHallAndNobodySaysSoAgain_ItIsRestored)
+TEST_F(DirectoryOfTwoServers, CopyLacksADrainedHallAndNobodyRepeatsIt_IsRestored)
 {
   directory_.DrainHall("hall");
   directory_.OnStoreRolledBack(kNow);
@@ -134,7 +134,7 @@
   EXPECT_TRUE(directory_.Find("s1")->AcceptsWork());
 }
 
-TEST_F(DirectoryOfTwoServers, FormerLifeIsListedAgainByTheCopy_LaterLifeHasNotEnded)
+TEST_F(DirectoryOfTwoServers, FormerIncarnationIsListedByTheCopy_LaterOneHasNotEnded)
 {
   Put("s3", "10.0.0.1:80", 7);
   directory_.Remove(kNow, "s1");
@@ -154,7 +154,7 @@
   EXPECT_TRUE(IsListedAt("s2", seconds(1)));
 }
 
-TEST_F(DirectoryOfTwoServers, LaterLifeHasTheAddress_FormerLifeHasEnded)
+TEST_F(DirectoryOfTwoServers, LaterIncarnationHasTheAddress_FormerOneHasEnded)
 {
   EXPECT_FALSE(directory_.HasEnded("s1"));
   Put("s3", "10.0.0.1:80", 7);
@@ -162,7 +162,7 @@
   EXPECT_FALSE(directory_.HasEnded("s3"));
 }
 
-TEST_F(DirectoryOfTwoServers, AddressPassesOnAfterRecordWasDropped_FormerLifeHasEnded)
+TEST_F(DirectoryOfTwoServers, AddressIsReusedAfterRecordWasDropped_FormerIncarnationHasEnded)
 {
   directory_.Remove(kNow, "s1");
   ASSERT_FALSE(IsListedAt("s1", seconds(1)));
@@ -171,12 +171,12 @@
   EXPECT_TRUE(directory_.HasEnded("s1"));
 }
 
-TEST_F(DirectoryOfTwoServers, LifeThatWasNeverListed_IsNotCalledEnded)
+TEST_F(DirectoryOfTwoServers, IncarnationWasNeverListed_HasNotEnded)
 {
   EXPECT_FALSE(directory_.HasEnded("unknown"));
 }
 
-TEST_F(DirectoryOfTwoServers, HallIsDrained_ItsServersTakeNoWorkUntilItIsRestored)
+TEST_F(DirectoryOfTwoServers, HallIsDrained_ItsServersAcceptNoWorkUntilItIsRestored)
 {
   directory_.DrainHall("hall");
   EXPECT_FALSE(directory_.Find("s1")->AcceptsWork());
@@ -188,7 +188,7 @@
   EXPECT_TRUE(directory_.Find("s3")->AcceptsWork());
 }
 
-TEST_F(DirectoryOfTwoServers, HallIsRestored_ItsServersStartSlowlyUntilTheySayOtherwise)
+TEST_F(DirectoryOfTwoServers, HallIsRestored_ItsServersAreInSlowStartUntilTheyReportOtherwise)
 {
   directory_.RestoreHall(kNow, "hall");
   EXPECT_FALSE(directory_.Find("s1")->IsInSlowStart(kNow)) << "it was not drained";
@@ -200,7 +200,7 @@
   EXPECT_FALSE(directory_.Find("s1")->IsInSlowStart(kNow));
 }
 
-TEST_F(DirectoryOfTwoServers, ServerSaysHowLongItStartsSlowly_ItCountsFromThen)
+TEST_F(DirectoryOfTwoServers, ServerReportsRemainingSlowStart_CountsFromTheReport)
 {
   ServerRecord record{ "s4", "rates", "10.0.0.4:80", "hall", 4, false, 4 };
   record.slowStartLeft_ = seconds(3);
@@ -212,7 +212,7 @@
 // The update came from an instance that reaches the store: the server has left, and must get
 // nothing 2.5 s later, however long this instance itself cannot reach the store.
 TEST_F(DirectoryOfTwoServers,
-       RecordDisappearsInAnOutageOfThisInstanceAlone_ItsReturnKeepsItNoLonger)
+       RecordDisappearsInAnOutageOfThisInstanceAlone_ReconnectingDoesNotKeepItLonger)
 {
   directory_.OnStoreLost(kNow);
   directory_.Remove(kNow + seconds(4), "s1");
@@ -222,7 +222,7 @@
 }
 
 // Guards against the use of a leaving server whose record does not say so.
-TEST_F(DirectoryOfTwoServers, AnswerSaysThatAServerLeaves_TakesNoWorkWhateverRecordsOfItsLifeSay)
+TEST_F(DirectoryOfTwoServers, AnswerAnnouncesThatAServerLeaves_RecordsOfItsIncarnationDoNotRevertIt)
 {
   EXPECT_TRUE(directory_.RecordLeaving(kNow, "s1", 0));
   EXPECT_FALSE(directory_.Find("s1")->AcceptsWork());
@@ -240,7 +240,7 @@
 }
 
 // Guards against an older dropped record that hides what was learned of the server since.
-TEST_F(DirectoryOfTwoServers, ServerIsDroppedAgain_IsRememberedAsItWasLast)
+TEST_F(DirectoryOfTwoServers, ServerIsDroppedAgain_LatestRecordIsKept)
 {
   directory_.Remove(kNow, "s1");
   ASSERT_FALSE(IsListedAt("s1", seconds(1)));
--- a/Tests/LibGateway/TestServerLoad.cpp
+++ b/Tests/LibGateway/TestServerLoad.cpp
@@ -41,7 +41,7 @@
   ServerLoad load_{ 2, 8 };
 };
 
-TEST_F(LoadOfAServer, LimitIsReached_HasNoRoom)
+TEST_F(LoadOfAServer, LimitIsReached_HasNoCapacity)
 {
   load_.OnSent(now_, 1, kTarget);
   EXPECT_TRUE(load_.HasCapacity(now_));
@@ -49,7 +49,7 @@
   EXPECT_FALSE(load_.HasCapacity(now_));
 }
 
-TEST_F(LoadOfAServer, ServerStartsAgainUnderItsId_WhatWasLearntOfItIsForgotten)
+TEST_F(LoadOfAServer, ServerRestartsUnderItsId_StateIsReset)
 {
   load_.SetLife(100);
   AnswerWhileFull(100, milliseconds(5));
@@ -63,7 +63,7 @@
   EXPECT_EQ(load_.MeanLatency(), Duration(0));
 }
 
-TEST_F(LoadOfAServer, FullAndFast_LimitGrowsUpToItsBound)
+TEST_F(LoadOfAServer, LimitIsReachedAndAnswersAreFast_LimitGrowsToItsMaximum)
 {
   AnswerWhileFull(200, milliseconds(5));
   EXPECT_EQ(load_.Limit(), 8U);
@@ -97,7 +97,7 @@
   EXPECT_EQ(load_.Limit(), 2U);
 }
 
-TEST_F(LoadOfAServer, RequestsAreUnderWay_TurnComesWhenTheOldestEnds)
+TEST_F(LoadOfAServer, RequestsAreInFlight_QueueTimeEndsWithTheOldest)
 {
   Send();
   Send();
@@ -110,13 +110,13 @@
   EXPECT_EQ(load_.ExpectedQueueTime(now_ + seconds(1), 0, milliseconds(100)), milliseconds(25));
 }
 
-TEST_F(LoadOfAServer, ShedAMomentAgo_TurnComesAfterThePause)
+TEST_F(LoadOfAServer, ShedRecently_QueueTimeIncludesTheSuspension)
 {
   Answer(1, milliseconds(1), SendResult::Shed);
   EXPECT_GE(load_.ExpectedQueueTime(now_, 0, milliseconds(1)), milliseconds(15));
 }
 
-TEST_F(LoadOfAServer, HalfOfTheLimitIsUnderWay_HasNoSpareRoom)
+TEST_F(LoadOfAServer, HalfOfTheLimitIsInFlight_HasNoSpareCapacity)
 {
   EXPECT_TRUE(load_.HasSpareCapacity());
   Send();
@@ -135,7 +135,7 @@
   EXPECT_EQ(load_.TakeWork(), ServerWork());
 }
 
-TEST_F(LoadOfAServer, Sheds_LimitShrinksAndServerIsLeftAloneForAMoment)
+TEST_F(LoadOfAServer, RequestIsShed_LimitShrinksAndServerIsSuspended)
 {
   AnswerWhileFull(200, milliseconds(5));
   Answer(1, milliseconds(1), SendResult::Shed);
@@ -143,7 +143,7 @@
   EXPECT_FALSE(load_.HasCapacity(now_));
 }
 
-TEST_F(LoadOfAServer, CannotBeReached_PauseDoublesAndEnds)
+TEST_F(LoadOfAServer, Unreachable_SuspensionDoublesAndEnds)
 {
   Answer(1, milliseconds(1), SendResult::NotReached);
   EXPECT_FALSE(load_.HasCapacity(now_ + milliseconds(100)));
--- a/Tests/LibGateway/TestSlowStartLimiter.cpp
+++ b/Tests/LibGateway/TestSlowStartLimiter.cpp
@@ -11,7 +11,7 @@
 
 constexpr Instant kNow = seconds(100);
 
-TEST(SlowStartLimiter, ServerIsWarm_NothingIsBound)
+TEST(SlowStartLimiter, ServerIsNotInSlowStart_NothingIsLimited)
 {
   SlowStartLimiter share;
   EXPECT_TRUE(share.HasCapacity(kNow));
@@ -19,7 +19,7 @@
   EXPECT_TRUE(share.HasCapacity(kNow));
 }
 
-TEST(SlowStartLimiter, RateIsSpent_NextOneMustBeSavedUp)
+TEST(SlowStartLimiter, TokenIsUsed_NextOneMustAccrue)
 {
   SlowStartLimiter share;
   share.Begin(kNow, kNow + seconds(10), 0.5, 1);
@@ -30,7 +30,7 @@
   EXPECT_TRUE(share.HasCapacity(kNow + seconds(10))) << "the slow start is over";
 }
 
-TEST(SlowStartLimiter, BeginsAnewWhileItLasts_NothingIsGivenTwice)
+TEST(SlowStartLimiter, RestartedWhileActive_NoTokenIsAddedTwice)
 {
   SlowStartLimiter share;
   share.Begin(kNow, kNow + seconds(10), 0.5, 1);
@@ -42,10 +42,10 @@
 // Many instances without coordination send to a server in slow start, each with more requests
 // than it may send. 74 instances, 5.8 requests per second and three seconds are those of a
 // deployment of medium size; the server crashes at 16 requests in a second.
-class SharesOfManyInstances : public testing::TestWithParam<unsigned>
+class LimitersOfManyInstances : public testing::TestWithParam<unsigned>
 {};
 
-TEST_P(SharesOfManyInstances, AllSendWhatTheyMay_NoSecondHasTooMany)
+TEST_P(LimitersOfManyInstances, AllUseTheirShares_NoSecondExceedsTheLimit)
 {
   constexpr std::size_t kInstances = 74;
   constexpr double kRate = 5.8;
@@ -71,7 +71,7 @@
   EXPECT_GT(sends.size(), 5U);
 }
 
-INSTANTIATE_TEST_SUITE_P(Seeds, SharesOfManyInstances, testing::Range(1U, 21U));
+INSTANTIATE_TEST_SUITE_P(Seeds, LimitersOfManyInstances, testing::Range(1U, 21U));
 
 } // namespace
 
