--- a/Libraries/LibGateway/CallerChecks.cpp
+++ b/Libraries/LibGateway/CallerChecks.cpp
@@ -1,5 +1,4 @@
-// Whether a caller may have its request served: the part of GatewayRouter that looks at groups,
-// API keys and limits.
+// Admission of requests in GatewayRouter: API keys, groups and their rate limits.
 
 #include "LibGateway/GatewayRouter.h"
 
--- a/Libraries/LibGateway/PermitRequests.cpp
+++ b/Libraries/LibGateway/PermitRequests.cpp
@@ -1,4 +1,4 @@
-// How requests get permits from dispatchers: the part of GatewayRouter that asks.
+// Permit requests to dispatchers in GatewayRouter.
 
 #include "LibGateway/GatewayRouter.h"
 
--- a/Libraries/LibGateway/ServerChoice.cpp
+++ b/Libraries/LibGateway/ServerChoice.cpp
@@ -1,4 +1,4 @@
-// Which server a request is sent to: the part of GatewayRouter that chooses.
+// Choice of servers (load balancing) in GatewayRouter.
 
 #include "LibGateway/GatewayRouter.h"
 
--- a/Libraries/LibGateway/ServerDirectory.h
+++ b/Libraries/LibGateway/ServerDirectory.h
@@ -80,7 +80,7 @@
   // until its writers have had time to repeat it.
   void OnStoreRolledBack(Instant aNow);
 
-  // The store became unreachable, or reachable again, for this instance.
+  // The store became unreachable for this instance, or reachable again.
   void OnStoreLost(Instant aNow);
   void OnStoreRegained(Instant aNow);
 
--- a/Libraries/LibLimit/GroupUsage.cpp
+++ b/Libraries/LibLimit/GroupUsage.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-constexpr double kMostCount = 1e9;
+constexpr double kMaxCount = 1e9;
 
 FieldResult<std::uint32_t>
 ReadCount(const JsonReader& aReader, std::string_view aName)
 {
-  BOOST_OUTCOME_TRY(const auto count, aReader.NumberOr(aName, 0, 0, kMostCount));
+  BOOST_OUTCOME_TRY(const auto count, aReader.NumberOr(aName, 0, 0, kMaxCount));
   return static_cast<std::uint32_t>(count);
 }
 
@@ -20,46 +20,46 @@
 std::string
 SerializeUsageReport(const UsageReport& aReport)
 {
-  boost::json::array uses;
-  for (const auto& use : aReport.usages_) {
-    uses.push_back(boost::json::object{ { "group", use.group_ },
-                                        { "asked", use.asked_ },
-                                        { "asked_late", use.askedLate_ },
-                                        { "passed", use.admitted_ } });
+  boost::json::array usages;
+  for (const auto& usage : aReport.usages_) {
+    usages.push_back(boost::json::object{ { "group", usage.group_ },
+                                          { "asked", usage.requests_ },
+                                          { "asked_late", usage.lateRequests_ },
+                                          { "passed", usage.admitted_ } });
   }
   return boost::json::serialize(
-    boost::json::object{ { "address", aReport.address_ }, { "uses", std::move(uses) } });
+    boost::json::object{ { "address", aReport.address_ }, { "uses", std::move(usages) } });
 }
 
 FieldResult<UsageReport>
 ParseUsageReport(std::string_view aText)
 {
-  BOOST_OUTCOME_TRY(const auto value, ParseJson(aText, "use report"));
+  BOOST_OUTCOME_TRY(const auto value, ParseJson(aText, "usage report"));
   BOOST_OUTCOME_TRY(const auto reader, JsonReader::Create(value, ""));
   UsageReport report;
   BOOST_OUTCOME_TRY(report.address_, reader.Text("address"));
-  BOOST_OUTCOME_TRY(const auto* uses, reader.List("uses"));
-  for (const auto& entry : *uses) {
-    BOOST_OUTCOME_TRY(const auto use, JsonReader::Create(entry, "uses"));
+  BOOST_OUTCOME_TRY(const auto* usages, reader.List("uses"));
+  for (const auto& entry : *usages) {
+    BOOST_OUTCOME_TRY(const auto usage, JsonReader::Create(entry, "uses"));
     GroupUsage read;
-    BOOST_OUTCOME_TRY(read.group_, use.Text("group"));
-    BOOST_OUTCOME_TRY(read.asked_, ReadCount(use, "asked"));
-    BOOST_OUTCOME_TRY(read.askedLate_, ReadCount(use, "asked_late"));
-    BOOST_OUTCOME_TRY(read.admitted_, ReadCount(use, "passed"));
+    BOOST_OUTCOME_TRY(read.group_, usage.Text("group"));
+    BOOST_OUTCOME_TRY(read.requests_, ReadCount(usage, "asked"));
+    BOOST_OUTCOME_TRY(read.lateRequests_, ReadCount(usage, "asked_late"));
+    BOOST_OUTCOME_TRY(read.admitted_, ReadCount(usage, "passed"));
     report.usages_.push_back(std::move(read));
   }
   return report;
 }
 
 std::string
-SerializeAdmittedShares(const AdmittedShares& aParts)
+SerializeAdmittedShares(const AdmittedShares& aShares)
 {
-  boost::json::array parts;
-  for (const auto& part : aParts) {
-    parts.push_back(boost::json::object{
-      { "group", part.group_ }, { "part", part.share_ }, { "late_part", part.lateShare_ } });
+  boost::json::array shares;
+  for (const auto& share : aShares) {
+    shares.push_back(boost::json::object{
+      { "group", share.group_ }, { "part", share.share_ }, { "late_part", share.lateShare_ } });
   }
-  return boost::json::serialize(boost::json::object{ { "parts", std::move(parts) } });
+  return boost::json::serialize(boost::json::object{ { "parts", std::move(shares) } });
 }
 
 FieldResult<AdmittedShares>
@@ -68,16 +68,16 @@
   BOOST_OUTCOME_TRY(const auto value, ParseJson(aText, "parts"));
   BOOST_OUTCOME_TRY(const auto reader, JsonReader::Create(value, ""));
   BOOST_OUTCOME_TRY(const auto* list, reader.List("parts"));
-  AdmittedShares parts;
+  AdmittedShares shares;
   for (const auto& entry : *list) {
     BOOST_OUTCOME_TRY(const auto item, JsonReader::Create(entry, "parts"));
-    AdmittedShare part;
-    BOOST_OUTCOME_TRY(part.group_, item.Text("group"));
-    BOOST_OUTCOME_TRY(part.share_, item.NumberOr("part", 1, 0, 1));
-    BOOST_OUTCOME_TRY(part.lateShare_, item.NumberOr("late_part", 1, 0, 1));
-    parts.push_back(std::move(part));
+    AdmittedShare share;
+    BOOST_OUTCOME_TRY(share.group_, item.Text("group"));
+    BOOST_OUTCOME_TRY(share.share_, item.NumberOr("part", 1, 0, 1));
+    BOOST_OUTCOME_TRY(share.lateShare_, item.NumberOr("late_part", 1, 0, 1));
+    shares.push_back(std::move(share));
   }
-  return parts;
+  return shares;
 }
 
 } // namespace latchslip
--- a/Libraries/LibLimit/GroupUsage.h
+++ b/Libraries/LibLimit/GroupUsage.h
@@ -15,9 +15,9 @@
 {
   std::string group_;
   // Requests that can be answered in time.
-  std::uint32_t asked_ = 0;
+  std::uint32_t requests_ = 0;
   // Requests that can no longer be answered in time, because they are retries after a refusal.
-  std::uint32_t askedLate_ = 0;
+  std::uint32_t lateRequests_ = 0;
   // Requests of both kinds that the instance admitted.
   std::uint32_t admitted_ = 0;
 
@@ -43,20 +43,20 @@
 struct UsageReport
 {
   // Address at which other instances reach the reporting one.
-  // Encoding as JSON, which the instances exchange. Parsing fails for malformed text.
   std::string address_;
   GroupUsages usages_;
 
   bool operator==(const UsageReport&) const = default;
 };
 
+// JSON encoding of messages between instances. Parsing fails for malformed text.
 std::string
 SerializeUsageReport(const UsageReport& aReport);
 FieldResult<UsageReport>
 ParseUsageReport(std::string_view aText);
 
 std::string
-SerializeAdmittedShares(const AdmittedShares& aParts);
+SerializeAdmittedShares(const AdmittedShares& aShares);
 FieldResult<AdmittedShares>
 ParseAdmittedShares(std::string_view aText);
 
--- a/Libraries/LibLimit/LimitCoordinator.cpp
+++ b/Libraries/LibLimit/LimitCoordinator.cpp
@@ -9,145 +9,147 @@
 
 // Time constant in seconds of the measured request rate, and time within which over-admission is
 // compensated.
-constexpr double kSpanS = 1;
+constexpr double kRateTimeConstantS = 1;
 // Interval between two distributions of shares; three fit into the lifetime of a share.
-constexpr Duration kShortInterval = milliseconds(250);
-constexpr Duration kCountInterval = milliseconds(250);
+constexpr Duration kDistributionInterval = milliseconds(250);
+constexpr Duration kReachabilityInterval = milliseconds(250);
 // An instance without contact for this long admits an equal share of the limits.
-constexpr Duration kHeardBound = kAdmittedShareLifetime;
+constexpr Duration kContactTimeout = kAdmittedShareLifetime;
 // It may do so for this long, which exceeds the partitions for which limits must hold; after that
 // the instance counts as gone.
-constexpr Duration kCutOffBound = seconds(15);
+constexpr Duration kMaxPartitionTime = seconds(15);
 
 } // namespace
 
 void
 LimitCoordinator::SetGroups(Instant aNow, const std::vector<CallerGroup>& aGroups)
 {
-  std::map<std::string, Tally, std::less<>> tallies;
+  std::map<std::string, GroupState, std::less<>> groups;
   for (const auto& group : aGroups) {
     if (!group.IsLimited()) {
       continue;
     }
-    const auto former = tallies_.find(group.name_);
-    auto& tally = tallies[group.name_];
-    if (former != tallies_.end()) {
-      tally = former->second;
-      if (group.rate_ < tally.group_.rate_ || group.burst_ < tally.group_.burst_) {
-        tally.former_ = TermsOf(aNow, tally);
-        tally.formerUntil_ = aNow + window_;
+    const auto previous = groups_.find(group.name_);
+    auto& state = groups[group.name_];
+    if (previous != groups_.end()) {
+      state = previous->second;
+      if (group.rate_ < state.group_.rate_ || group.burst_ < state.group_.burst_) {
+        state.previous_ = LimitsOf(aNow, state);
+        state.previousUntil_ = aNow + window_;
       }
     }
-    tally.group_ = group;
+    state.group_ = group;
   }
-  tallies_ = std::move(tallies);
+  groups_ = std::move(groups);
 }
 
 const CallerGroup&
-LimitCoordinator::TermsOf(Instant aNow, const Tally& aTally)
+LimitCoordinator::LimitsOf(Instant aNow, const GroupState& aState)
 {
-  return aNow < aTally.formerUntil_ ? aTally.former_ : aTally.group_;
+  return aNow < aState.previousUntil_ ? aState.previous_ : aState.group_;
 }
 
 double
-LimitCoordinator::RateOf(Instant aNow, const Tally& aTally) const
+LimitCoordinator::RateOf(Instant aNow, const GroupState& aState) const
 {
-  return TermsOf(aNow, aTally).rate_ * heardPart_;
+  return LimitsOf(aNow, aState).rate_ * reachableFraction_;
 }
 
 void
-LimitCoordinator::Advance(Instant aNow, Tally& aTally) const
+LimitCoordinator::Advance(Instant aNow, GroupState& aState) const
 {
-  if (aTally.at_ != Instant::min()) {
-    const auto passed = ToSeconds(aNow - aTally.at_);
-    const auto most = std::max(1.0, TermsOf(aNow, aTally).burst_);
-    aTally.level_ = std::min(most, aTally.level_ + passed * RateOf(aNow, aTally));
-    const auto kept = std::exp(-passed / kSpanS);
-    aTally.asked_ *= kept;
-    aTally.askedLate_ *= kept;
+  if (aState.at_ != Instant::min()) {
+    const auto passed = ToSeconds(aNow - aState.at_);
+    const auto most = std::max(1.0, LimitsOf(aNow, aState).burst_);
+    aState.tokens_ = std::min(most, aState.tokens_ + passed * RateOf(aNow, aState));
+    const auto kept = std::exp(-passed / kRateTimeConstantS);
+    aState.requests_ *= kept;
+    aState.lateRequests_ *= kept;
   }
-  aTally.at_ = aNow;
+  aState.at_ = aNow;
 }
 
 void
-LimitCoordinator::OnUsage(Instant aNow, const GroupUsages& aUses)
+LimitCoordinator::OnUsage(Instant aNow, const GroupUsages& aUsages)
 {
-  for (const auto& use : aUses) {
-    const auto tally = tallies_.find(use.group_);
-    if (tally == tallies_.end()) {
+  for (const auto& usage : aUsages) {
+    const auto state = groups_.find(usage.group_);
+    if (state == groups_.end()) {
       continue;
     }
-    Advance(aNow, tally->second);
-    tally->second.level_ -= use.admitted_;
-    tally->second.asked_ += use.asked_;
-    tally->second.askedLate_ += use.askedLate_;
+    Advance(aNow, state->second);
+    state->second.tokens_ -= usage.admitted_;
+    state->second.requests_ += usage.requests_;
+    state->second.lateRequests_ += usage.lateRequests_;
   }
 }
 
 // Requests that can be answered in time take precedence: a refused caller that retries would
 // otherwise take the place of one that can be served in time.
 AdmittedShare
-LimitCoordinator::PartOf(Instant aNow, Tally& aTally)
+LimitCoordinator::AdmittedShareOf(Instant aNow, GroupState& aState)
 {
-  Advance(aNow, aTally);
-  const auto asked = aTally.asked_ / kSpanS;
-  const auto askedLate = aTally.askedLate_ / kSpanS;
-  const auto allowed = std::max(0.0, RateOf(aNow, aTally) + aTally.level_ / kSpanS);
-  AdmittedShare part{ aTally.group_.name_, 1, 1 };
-  if (asked > allowed) {
-    part.share_ = allowed / asked;
-    part.lateShare_ = 0;
-  } else if (askedLate > allowed - asked) {
-    part.lateShare_ = (allowed - asked) / askedLate;
+  Advance(aNow, aState);
+  const auto requests = aState.requests_ / kRateTimeConstantS;
+  const auto lateRequests = aState.lateRequests_ / kRateTimeConstantS;
+  const auto allowed = std::max(0.0, RateOf(aNow, aState) + aState.tokens_ / kRateTimeConstantS);
+  AdmittedShare share{ aState.group_.name_, 1, 1 };
+  if (requests > allowed) {
+    share.share_ = allowed / requests;
+    share.lateShare_ = 0;
+  } else if (lateRequests > allowed - requests) {
+    share.lateShare_ = (allowed - requests) / lateRequests;
   }
-  return part;
+  return share;
 }
 
 AdmittedShares
-LimitCoordinator::AdmittedSharesOf(Instant aNow, const GroupUsages& aUses)
+LimitCoordinator::AdmittedSharesOf(Instant aNow, const GroupUsages& aUsages)
 {
-  CountHeard(aNow);
-  AdmittedShares parts;
-  for (const auto& use : aUses) {
-    if (const auto tally = tallies_.find(use.group_); tally != tallies_.end()) {
-      parts.push_back(PartOf(aNow, tally->second));
+  UpdateReachableFraction(aNow);
+  AdmittedShares shares;
+  for (const auto& usage : aUsages) {
+    if (const auto state = groups_.find(usage.group_); state != groups_.end()) {
+      shares.push_back(AdmittedShareOf(aNow, state->second));
     }
   }
-  return parts;
+  return shares;
 }
 
 AdmittedShares
 LimitCoordinator::TakeRestrictedShares(Instant aNow)
 {
-  AdmittedShares parts;
-  if (aNow < nextShort_) {
-    return parts;
+  AdmittedShares shares;
+  if (aNow < nextDistribution_) {
+    return shares;
   }
-  nextShort_ = aNow + kShortInterval;
-  CountHeard(aNow);
-  for (auto& [name, tally] : tallies_) {
-    auto part = PartOf(aNow, tally);
-    const bool isShort = part.share_ < 1 || part.lateShare_ < 1;
-    if (isShort || tally.isShort_) {
-      parts.push_back(std::move(part));
+  nextDistribution_ = aNow + kDistributionInterval;
+  UpdateReachableFraction(aNow);
+  for (auto& [name, state] : groups_) {
+    auto share = AdmittedShareOf(aNow, state);
+    const bool isRestricted = share.share_ < 1 || share.lateShare_ < 1;
+    if (isRestricted || state.isRestricted_) {
+      shares.push_back(std::move(share));
     }
-    tally.isShort_ = isShort;
+    state.isRestricted_ = isRestricted;
   }
-  return parts;
+  return shares;
 }
 
 void
-LimitCoordinator::CountHeard(Instant aNow)
+LimitCoordinator::UpdateReachableFraction(Instant aNow)
 {
-  if (aNow < nextCount_) {
+  if (aNow < nextReachabilityUpdate_) {
     return;
   }
-  nextCount_ = aNow + kCountInterval;
-  std::erase_if(heard_, [&](const auto& aEntry) { return aNow - aEntry.second >= kCutOffBound; });
-  const auto now = std::count_if(heard_.begin(), heard_.end(), [&](const auto& aEntry) {
-    return aNow - aEntry.second < kHeardBound;
+  nextReachabilityUpdate_ = aNow + kReachabilityInterval;
+  std::erase_if(lastContact_,
+                [&](const auto& aEntry) { return aNow - aEntry.second >= kMaxPartitionTime; });
+  const auto now = std::count_if(lastContact_.begin(), lastContact_.end(), [&](const auto& aEntry) {
+    return aNow - aEntry.second < kContactTimeout;
   });
-  heardPart_ = heard_.empty() ? 1 : static_cast<double>(now) / static_cast<double>(heard_.size());
+  reachableFraction_ =
+    lastContact_.empty() ? 1 : static_cast<double>(now) / static_cast<double>(lastContact_.size());
 }
 
 } // namespace latchslip
--- a/Libraries/LibLimit/LimitEnforcer.cpp
+++ b/Libraries/LibLimit/LimitEnforcer.cpp
@@ -9,21 +9,22 @@
 
 // Interval between two reports: a group at five times its limit has used what the limit allows in
 // a second after a fifth of one.
-constexpr Duration kTellInterval = milliseconds(200);
+constexpr Duration kReportInterval = milliseconds(200);
 // Report interval for each instance in the fleet, so that the coordinator receives some two
 // thousand reports per second from a fleet of any size.
-constexpr Duration kTellIntervalAnInstance = microseconds(500);
+constexpr Duration kReportIntervalPerInstance = microseconds(500);
 // Number of instances assumed while it is not known.
-constexpr std::size_t kUnknownInstances = 100;
+constexpr std::size_t kAssumedInstances = 100;
 // Maximum credit, so that a pause of a group's callers does not accumulate requests.
-constexpr double kMostCredit = 2;
+constexpr double kMaxCredit = 2;
 
 } // namespace
 
 bool
-LimitEnforcer::IsKeeperHeard(Instant aNow) const
+LimitEnforcer::IsCoordinatorReachable(Instant aNow) const
 {
-  return keeperHeardAt_ != Instant::min() && aNow - keeperHeardAt_ < kAdmittedShareLifetime;
+  return coordinatorContactAt_ != Instant::min() &&
+         aNow - coordinatorContactAt_ < kAdmittedShareLifetime;
 }
 
 bool
@@ -33,28 +34,30 @@
     return true;
   }
   auto& meter = meters_[aGroup.name_];
-  ++(aIsLate ? meter.use_.askedLate_ : meter.use_.asked_);
-  hasUses_ = true;
-  bool passes = false;
-  const bool isShort = meter.share_.share_ < 1 || meter.share_.lateShare_ < 1;
-  if (aNow < meter.partUntil_ && isShort) {
-    passes = aIsLate ? TryTakePart(meter.share_.lateShare_, meter.lateCredit_)
-                     : TryTakePart(meter.share_.share_, meter.credit_);
-  } else if (IsKeeperHeard(aNow) && !isShort) {
+  ++(aIsLate ? meter.usage_.lateRequests_ : meter.usage_.requests_);
+  hasUsage_ = true;
+  bool isAdmitted = false;
+  const bool isRestricted = meter.share_.share_ < 1 || meter.share_.lateShare_ < 1;
+  if (aNow < meter.shareUntil_ && isRestricted) {
+    isAdmitted = aIsLate ? TryTakeShare(meter.share_.lateShare_, meter.lateCredit_)
+                         : TryTakeShare(meter.share_.share_, meter.credit_);
+  } else if (IsCoordinatorReachable(aNow) && !isRestricted) {
     // No single instance admits more than all may together.
-    passes = TryTakeToken(aNow, meter, aGroup.rate_, aGroup.burst_, false);
+    isAdmitted = TryTakeToken(aNow, meter, aGroup.rate_, aGroup.burst_, false);
   } else {
-    const auto share = 1.0 / static_cast<double>(instances_ == 0 ? kUnknownInstances : instances_);
-    passes = TryTakeToken(aNow, meter, aGroup.rate_ * share, aGroup.burst_ * share, true);
+    const auto instanceShare =
+      1.0 / static_cast<double>(instances_ == 0 ? kAssumedInstances : instances_);
+    isAdmitted =
+      TryTakeToken(aNow, meter, aGroup.rate_ * instanceShare, aGroup.burst_ * instanceShare, true);
   }
-  meter.use_.admitted_ += passes ? 1 : 0;
-  return passes;
+  meter.usage_.admitted_ += isAdmitted ? 1 : 0;
+  return isAdmitted;
 }
 
 bool
-LimitEnforcer::TryTakePart(double aPart, double& aCredit)
+LimitEnforcer::TryTakeShare(double aShare, double& aCredit)
 {
-  aCredit = std::min(kMostCredit, aCredit + aPart);
+  aCredit = std::min(kMaxCredit, aCredit + aShare);
   if (aCredit < 1) {
     return false;
   }
@@ -63,19 +66,23 @@
 }
 
 bool
-LimitEnforcer::TryTakeToken(Instant aNow, Meter& aMeter, double aRate, double aBurst, bool aIsAlone)
+LimitEnforcer::TryTakeToken(Instant aNow,
+                            Meter& aMeter,
+                            double aRate,
+                            double aBurst,
+                            bool aIsIsolated)
 {
   const auto most = std::max(1.0, aBurst);
   if (aMeter.filledAt_ == Instant::min()) {
     aMeter.tokens_ = most;
-  } else if (aIsAlone && !aMeter.isAlone_) {
+  } else if (aIsIsolated && !aMeter.isIsolated_) {
     // The burst has been used already, while the coordinator counted.
     aMeter.tokens_ = 0;
   } else {
     const auto gained = ToSeconds(aNow - aMeter.filledAt_) * aRate;
     aMeter.tokens_ = std::min(most, aMeter.tokens_ + gained);
   }
-  aMeter.isAlone_ = aIsAlone;
+  aMeter.isIsolated_ = aIsIsolated;
   aMeter.filledAt_ = aNow;
   if (aMeter.tokens_ < 1) {
     return false;
@@ -87,36 +94,36 @@
 bool
 LimitEnforcer::IsReportDue(Instant aNow) const
 {
-  if (!hasUses_) {
+  if (!hasUsage_) {
     return false;
   }
   const auto interval =
-    std::max(kTellInterval, kTellIntervalAnInstance * static_cast<Duration::rep>(instances_));
-  return toldAt_ == Instant::min() || aNow - toldAt_ >= interval;
+    std::max(kReportInterval, kReportIntervalPerInstance * static_cast<Duration::rep>(instances_));
+  return reportedAt_ == Instant::min() || aNow - reportedAt_ >= interval;
 }
 
 GroupUsages
 LimitEnforcer::TakeUsage(Instant aNow)
 {
-  toldAt_ = aNow;
-  hasUses_ = false;
-  GroupUsages uses;
+  reportedAt_ = aNow;
+  hasUsage_ = false;
+  GroupUsages usages;
   for (auto& [name, meter] : meters_) {
-    if (meter.use_.asked_ + meter.use_.askedLate_ > 0) {
-      meter.use_.group_ = name;
-      uses.push_back(std::exchange(meter.use_, {}));
+    if (meter.usage_.requests_ + meter.usage_.lateRequests_ > 0) {
+      meter.usage_.group_ = name;
+      usages.push_back(std::exchange(meter.usage_, {}));
     }
   }
-  return uses;
+  return usages;
 }
 
 void
-LimitEnforcer::OnAdmittedShares(Instant aNow, const AdmittedShares& aParts)
+LimitEnforcer::OnAdmittedShares(Instant aNow, const AdmittedShares& aShares)
 {
-  for (const auto& part : aParts) {
-    auto& meter = meters_[part.group_];
-    meter.share_ = part;
-    meter.partUntil_ = aNow + kAdmittedShareLifetime;
+  for (const auto& share : aShares) {
+    auto& meter = meters_[share.group_];
+    meter.share_ = share;
+    meter.shareUntil_ = aNow + kAdmittedShareLifetime;
   }
 }
 
--- a/Libraries/LibLimit/LimitEnforcer.h
+++ b/Libraries/LibLimit/LimitEnforcer.h
@@ -24,39 +24,43 @@
 
   // Notes contact with the coordinator: groups without an admitted share from it are below their
   // limits.
-  void OnCoordinatorContact(Instant aNow) { keeperHeardAt_ = aNow; }
+  void OnCoordinatorContact(Instant aNow) { coordinatorContactAt_ = aNow; }
   // Applies admitted shares from the coordinator.
-  void OnAdmittedShares(Instant aNow, const AdmittedShares& aParts);
+  void OnAdmittedShares(Instant aNow, const AdmittedShares& aShares);
   // Number of instances in the fleet.
   void SetInstances(std::size_t aInstances) { instances_ = aInstances; }
 
 private:
   struct Meter
   {
-    GroupUsage use_;
+    GroupUsage usage_;
     // Tokens left, by the rate that holds at this instance.
     double tokens_ = 0;
     Instant filledAt_ = Instant::min();
     // Whether that rate is the equal share of an instance whose coordinator is unreachable.
-    bool isAlone_ = false;
+    bool isIsolated_ = false;
     AdmittedShare share_;
-    Instant partUntil_ = Instant::min();
+    Instant shareUntil_ = Instant::min();
     // Credit that the admitted share has accrued towards the next request. It begins with half a
     // request, so that the sum over many instances is rounded neither up nor down.
     double credit_ = 0.5;
     double lateCredit_ = 0.5;
   };
 
-  bool IsKeeperHeard(Instant aNow) const;
-  static bool TryTakePart(double aPart, double& aCredit);
-  // Takes a token at the rate of all instances together, or at the equal share if aIsAlone.
-  static bool TryTakeToken(Instant aNow, Meter& aMeter, double aRate, double aBurst, bool aIsAlone);
+  bool IsCoordinatorReachable(Instant aNow) const;
+  static bool TryTakeShare(double aShare, double& aCredit);
+  // Takes a token at the rate of all instances together, or at the equal share if aIsIsolated.
+  static bool TryTakeToken(Instant aNow,
+                           Meter& aMeter,
+                           double aRate,
+                           double aBurst,
+                           bool aIsIsolated);
 
   std::map<std::string, Meter, std::less<>> meters_;
   std::size_t instances_ = 0;
-  Instant keeperHeardAt_ = Instant::min();
-  Instant toldAt_ = Instant::min();
-  bool hasUses_ = false;
+  Instant coordinatorContactAt_ = Instant::min();
+  Instant reportedAt_ = Instant::min();
+  bool hasUsage_ = false;
 };
 
 } // namespace latchslip
--- a/Tests/LibLimit/TestGroupLimits.cpp
+++ b/Tests/LibLimit/TestGroupLimits.cpp
@@ -17,20 +17,20 @@
 {
   CallerGroup group_;
   // Requests per second of its callers.
-  double usual_ = 0;
+  double callerRate_ = 0;
   // By tenths of a second.
-  std::vector<int> asked_;
+  std::vector<int> requests_;
   std::vector<int> admitted_;
 };
 
 // A fleet whose balancer distributes callers unevenly, as hashing does: some instances get
-// several times as many requests as others, with different shares for each group. Groups request
+// several times as many requests as others, with different weights for each group. Groups request
 // five eighths of their limits, except for one that exceeds its limit.
 class LimitsOfAFleet : public testing::Test
 {
 protected:
   static constexpr Duration kTick = milliseconds(10);
-  static constexpr Duration kWay = milliseconds(5);
+  static constexpr Duration kMessageDelay = milliseconds(5);
   static constexpr int kBinsASecond = 10;
   static constexpr double kOver = 0.1;
   static constexpr double kSlack = 20;
@@ -39,10 +39,10 @@
   void Build(std::size_t aInstances, double aRequests, unsigned aSeed = 1)
   {
     random_.seed(aSeed);
-    members_ = std::vector<LimitEnforcer>(aInstances);
+    enforcers_ = std::vector<LimitEnforcer>(aInstances);
     cutOff_.assign(aInstances, false);
-    for (auto& member : members_) {
-      member.SetInstances(aInstances);
+    for (auto& enforcer : enforcers_) {
+      enforcer.SetInstances(aInstances);
     }
     constexpr std::size_t kGroups = 40;
     double whole = 0;
@@ -51,17 +51,17 @@
     }
     for (std::size_t index = 0; index < kGroups; ++index) {
       GroupRecord record;
-      record.usual_ = aRequests / static_cast<double>(index + 1) / whole;
+      record.callerRate_ = aRequests / static_cast<double>(index + 1) / whole;
       record.group_ = {
-        "g" + std::to_string(index), {}, 0, 1.6 * record.usual_, 1.6 * record.usual_
+        "g" + std::to_string(index), {}, 0, 1.6 * record.callerRate_, 1.6 * record.callerRate_
       };
       records_.push_back(std::move(record));
       std::lognormal_distribution<double> draw(0, 0.8);
-      std::vector<double> shares;
+      std::vector<double> weights;
       for (std::size_t instance = 0; instance < aInstances; ++instance) {
-        shares.push_back(draw(random_));
+        weights.push_back(draw(random_));
       }
-      shares_.emplace_back(shares.begin(), shares.end());
+      instanceWeights_.emplace_back(weights.begin(), weights.end());
     }
     StartLimitCoordinator();
   }
@@ -70,23 +70,23 @@
   void Reset()
   {
     records_.clear();
-    shares_.clear();
-    usages_.clear();
-    parts_.clear();
+    instanceWeights_.clear();
+    usageMessages_.clear();
+    shareMessages_.clear();
     messages_ = 0;
     now_ = kStart;
-    nextReports_ = kStart;
+    nextReport_ = kStart;
   }
 
   void StartLimitCoordinator()
   {
-    keeper_ = LimitCoordinator(seconds(kWindowS));
+    coordinator_ = LimitCoordinator(seconds(kWindowS));
     std::vector<CallerGroup> groups;
     for (const auto& record : records_) {
       groups.push_back(record.group_);
     }
-    keeper_.SetGroups(now_, groups);
-    isKeeperUp_ = true;
+    coordinator_.SetGroups(now_, groups);
+    isCoordinatorUp_ = true;
   }
 
   // Runs the model while the group aHot sends aTimes as many requests as usual.
@@ -97,11 +97,11 @@
       now_ += kTick;
       Deliver();
       for (std::size_t index = 0; index < records_.size(); ++index) {
-        const auto rate = records_[index].usual_ * (index == aHot ? aTimes : 1);
+        const auto rate = records_[index].callerRate_ * (index == aHot ? aTimes : 1);
         std::poisson_distribution<int> draw(rate * ToSeconds(kTick));
         Ask(index, draw(random_));
       }
-      Talk();
+      ExchangeMessages();
     }
   }
 
@@ -109,64 +109,66 @@
   {
     auto& record = records_[aGroup];
     const auto bin = static_cast<std::size_t>((now_ - kStart) / milliseconds(100));
-    record.asked_.resize(bin + 1);
+    record.requests_.resize(bin + 1);
     record.admitted_.resize(bin + 1);
     for (int count = 0; count < aCount; ++count) {
-      auto& member = members_[shares_[aGroup](random_)];
-      ++record.asked_[bin];
-      record.admitted_[bin] += member.TryAdmit(now_, record.group_, false) ? 1 : 0;
+      auto& enforcer = enforcers_[instanceWeights_[aGroup](random_)];
+      ++record.requests_[bin];
+      record.admitted_[bin] += enforcer.TryAdmit(now_, record.group_, false) ? 1 : 0;
     }
   }
 
-  void Talk()
+  void ExchangeMessages()
   {
-    for (std::size_t index = 0; index < members_.size(); ++index) {
-      if (members_[index].IsReportDue(now_) && !cutOff_[index]) {
+    for (std::size_t index = 0; index < enforcers_.size(); ++index) {
+      if (enforcers_[index].IsReportDue(now_) && !cutOff_[index]) {
         ++messages_;
-        usages_.push_back({ now_ + kWay, index, members_[index].TakeUsage(now_) });
+        usageMessages_.push_back(
+          { now_ + kMessageDelay, index, enforcers_[index].TakeUsage(now_) });
       }
     }
-    if (!isKeeperUp_) {
+    if (!isCoordinatorUp_) {
       return;
     }
-    if (now_ >= nextReports_) {
-      nextReports_ = now_ + milliseconds(800);
-      for (std::size_t index = 0; index < members_.size(); ++index) {
+    if (now_ >= nextReport_) {
+      nextReport_ = now_ + milliseconds(800);
+      for (std::size_t index = 0; index < enforcers_.size(); ++index) {
         if (!cutOff_[index]) {
-          keeper_.OnInstanceContact(now_, std::to_string(index));
-          members_[index].OnCoordinatorContact(now_);
+          coordinator_.OnInstanceContact(now_, std::to_string(index));
+          enforcers_[index].OnCoordinatorContact(now_);
         }
       }
     }
-    const auto parts = keeper_.TakeRestrictedShares(now_);
-    for (std::size_t index = 0; index < members_.size() && !parts.empty(); ++index) {
+    const auto shares = coordinator_.TakeRestrictedShares(now_);
+    for (std::size_t index = 0; index < enforcers_.size() && !shares.empty(); ++index) {
       // Delay of the update tree, which does not reach all instances at once.
-      parts_.push_back({ now_ + kWay * 4, index, parts });
+      shareMessages_.push_back({ now_ + kMessageDelay * 4, index, shares });
       ++messages_;
     }
   }
 
   void Deliver()
   {
-    while (!usages_.empty() && usages_.front().at_ <= now_) {
-      const auto message = std::move(usages_.front());
-      usages_.pop_front();
-      if (isKeeperUp_) {
-        keeper_.OnUsage(now_, message.usages_);
-        parts_.push_back(
-          { now_ + kWay, message.instance_, keeper_.AdmittedSharesOf(now_, message.usages_) });
+    while (!usageMessages_.empty() && usageMessages_.front().at_ <= now_) {
+      const auto message = std::move(usageMessages_.front());
+      usageMessages_.pop_front();
+      if (isCoordinatorUp_) {
+        coordinator_.OnUsage(now_, message.usages_);
+        shareMessages_.push_back({ now_ + kMessageDelay,
+                                   message.instance_,
+                                   coordinator_.AdmittedSharesOf(now_, message.usages_) });
       }
     }
-    for (std::size_t index = 0; index < parts_.size();) {
-      if (parts_[index].at_ > now_) {
+    for (std::size_t index = 0; index < shareMessages_.size();) {
+      if (shareMessages_[index].at_ > now_) {
         ++index;
         continue;
       }
-      const auto message = std::move(parts_[index]);
-      parts_.erase(parts_.begin() + static_cast<std::ptrdiff_t>(index));
+      const auto message = std::move(shareMessages_[index]);
+      shareMessages_.erase(shareMessages_.begin() + static_cast<std::ptrdiff_t>(index));
       if (!cutOff_[message.instance_]) {
-        members_[message.instance_].OnCoordinatorContact(now_);
-        members_[message.instance_].OnAdmittedShares(now_, message.parts_);
+        enforcers_[message.instance_].OnCoordinatorContact(now_);
+        enforcers_[message.instance_].OnAdmittedShares(now_, message.shares_);
       }
     }
   }
@@ -201,66 +203,66 @@
     const auto& record = records_[aGroup];
     double level = std::max(1.0, record.group_.burst_);
     double owed = 0;
-    for (const auto asked : record.asked_) {
+    for (const auto requests : record.requests_) {
       level =
         std::min(std::max(1.0, record.group_.burst_), level + record.group_.rate_ / kBinsASecond);
-      const auto taken = std::min(level, static_cast<double>(asked));
+      const auto taken = std::min(level, static_cast<double>(requests));
       level -= taken;
       owed += taken;
     }
     const auto passed = std::accumulate(record.admitted_.begin(), record.admitted_.end(), 0.0);
-    const auto asked = std::accumulate(record.asked_.begin(), record.asked_.end(), 0.0);
-    return asked == 0 ? 0 : std::max(0.0, owed - passed) / asked;
+    const auto requests = std::accumulate(record.requests_.begin(), record.requests_.end(), 0.0);
+    return requests == 0 ? 0 : std::max(0.0, owed - passed) / requests;
   }
 
   // The same over all groups together, except for one.
   double RefusedBelowBut(std::size_t aHot) const
   {
     double refused = 0;
-    double asked = 0;
+    double requests = 0;
     for (std::size_t index = 0; index < records_.size(); ++index) {
       if (index != aHot) {
-        const auto& all = records_[index].asked_;
+        const auto& all = records_[index].requests_;
         const auto count = std::accumulate(all.begin(), all.end(), 0.0);
         refused += RefusedBelow(index) * count;
-        asked += count;
+        requests += count;
       }
     }
-    return refused / asked;
+    return refused / requests;
   }
 
-  struct UseMessage
+  struct UsageMessage
   {
     Instant at_;
     std::size_t instance_;
     GroupUsages usages_;
   };
-  struct PartMessage
+  struct ShareMessage
   {
     Instant at_;
     std::size_t instance_;
-    AdmittedShares parts_;
+    AdmittedShares shares_;
   };
 
   static constexpr Instant kStart = seconds(100);
   Instant now_ = kStart;
   std::minstd_rand random_;
-  std::vector<LimitEnforcer> members_;
+  std::vector<LimitEnforcer> enforcers_;
   std::vector<bool> cutOff_;
   std::vector<GroupRecord> records_;
-  std::vector<std::discrete_distribution<std::size_t>> shares_;
-  LimitCoordinator keeper_{ seconds(kWindowS) };
-  bool isKeeperUp_ = false;
-  Instant nextReports_ = kStart;
-  std::deque<UseMessage> usages_;
-  std::deque<PartMessage> parts_;
+  std::vector<std::discrete_distribution<std::size_t>> instanceWeights_;
+  LimitCoordinator coordinator_{ seconds(kWindowS) };
+  bool isCoordinatorUp_ = false;
+  Instant nextReport_ = kStart;
+  std::deque<UsageMessage> usageMessages_;
+  std::deque<ShareMessage> shareMessages_;
   std::size_t messages_ = 0;
 };
 
 // Below 0.2 of a hundred, for fleets of any size.
 constexpr double kMostRefusedBelow = 0.002;
 
-TEST_F(LimitsOfAFleet, GroupsAskForLessThanTheyMay_HardlyAnyIsRefused)
+TEST_F(LimitsOfAFleet, GroupsStayBelowTheirLimits_HardlyAnyRequestIsRefused)
 {
   for (const std::size_t instances : { 8, 69, 300, 985 }) {
     Build(instances, 2000);
@@ -272,7 +274,7 @@
   }
 }
 
-TEST_F(LimitsOfAFleet, OneGroupAsksForEightTimesAsMuch_IsHeldToItsLimitAndNoOtherIsRefused)
+TEST_F(LimitsOfAFleet, OneGroupSendsEightTimesAsMuch_IsHeldToItsLimitAndNoOtherIsRefused)
 {
   for (const std::size_t hot : { 0U, 3U, 20U }) {
     for (const std::size_t instances : { 8, 69, 300, 985 }) {
@@ -288,12 +290,12 @@
   }
 }
 
-TEST_F(LimitsOfAFleet, PartOfTheInstancesIsCutOff_LimitHoldsForAllTogether)
+TEST_F(LimitsOfAFleet, SomeInstancesArePartitioned_LimitHoldsForAllTogether)
 {
   for (const std::size_t part : { 4, 2 }) {
     Build(69, 2000);
     Run(seconds(4), 0, 4);
-    for (std::size_t index = 0; index < members_.size() / part; ++index) {
+    for (std::size_t index = 0; index < enforcers_.size() / part; ++index) {
       cutOff_[index] = true;
     }
     Run(seconds(12), 0, 4);
@@ -302,11 +304,11 @@
   }
 }
 
-TEST_F(LimitsOfAFleet, KeeperIsLostAndAnotherStarts_LimitHolds)
+TEST_F(LimitsOfAFleet, CoordinatorIsReplaced_LimitHolds)
 {
   Build(69, 2000);
   Run(seconds(4), 0, 5);
-  isKeeperUp_ = false;
+  isCoordinatorUp_ = false;
   Run(seconds(2), 0, 5);
   StartLimitCoordinator();
   Run(seconds(8), 0, 5);
@@ -320,76 +322,76 @@
   EXPECT_LE(WorstWindow(), 1);
 }
 
-class LimitKeeperOfOneGroup : public testing::Test
+class LimitCoordinatorOfOneGroup : public testing::Test
 {
 protected:
   static CallerGroup Group(double aRate) { return { "g", {}, 0, aRate, aRate }; }
 
   // Reports as one instance that admits all requests.
-  double PartAfter(Duration aTime, double aRate)
+  double ShareAfter(Duration aTime, double aRate)
   {
     const auto end = now_ + aTime;
     while (now_ < end) {
       now_ += milliseconds(100);
       const auto count = static_cast<std::uint32_t>(aRate / 10);
-      keeper_.OnUsage(now_, { { "g", count, 0, count } });
+      coordinator_.OnUsage(now_, { { "g", count, 0, count } });
     }
-    return keeper_.AdmittedSharesOf(now_, { { "g", 0, 0, 0 } }).front().share_;
+    return coordinator_.AdmittedSharesOf(now_, { { "g", 0, 0, 0 } }).front().share_;
   }
 
   Instant now_ = seconds(100);
-  LimitCoordinator keeper_{ seconds(5) };
+  LimitCoordinator coordinator_{ seconds(5) };
 };
 
-TEST_F(LimitKeeperOfOneGroup, LimitIsLowered_TakesHoldAWindowLater)
+TEST_F(LimitCoordinatorOfOneGroup, LimitIsLowered_TakesEffectAWindowLater)
 {
-  keeper_.SetGroups(now_, { Group(100) });
-  EXPECT_EQ(PartAfter(seconds(2), 80), 1);
-  keeper_.SetGroups(now_, { Group(40) });
-  EXPECT_EQ(PartAfter(seconds(4), 80), 1);
-  EXPECT_LT(PartAfter(seconds(3), 80), 1);
+  coordinator_.SetGroups(now_, { Group(100) });
+  EXPECT_EQ(ShareAfter(seconds(2), 80), 1);
+  coordinator_.SetGroups(now_, { Group(40) });
+  EXPECT_EQ(ShareAfter(seconds(4), 80), 1);
+  EXPECT_LT(ShareAfter(seconds(3), 80), 1);
 }
 
-TEST_F(LimitKeeperOfOneGroup, LimitIsRaised_TakesHoldAtOnce)
+TEST_F(LimitCoordinatorOfOneGroup, LimitIsRaised_TakesEffectAtOnce)
 {
-  keeper_.SetGroups(now_, { Group(40) });
-  EXPECT_LT(PartAfter(seconds(4), 80), 1);
-  keeper_.SetGroups(now_, { Group(400) });
-  EXPECT_EQ(PartAfter(seconds(1), 80), 1);
+  coordinator_.SetGroups(now_, { Group(40) });
+  EXPECT_LT(ShareAfter(seconds(4), 80), 1);
+  coordinator_.SetGroups(now_, { Group(400) });
+  EXPECT_EQ(ShareAfter(seconds(1), 80), 1);
 }
 
 // Refused callers retry, and would take the places of callers with a first attempt.
-TEST_F(LimitKeeperOfOneGroup, LateRequestsComeBesidesOthers_TheOthersGoFirst)
+TEST_F(LimitCoordinatorOfOneGroup, LateRequestsArriveWithOthers_OthersTakePrecedence)
 {
-  keeper_.SetGroups(now_, { Group(100) });
+  coordinator_.SetGroups(now_, { Group(100) });
   for (int round = 0; round < 30; ++round) {
     now_ += milliseconds(100);
-    keeper_.OnUsage(now_, { { "g", 8, 10, 10 } });
+    coordinator_.OnUsage(now_, { { "g", 8, 10, 10 } });
   }
-  const auto part = keeper_.AdmittedSharesOf(now_, { { "g", 0, 0, 0 } }).front();
-  EXPECT_EQ(part.share_, 1);
-  EXPECT_LT(part.lateShare_, 0.4);
+  const auto share = coordinator_.AdmittedSharesOf(now_, { { "g", 0, 0, 0 } }).front();
+  EXPECT_EQ(share.share_, 1);
+  EXPECT_LT(share.lateShare_, 0.4);
   for (int round = 0; round < 30; ++round) {
     now_ += milliseconds(100);
-    keeper_.OnUsage(now_, { { "g", 20, 10, 10 } });
+    coordinator_.OnUsage(now_, { { "g", 20, 10, 10 } });
   }
-  const auto over = keeper_.AdmittedSharesOf(now_, { { "g", 0, 0, 0 } }).front();
+  const auto over = coordinator_.AdmittedSharesOf(now_, { { "g", 0, 0, 0 } }).front();
   EXPECT_LT(over.share_, 0.7);
   EXPECT_EQ(over.lateShare_, 0);
 }
 
-TEST_F(LimitKeeperOfOneGroup, GroupIsUnknown_NoPartIsNamed)
+TEST_F(LimitCoordinatorOfOneGroup, GroupIsUnknown_HasNoAdmittedShare)
 {
-  EXPECT_TRUE(keeper_.AdmittedSharesOf(now_, { { "other", 1, 0, 1 } }).empty());
-  EXPECT_TRUE(keeper_.TakeRestrictedShares(now_).empty());
+  EXPECT_TRUE(coordinator_.AdmittedSharesOf(now_, { { "other", 1, 0, 1 } }).empty());
+  EXPECT_TRUE(coordinator_.TakeRestrictedShares(now_).empty());
 }
 
 TEST(GroupUsage, WrittenAndRead_IsTheSame)
 {
   const UsageReport report{ "10.0.0.1:9", { { "g\"1", 3, 4, 2 }, { "g2", 1, 0, 0 } } };
   EXPECT_EQ(ParseUsageReport(SerializeUsageReport(report)).value(), report);
-  const AdmittedShares parts{ { "g1", 0.25, 0 }, { "g2", 1, 0.5 } };
-  EXPECT_EQ(ParseAdmittedShares(SerializeAdmittedShares(parts)).value(), parts);
+  const AdmittedShares shares{ { "g1", 0.25, 0 }, { "g2", 1, 0.5 } };
+  EXPECT_EQ(ParseAdmittedShares(SerializeAdmittedShares(shares)).value(), shares);
 }
 
 TEST(GroupUsage, Malformed_IsRefused)
