--- a/Libraries/LibGateway/ApiKeyIndex.cpp
+++ b/Libraries/LibGateway/ApiKeyIndex.cpp
@@ -20,7 +20,7 @@
       const auto [entry, isNew] = index.groups_.try_emplace(index.DigestOf(key), group);
       if (!isNew && entry->second != group) {
         return FieldError{ "group " + aGroups[group].name_,
-                           "shares a key with the group " + aGroups[entry->second].name_ };
+                           "shares an API key with the group " + aGroups[entry->second].name_ };
       }
     }
   }
--- a/Libraries/LibGateway/GatewayRouter.h
+++ b/Libraries/LibGateway/GatewayRouter.h
@@ -74,7 +74,7 @@
   // Time until which the API keys of the present routes are known not to be revoked; unlimited if
   // never called.
   void SetApiKeysProvenUntil(Instant aUntil) { apiKeysUntil_ = aUntil; }
-  // Groups have no limits unless this is called. The gate must outlive the router.
+  // Groups have no limits unless this is called. aAdmission must outlive the router.
   void SetGroupAdmission(GroupAdmission& aAdmission) { admission_ = &aAdmission; }
   // Whether this instance no longer receives updates of key ownership.
   void SetUpdatesStale(bool aAreStale) { areUpdatesStale_ = aAreStale; }
--- a/Libraries/LibGateway/RoutingTable.cpp
+++ b/Libraries/LibGateway/RoutingTable.cpp
@@ -32,11 +32,11 @@
     const auto& route = configuration.routes_[index];
     const auto name = "route " + route.Name();
     if (route.targets_.empty()) {
-      return FieldError{ name, "has no service" };
+      return FieldError{ name, "has no target service" };
     }
     for (const auto& target : route.targets_) {
       if (table.FindService(target.service_) == nullptr) {
-        return FieldError{ name, "names the unknown service " + target.service_ };
+        return FieldError{ name, "refers to the unknown service " + target.service_ };
       }
     }
     table.routesByHost_[NormalizeHost(route.host_)].push_back(index);
--- a/Libraries/LibGateway/SlowStartLimiter.h
+++ b/Libraries/LibGateway/SlowStartLimiter.h
@@ -9,7 +9,7 @@
 
 // Limits the sends of one instance to a server in slow start to its equal share of the few
 // requests per second that the server accepts from all instances. No coordination is needed. A
-// server that gets far more crashes and goes through slow start again.
+// server that receives far more requests crashes, and goes through slow start again.
 class SlowStartLimiter
 {
 public:
--- a/Libraries/LibLimit/LimitEnforcer.cpp
+++ b/Libraries/LibLimit/LimitEnforcer.cpp
@@ -76,7 +76,7 @@
   if (aMeter.filledAt_ == Instant::min()) {
     aMeter.tokens_ = most;
   } else if (aIsIsolated && !aMeter.isIsolated_) {
-    // The burst has been used already, while the coordinator counted.
+    // The burst may have been used already, while the coordinator counted.
     aMeter.tokens_ = 0;
   } else {
     const auto gained = ToSeconds(aNow - aMeter.filledAt_) * aRate;
