--- a/Tests/LibLimit/TestGroupLimits.cpp
+++ b/Tests/LibLimit/TestGroupLimits.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 // Requests and admissions of one group in a run of the model.
-struct GroupRecord
+struct GroupTrace
 {
   CallerGroup group_;
   // Requests per second of its callers.
@@ -31,8 +31,8 @@
 protected:
   static constexpr Duration kTick = milliseconds(10);
   static constexpr Duration kMessageDelay = milliseconds(5);
-  static constexpr int kBinsASecond = 10;
-  static constexpr double kOver = 0.1;
+  static constexpr int kBinsPerSecond = 10;
+  static constexpr double kTolerance = 0.1;
   static constexpr double kSlack = 20;
   static constexpr int kWindowS = 5;
 
@@ -40,7 +40,7 @@
   {
     random_.seed(aSeed);
     enforcers_ = std::vector<LimitEnforcer>(aInstances);
-    cutOff_.assign(aInstances, false);
+    isPartitioned_.assign(aInstances, false);
     for (auto& enforcer : enforcers_) {
       enforcer.SetInstances(aInstances);
     }
@@ -50,7 +50,7 @@
       whole += 1.0 / static_cast<double>(index + 1);
     }
     for (std::size_t index = 0; index < kGroups; ++index) {
-      GroupRecord record;
+      GroupTrace record;
       record.callerRate_ = aRequests / static_cast<double>(index + 1) / whole;
       record.group_ = {
         "g" + std::to_string(index), {}, 0, 1.6 * record.callerRate_, 1.6 * record.callerRate_
@@ -89,23 +89,23 @@
     isCoordinatorUp_ = true;
   }
 
-  // Runs the model while the group aHot sends aTimes as many requests as usual.
-  void Run(Duration aTime, std::size_t aHot = 0, double aTimes = 1)
+  // Runs the model while the group aBusyGroup sends aFactor as many requests as usual.
+  void Run(Duration aTime, std::size_t aBusyGroup = 0, double aFactor = 1)
   {
     const auto end = now_ + aTime;
     while (now_ < end) {
       now_ += kTick;
       Deliver();
       for (std::size_t index = 0; index < records_.size(); ++index) {
-        const auto rate = records_[index].callerRate_ * (index == aHot ? aTimes : 1);
+        const auto rate = records_[index].callerRate_ * (index == aBusyGroup ? aFactor : 1);
         std::poisson_distribution<int> draw(rate * ToSeconds(kTick));
-        Ask(index, draw(random_));
+        SendRequests(index, draw(random_));
       }
       ExchangeMessages();
     }
   }
 
-  void Ask(std::size_t aGroup, int aCount)
+  void SendRequests(std::size_t aGroup, int aCount)
   {
     auto& record = records_[aGroup];
     const auto bin = static_cast<std::size_t>((now_ - kStart) / milliseconds(100));
@@ -121,7 +121,7 @@
   void ExchangeMessages()
   {
     for (std::size_t index = 0; index < enforcers_.size(); ++index) {
-      if (enforcers_[index].IsReportDue(now_) && !cutOff_[index]) {
+      if (enforcers_[index].IsReportDue(now_) && !isPartitioned_[index]) {
         ++messages_;
         usageMessages_.push_back(
           { now_ + kMessageDelay, index, enforcers_[index].TakeUsage(now_) });
@@ -133,7 +133,7 @@
     if (now_ >= nextReport_) {
       nextReport_ = now_ + milliseconds(800);
       for (std::size_t index = 0; index < enforcers_.size(); ++index) {
-        if (!cutOff_[index]) {
+        if (!isPartitioned_[index]) {
           coordinator_.OnInstanceContact(now_, std::to_string(index));
           enforcers_[index].OnCoordinatorContact(now_);
         }
@@ -166,7 +166,7 @@
       }
       const auto message = std::move(shareMessages_[index]);
       shareMessages_.erase(shareMessages_.begin() + static_cast<std::ptrdiff_t>(index));
-      if (!cutOff_[message.instance_]) {
+      if (!isPartitioned_[message.instance_]) {
         enforcers_[message.instance_].OnCoordinatorContact(now_);
         enforcers_[message.instance_].OnAdmittedShares(now_, message.shares_);
       }
@@ -178,9 +178,9 @@
   {
     const auto& record = records_[aGroup];
     const auto most =
-      (record.group_.rate_ * kWindowS + record.group_.burst_) * (1 + kOver) + kSlack;
+      (record.group_.rate_ * kWindowS + record.group_.burst_) * (1 + kTolerance) + kSlack;
     double worst = 0;
-    const int bins = kWindowS * kBinsASecond;
+    const int bins = kWindowS * kBinsPerSecond;
     for (int first = 0; first + bins <= static_cast<int>(record.admitted_.size()); ++first) {
       const auto begin = record.admitted_.begin() + first;
       worst = std::max(worst, std::accumulate(begin, begin + bins, 0.0) / most);
@@ -198,14 +198,14 @@
   }
 
   // Refused requests that the limit allows, as a fraction of all requests of the group.
-  double RefusedBelow(std::size_t aGroup) const
+  double RefusedBelowLimit(std::size_t aGroup) const
   {
     const auto& record = records_[aGroup];
     double level = std::max(1.0, record.group_.burst_);
     double owed = 0;
     for (const auto requests : record.requests_) {
       level =
-        std::min(std::max(1.0, record.group_.burst_), level + record.group_.rate_ / kBinsASecond);
+        std::min(std::max(1.0, record.group_.burst_), level + record.group_.rate_ / kBinsPerSecond);
       const auto taken = std::min(level, static_cast<double>(requests));
       level -= taken;
       owed += taken;
@@ -216,15 +216,15 @@
   }
 
   // The same over all groups together, except for one.
-  double RefusedBelowBut(std::size_t aHot) const
+  double RefusedBelowLimitExcept(std::size_t aBusyGroup) const
   {
     double refused = 0;
     double requests = 0;
     for (std::size_t index = 0; index < records_.size(); ++index) {
-      if (index != aHot) {
+      if (index != aBusyGroup) {
         const auto& all = records_[index].requests_;
         const auto count = std::accumulate(all.begin(), all.end(), 0.0);
-        refused += RefusedBelow(index) * count;
+        refused += RefusedBelowLimit(index) * count;
         requests += count;
       }
     }
@@ -248,8 +248,8 @@
   Instant now_ = kStart;
   std::minstd_rand random_;
   std::vector<LimitEnforcer> enforcers_;
-  std::vector<bool> cutOff_;
-  std::vector<GroupRecord> records_;
+  std::vector<bool> isPartitioned_;
+  std::vector<GroupTrace> records_;
   std::vector<std::discrete_distribution<std::size_t>> instanceWeights_;
   LimitCoordinator coordinator_{ seconds(kWindowS) };
   bool isCoordinatorUp_ = false;
@@ -260,14 +260,14 @@
 };
 
 // Below 0.2 of a hundred, for fleets of any size.
-constexpr double kMostRefusedBelow = 0.002;
+constexpr double kMaxRefusedBelowLimit = 0.002;
 
 TEST_F(LimitsOfAFleet, GroupsStayBelowTheirLimits_HardlyAnyRequestIsRefused)
 {
   for (const std::size_t instances : { 8, 69, 300, 985 }) {
     Build(instances, 2000);
     Run(seconds(12));
-    EXPECT_LT(RefusedBelowBut(records_.size()), kMostRefusedBelow) << instances;
+    EXPECT_LT(RefusedBelowLimitExcept(records_.size()), kMaxRefusedBelowLimit) << instances;
     RecordProperty("messages_a_second_" + std::to_string(instances),
                    std::to_string(messages_ / 12));
     Reset();
@@ -276,16 +276,17 @@
 
 TEST_F(LimitsOfAFleet, OneGroupSendsEightTimesAsMuch_IsHeldToItsLimitAndNoOtherIsRefused)
 {
-  for (const std::size_t hot : { 0U, 3U, 20U }) {
+  for (const std::size_t busyGroup : { 0U, 3U, 20U }) {
     for (const std::size_t instances : { 8, 69, 300, 985 }) {
       Reset();
       Build(instances, 2000);
       Run(seconds(4));
-      Run(seconds(10), hot, 8);
+      Run(seconds(10), busyGroup, 8);
       Run(seconds(6));
-      EXPECT_LE(WorstWindow(hot), 1) << hot << " of " << instances;
-      EXPECT_LT(RefusedBelowBut(hot), kMostRefusedBelow) << hot << " of " << instances;
-      EXPECT_LT(RefusedBelow(hot), 0.03) << hot << " of " << instances;
+      EXPECT_LE(WorstWindow(busyGroup), 1) << busyGroup << " of " << instances;
+      EXPECT_LT(RefusedBelowLimitExcept(busyGroup), kMaxRefusedBelowLimit)
+        << busyGroup << " of " << instances;
+      EXPECT_LT(RefusedBelowLimit(busyGroup), 0.03) << busyGroup << " of " << instances;
     }
   }
 }
@@ -296,7 +297,7 @@
     Build(69, 2000);
     Run(seconds(4), 0, 4);
     for (std::size_t index = 0; index < enforcers_.size() / part; ++index) {
-      cutOff_[index] = true;
+      isPartitioned_[index] = true;
     }
     Run(seconds(12), 0, 4);
     EXPECT_LE(WorstWindow(), 1) << "one in " << part;
