--- a/Libraries/LibDaemon/PeerCalls.cpp
+++ b/Libraries/LibDaemon/PeerCalls.cpp
@@ -157,7 +157,7 @@
 PeerCalls::SendUsage(const std::string& aAddress, const UseReport& aReport)
 {
   client_->Send(aAddress,
-                MakePost(kUsesPath, SerializeUseReport(aReport)),
+                MakePost(kUsesPath, SerializeUsageReport(aReport)),
                 kPeerTimeout,
                 [this](const HttpExchange& aExchange) {
                   member_.OnUsageAnswered(MonotonicNow(), ReadAnswer(aExchange, ParseParts));
@@ -198,7 +198,7 @@
 HttpResponse
 PeerCalls::AnswerUses(const HttpRequest& aRequest)
 {
-  const auto report = ParseUseReport(*aRequest.body_);
+  const auto report = ParseUsageReport(*aRequest.body_);
   if (!report) {
     return MakeHttpResponse(kBadRequest, report.error().Describe());
   }
--- a/Libraries/LibFleet/FleetMember.h
+++ b/Libraries/LibFleet/FleetMember.h
@@ -10,8 +10,8 @@
 #include "LibFleet/ServerSpeeds.h"
 #include "LibFleet/StartupDeadline.h"
 #include "LibKeys/OwnershipPlacer.h"
-#include "LibLimit/LimitKeeper.h"
-#include "LibLimit/LimitMember.h"
+#include "LibLimit/LimitCoordinator.h"
+#include "LibLimit/LimitEnforcer.h"
 
 #include <map>
 #include <memory>
--- a/Libraries/LibFleet/FleetMemberLimits.cpp
+++ b/Libraries/LibFleet/FleetMemberLimits.cpp
@@ -26,8 +26,8 @@
   update.parts_ = limitCoordinator_.TakeShort(aNow);
   for (const auto& part : update.parts_) {
     events_.Record(Event::GroupOverLimit,
-                   "group=" + part.group_ + " part=" + std::to_string(part.part_) +
-                     " late_part=" + std::to_string(part.latePart_));
+                   "group=" + part.group_ + " part=" + std::to_string(part.share_) +
+                     " late_part=" + std::to_string(part.lateShare_));
   }
   if (!update.parts_.empty()) {
     limits_.OnParts(aNow, update.parts_);
@@ -62,8 +62,8 @@
 FleetMember::OnUsageAnswered(Instant aNow, const std::optional<GroupParts>& aParts)
 {
   if (aParts) {
-    limits_.OnKeeperHeard(aNow);
-    limits_.OnParts(aNow, *aParts);
+    limits_.OnCoordinatorContact(aNow);
+    limits_.OnAdmittedShares(aNow, *aParts);
   }
 }
 
--- a/Libraries/LibFleet/FleetUpdate.h
+++ b/Libraries/LibFleet/FleetUpdate.h
@@ -6,7 +6,7 @@
 #include "LibFleet/ConfigurationProof.h"
 #include "LibFleet/FleetStore.h"
 #include "LibKeys/KeyOwnership.h"
-#include "LibLimit/GroupUse.h"
+#include "LibLimit/GroupUsage.h"
 
 #include <boost/json.hpp>
 #include <optional>
--- a/Libraries/LibGateway/CallerChecks.cpp
+++ b/Libraries/LibGateway/CallerChecks.cpp
@@ -1,13 +1,12 @@
-// Whether a caller may have its request served: the part of RequestDesk that looks at groups,
-// API keys and limits.
+// Admission of requests in GatewayRouter: API keys, groups and their rate limits.
 
-#include "LibGateway/RequestDesk.h"
+#include "LibGateway/GatewayRouter.h"
 
 namespace latchslip {
 
 namespace {
 
-// Whether callers of that route, which may be null for none, must show an API key.
+// Whether callers of the route, which is null if none matched, must present an API key.
 bool
 NeedsApiKey(const RouteTable& aRoutes, const Route* aRoute)
 {
@@ -17,48 +16,47 @@
 } // namespace
 
 bool
-RequestDesk::TryIdentify(Instant aNow, PendingRequest& aPending)
+GatewayRouter::TryIdentify(Instant aNow, PendingRequest& aPending)
 {
   aPending.routes_ = routes_;
   const auto& request = aPending.request_;
   const auto* route = routes_->Match(request.host_, request.path_);
   aPending.group_ = request.apiKey_.empty() ? nullptr : routes_->FindGroup(request.apiKey_);
-  const auto bar = BarOf(aNow, route, aPending.group_);
+  const auto rejection = RejectionReasonOf(aNow, route, aPending.group_);
   aPending.route_ = route;
-  if (bar) {
-    Bar(aNow, aPending, *bar);
+  if (rejection) {
+    RejectCaller(aNow, aPending, *rejection);
   }
-  return !bar;
+  return !rejection;
 }
 
 bool
-RequestDesk::TryPassGate(Instant aNow, PendingRequest& aPending)
+GatewayRouter::TryAdmitToGroup(Instant aNow, PendingRequest& aPending)
 {
   const auto* group = aPending.group_;
   if (group == nullptr) {
     return true;
   }
-  if (!gate_->TryPass(aNow, *group, aPending.isLate_)) {
-    Bar(aNow, aPending, RefusalReason::OverLimit);
+  if (!admission_->TryAdmit(aNow, *group, aPending.isLate_)) {
+    RejectCaller(aNow, aPending, RefusalReason::OverLimit);
     return false;
   }
-  tally_.OnGroup(group->name_, std::nullopt);
+  statistics_.OnGroup(group->name_, std::nullopt);
   return true;
 }
 
 void
-RequestDesk::Bar(Instant aNow, PendingRequest& aPending, RefusalReason aReason)
+GatewayRouter::RejectCaller(Instant aNow, PendingRequest& aPending, RefusalReason aReason)
 {
   if (aPending.group_ != nullptr) {
-    tally_.OnGroup(aPending.group_->name_, aReason);
+    statistics_.OnGroup(aPending.group_->name_, aReason);
   }
   Refuse(aNow, aPending, aReason);
 }
 
-// What a caller without a known key is told does not depend on whether there is such a
-// route.
+// The answer to a caller without a known key does not reveal whether the route exists.
 std::optional<RefusalReason>
-RequestDesk::BarOf(Instant aNow, const Route* aRoute, const CallerGroup* aGroup) const
+GatewayRouter::RejectionReasonOf(Instant aNow, const Route* aRoute, const CallerGroup* aGroup) const
 {
   const bool needsKey = NeedsApiKey(*routes_, aRoute);
   if (needsKey && aNow >= apiKeysUntil_) {
@@ -71,14 +69,14 @@
 }
 
 bool
-RequestDesk::IsApiKeyProven(Instant aNow, const PendingRequest& aPending) const
+GatewayRouter::IsApiKeyProven(Instant aNow, const PendingRequest& aPending) const
 {
   const bool needsKey = NeedsApiKey(*aPending.routes_, aPending.route_);
   return !needsKey || (!aPending.isRevoked_ && aNow < apiKeysUntil_);
 }
 
 void
-RequestDesk::RefuseRevoked(Instant aNow)
+GatewayRouter::RefuseRevoked(Instant aNow)
 {
   std::vector<RequestNumber> revoked;
   for (auto& [number, pending] : pending_) {
@@ -94,7 +92,7 @@
   }
   for (const auto number : revoked) {
     auto& pending = pending_.at(number);
-    pending.obstacle_ = RefusalReason::UnknownApiKey;
+    pending.blockReason_ = RefusalReason::UnknownApiKey;
     RefuseWaiting(aNow, pending);
   }
 }
--- a/Libraries/LibGateway/RequestDesk.cpp
+++ b/Libraries/LibGateway/GatewayRouter.cpp
@@ -1,4 +1,4 @@
-#include "LibGateway/RequestDesk.h"
+#include "LibGateway/GatewayRouter.h"
 
 #include <algorithm>
 
@@ -6,52 +6,51 @@
 
 namespace {
 
-// The least that is worth waiting for.
-constexpr Duration kLeastRetryAfter = milliseconds(50);
-// Clients that were refused together come back between these multiples of the time that
-// was found for them: as widely as they can be spread around it evenly without any that
-// comes at once.
-constexpr double kLeastSpread = 0.5;
-constexpr double kMostSpread = 1.5;
-// A request that cannot be in time any more waits no longer than its client would to
-// come back.
-constexpr Duration kLateWait = kLeastRetryAfter;
-// When a caller of a group that is over its limit, or whose key could not be proven, is to
-// come back: both end within about a second, or last.
-constexpr Duration kBarredPause = seconds(1);
-// Clients come back within a third of the time they have left (the platform's
-// pages); later ones would not come back at all.
-constexpr double kRetryAfterOfTimeLeft = 0.3;
-// A request that comes before any configuration waits for one for this part of the
-// client's time: an instance learns it within some 0.2 s of its start. The part is
-// less than a quarter of the latency targets, which lie above a third of that time.
-constexpr double kUnroutedPart = 0.08;
-// Within this time of its first configuration an instance also learns of the servers and
-// of the owners of keys: about as long as it takes to read a table of the store.
-constexpr Duration kLearnTime = milliseconds(200);
-// Assumed for the latency target and the time left of a request without a route,
-// of which neither is known.
-constexpr Duration kUnknownTarget = seconds(1);
-// Left for the answer's way back when a server is told its time.
-constexpr Duration kWayBack = milliseconds(2);
-// An answer of the server at its time limit is waited for this long.
+// Shortest retry delay that is sent to clients.
+constexpr Duration kMinRetryDelay = milliseconds(50);
+// Jitter: clients that were refused together retry after a random multiple of the expected wait,
+// between these bounds. This is the widest even spread around the wait in which nobody retries at
+// once.
+constexpr double kMinJitter = 0.5;
+constexpr double kMaxJitter = 1.5;
+// A request that can no longer be answered in time waits no longer than its client would before a
+// retry.
+constexpr Duration kMaxLateWait = kMinRetryDelay;
+// Retry delay for callers of a group that is over its limit, or whose API key could not be
+// verified: both conditions end within about a second, or last.
+constexpr Duration kRejectedRetryDelay = seconds(1);
+// Clients retry within a third of the time they have left (guaranteed by the platform); a later
+// retry would not be made at all.
+constexpr double kRetryDelayPerTimeLeft = 0.3;
+// A request that arrives before the first configuration waits for it for this fraction of the
+// client's time: an instance receives it within some 0.2 s of its start. The wait is less than a
+// quarter of the latency targets, which are above a third of that time.
+constexpr double kConfigurationWaitPerTimeLeft = 0.08;
+// Within this time of its first configuration an instance also learns of the servers and of the
+// owners of keys: about as long as reading a table of the store takes.
+constexpr Duration kStartupLearnTime = milliseconds(200);
+// Assumed time left of a request without a route and without a time limit of its client.
+constexpr Duration kAssumedTimeLeft = seconds(1);
+// Reserved for the way back of the answer when a server is sent its time limit.
+constexpr Duration kAnswerTransitTime = milliseconds(2);
+// Grace period for an answer that the server sends at its time limit.
 constexpr Duration kAnswerGrace = milliseconds(20);
-// With less time than this a send would only waste the server's.
-constexpr Duration kLeastSendTime = milliseconds(5);
-// Sends beyond those that may run, for servers that did not run the request.
-constexpr unsigned kSpareSends = 2;
-// After an owner said that it does not own the key, the view is given this long
-// to catch up: about one move of keys.
-constexpr Duration kWrongOwnerPause = milliseconds(30);
-// How long the address of a life that has ended is left alone; the directory
-// has caught up by then.
-constexpr Duration kOtherIncarnationPause = seconds(3);
-
-// Whether the server said that the request failed there.
+// With less time than this, a send would only waste work of the server.
+constexpr Duration kMinSendTime = milliseconds(5);
+// Sends beyond the attempts of the route, for servers that did not run the request.
+constexpr unsigned kExtraSends = 2;
+// Delay before a retry after an owner answered that it does not own the key: about one move of
+// keys, so that the view can catch up.
+constexpr Duration kWrongOwnerRetryDelay = milliseconds(30);
+// Time for which the address of an ended incarnation is suspended; the directory has been updated
+// by then.
+constexpr Duration kOtherLifePause = seconds(3);
+
+// Whether the server answered that the request failed.
 bool
 IsServerError(const AttemptOutcome& aOutcome)
 {
-  // The lowest status of this kind in HTTP.
+  // The lowest HTTP status of server errors.
   constexpr unsigned kServerError = 500;
   return aOutcome.status_ >= kServerError;
 }
@@ -74,15 +73,15 @@
   return SendResult::Broken;
 }
 
-// How a request's route is named to people, if it has one.
+// Name of the route for logs and metrics; kNoRoute for none.
 std::string
 NameOf(const Route* aRoute)
 {
   return aRoute == nullptr ? kNoRoute : aRoute->Name();
 }
 
-QueuePlace<RequestNumber>
-PlaceOf(const PendingRequest& aPending)
+QueuePosition<RequestNumber>
+PositionOf(const PendingRequest& aPending)
 {
   return { aPending.Rank(), aPending.isLate_, aPending.deadline_, aPending.request_.number_ };
 }
@@ -95,11 +94,11 @@
 
 } // namespace
 
-RequestDesk::RequestDesk(RequestDeskSettings aSettings,
-                         const ServerDirectory& aDirectory,
-                         RequestActions& aActions,
-                         PermitSource& aPermits,
-                         EventSink& aEvents)
+GatewayRouter::GatewayRouter(GatewayRouterSettings aSettings,
+                             const ServerDirectory& aDirectory,
+                             RequestActions& aActions,
+                             PermitSource& aPermits,
+                             EventSink& aEvents)
   : settings_(std::move(aSettings))
   , directory_(aDirectory)
   , actions_(aActions)
@@ -110,25 +109,25 @@
 }
 
 void
-RequestDesk::OnRequest(Instant aNow, RoutedRequest aRequest)
+GatewayRouter::OnRequest(Instant aNow, RoutedRequest aRequest)
 {
   const auto number = aRequest.number_;
   auto& pending = pending_[number];
   pending.request_ = std::move(aRequest);
   pending.arrival_ = aNow;
   if (routes_) {
-    Admit(aNow, pending);
+    RouteRequest(aNow, pending);
     return;
   }
-  const auto timeLeft = pending.request_.timeLeft_.value_or(kUnknownTarget);
+  const auto timeLeft = pending.request_.timeLeft_.value_or(kAssumedTimeLeft);
   pending.deadline_ = aNow + timeLeft;
-  pending.refuseAt_ = aNow + Scale(timeLeft, kUnroutedPart);
+  pending.refuseAt_ = aNow + Scale(timeLeft, kConfigurationWaitPerTimeLeft);
   SetTimer(pending, pending.refuseAt_);
 }
 
-// The request may have waited for a configuration.
+// The request may have waited for the first configuration.
 void
-RequestDesk::Admit(Instant aNow, PendingRequest& aPending)
+GatewayRouter::RouteRequest(Instant aNow, PendingRequest& aPending)
 {
   if (!TryIdentify(aNow, aPending)) {
     return;
@@ -136,11 +135,11 @@
   const auto& route = *aPending.route_;
   const auto timeLeft = aPending.request_.timeLeft_.value_or(route.timeLimit_);
   aPending.deadline_ = aPending.arrival_ + std::min(timeLeft, route.timeLimit_);
-  auto& patience = patience_[route.Name()];
-  patience.OnRequest(timeLeft);
-  aPending.inTimeUntil_ = aPending.arrival_ + route.latencyTarget_ - patience.AgeOf(timeLeft);
+  auto& requestAge = requestAges_[route.Name()];
+  requestAge.OnRequest(timeLeft);
+  aPending.inTimeUntil_ = aPending.arrival_ + route.latencyTarget_ - requestAge.AgeOf(timeLeft);
   aPending.isLate_ = aPending.inTimeUntil_ <= aNow;
-  if (!TryPassGate(aNow, aPending)) {
+  if (!TryAdmitToGroup(aNow, aPending)) {
     return;
   }
   aPending.service_ = routes_->FindService(ChooseTarget(route));
@@ -154,7 +153,7 @@
 }
 
 void
-RequestDesk::OnAttemptEnded(Instant aNow, AttemptNumber aAttempt, const AttemptOutcome& aOutcome)
+GatewayRouter::OnAttemptEnded(Instant aNow, AttemptNumber aAttempt, const AttemptOutcome& aOutcome)
 {
   const auto attempt = attempts_.find(aAttempt);
   if (attempt == attempts_.end()) {
@@ -164,61 +163,61 @@
   attempts_.erase(attempt);
   auto& pending = pending_.at(number);
   if (aOutcome.isLeaving_) {
-    actions_.NoteLeaving(pending.server_, pending.serverIncarnation_);
+    actions_.RecordLeaving(pending.server_, pending.serverLife_);
   }
   const auto service = pending.service_->name_;
   const auto result = ToSendResult(aOutcome);
-  permits_.ReportSendEnd(
-    { aAttempt,
-      result,
-      aNow - pending.sentAt_,
-      aOutcome.server_,
-      aOutcome.rest_.value_or(Duration(0)),
-      aOutcome.isLeaving_ ? std::optional(pending.serverIncarnation_) : std::nullopt,
-      aOutcome.rateLimit_ });
+  permits_.TellEnd({ aAttempt,
+                     result,
+                     aNow - pending.sentAt_,
+                     aOutcome.server_,
+                     aOutcome.backoff_.value_or(Duration(0)),
+                     aOutcome.isLeaving_ ? std::optional(pending.serverLife_) : std::nullopt,
+                     aOutcome.rateLimit_ });
   if (const auto load = loads_.find(pending.server_); load != loads_.end()) {
     load->second.OnEnded(aNow, aAttempt, result);
     if (aOutcome.isOtherIncarnation_) {
       load->second.Suspend(aNow, kOtherIncarnationPause);
     }
-    NoteRest(aNow, pending, aOutcome, load->second);
-    NoteRateLimit(aNow, pending, aOutcome, load->second);
+    RecordBackoff(aNow, pending, aOutcome, load->second);
+    RecordRateLimit(aNow, pending, aOutcome, load->second);
   }
-  tally_.OnAttempt(pending.server_, aOutcome.end_);
+  statistics_.OnAttempt(pending.server_, aOutcome.end_);
   pending.attempt_ = 0;
   pending.runs_ += MayHaveRun(aOutcome.end_) ? 1 : 0;
-  if (pending.isGone_) {
+  if (pending.isClientGone_) {
     Finish(number);
   } else {
-    SettleAttempt(aNow, pending, aOutcome);
+    ResolveAttempt(aNow, pending, aOutcome);
   }
-  Pump(aNow, service);
+  SendQueued(aNow, service);
 }
 
 void
-RequestDesk::NoteRest(Instant aNow,
-                      const PendingRequest& aPending,
-                      const AttemptOutcome& aOutcome,
-                      ServerLoad& aLoad)
+GatewayRouter::RecordBackoff(Instant aNow,
+                             const PendingRequest& aPending,
+                             const AttemptOutcome& aOutcome,
+                             ServerLoad& aLoad)
 {
-  if (aOutcome.rest_ && aLoad.BeginRest(aNow, *aOutcome.rest_)) {
+  if (aOutcome.backoff_ && aLoad.StartBackoff(aNow, *aOutcome.backoff_)) {
     events_.Record(Event::ServerAskedForRest,
                    "server=" + aPending.server_ + " request=" + aPending.request_.id_ +
-                     " rest_us=" + std::to_string(aOutcome.rest_->count()));
+                     " rest_us=" + std::to_string(aOutcome.backoff_->count()));
   }
 }
 
 void
-RequestDesk::NoteRateLimit(Instant aNow,
-                           const PendingRequest& aPending,
-                           const AttemptOutcome& aOutcome,
-                           ServerLoad& aLoad)
+GatewayRouter::RecordRateLimit(Instant aNow,
+                               const PendingRequest& aPending,
+                               const AttemptOutcome& aOutcome,
+                               ServerLoad& aLoad)
 {
   if (!aOutcome.rateLimit_) {
     return;
   }
   const auto rate = *aOutcome.rateLimit_;
-  if (aLoad.NamedLimit().OnTold(aNow, aPending.sentAt_, rate, 1 / static_cast<double>(Sharers()))) {
+  if (aLoad.AdvertisedLimit().OnAdvertised(
+        aNow, aPending.sentAt_, rate, 1 / static_cast<double>(InstanceCount()))) {
     events_.Record(Event::ServerLimitsRate,
                    "server=" + aPending.server_ + " request=" + aPending.request_.id_ +
                      " rate_per_s=" + (rate == kNoRateLimit ? "none" : std::to_string(rate)));
@@ -226,7 +225,9 @@
 }
 
 void
-RequestDesk::SettleAttempt(Instant aNow, PendingRequest& aPending, const AttemptOutcome& aOutcome)
+GatewayRouter::ResolveAttempt(Instant aNow,
+                              PendingRequest& aPending,
+                              const AttemptOutcome& aOutcome)
 {
   const bool isAnswered = aOutcome.end_ == AttemptEnd::Answered;
   const bool isGoodAnswer = isAnswered && !IsServerError(aOutcome);
@@ -236,7 +237,7 @@
   }
   if (isAnswered) {
     const auto number = aPending.request_.number_;
-    tally_.OnAnswer(NameOf(aPending.route_), aOutcome.status_, aNow - aPending.arrival_);
+    statistics_.OnAnswer(NameOf(aPending.route_), aOutcome.status_, aNow - aPending.arrival_);
     events_.Record(
       Event::GatewayAnswer,
       "request=" + aPending.request_.id_ + " route=" + NameOf(aPending.route_) +
@@ -255,16 +256,16 @@
 }
 
 void
-RequestDesk::Retry(Instant aNow, PendingRequest& aPending, const AttemptOutcome& aOutcome)
+GatewayRouter::Retry(Instant aNow, PendingRequest& aPending, const AttemptOutcome& aOutcome)
 {
   events_.Record(Event::GatewayRetry,
                  "request=" + aPending.request_.id_ + " server=" + aPending.server_ +
                    " end=" + std::string(kAttemptEndNames.NameOf(aOutcome.end_)) + " status=" +
                    std::to_string(aOutcome.status_) + " sends=" + std::to_string(aPending.sends_) +
-                   " rest_us=" + std::to_string(aOutcome.rest_.value_or(Duration(0)).count()));
+                   " rest_us=" + std::to_string(aOutcome.backoff_.value_or(Duration(0)).count()));
   aPending.tried_.push_back(aPending.server_);
-  if (aOutcome.end_ == AttemptEnd::WrongServer && !aOutcome.isOtherIncarnation_) {
-    aPending.notBefore_ = aNow + kWrongOwnerPause;
+  if (aOutcome.end_ == AttemptEnd::WrongServer && !aOutcome.isOtherLife_) {
+    aPending.notBefore_ = aNow + kWrongOwnerRetryDelay;
   }
   if (!TrySend(aNow, aPending)) {
     WaitOrRefuse(aNow, aPending);
@@ -272,26 +273,27 @@
 }
 
 bool
-RequestDesk::TryTakeRetry(Instant aNow, PendingRequest& aPending, const AttemptOutcome& aOutcome)
+GatewayRouter::TryTakeRetry(Instant aNow, PendingRequest& aPending, const AttemptOutcome& aOutcome)
 {
   const auto& route = *aPending.route_;
   const bool isAllowed =
     (route.isRepeatable_ || !MayHaveRun(aOutcome.end_)) && IsApiKeyProven(aNow, aPending);
   const bool hasAttempts =
-    aPending.runs_ < route.mostAttempts_ && aPending.sends_ < route.mostAttempts_ + kSpareSends;
-  if (!isAllowed || !hasAttempts || aNow + kLeastSendTime >= aPending.deadline_) {
+    aPending.runs_ < route.maxAttempts_ && aPending.sends_ < route.maxAttempts_ + kExtraSends;
+  if (!isAllowed || !hasAttempts || aNow + kMinSendTime >= aPending.deadline_) {
     return false;
   }
-  if (PauseLeft(aNow, aPending) + kLeastSendTime >= aPending.deadline_ - aNow) {
+  if (RemainingDelay(aNow, aPending) + kMinSendTime >= aPending.deadline_ - aNow) {
     return false;
   }
-  // What never reached a server is no second arrival.
+  // A request that never reached a server is no additional load, so it takes nothing from the
+  // budget.
   return aOutcome.end_ == AttemptEnd::NotSent ||
          StateOf(aPending.service_->name_).budget_.TryTake(aNow, instances_);
 }
 
 void
-RequestDesk::OnClientGone(Instant aNow, RequestNumber aRequest)
+GatewayRouter::OnClientGone(Instant aNow, RequestNumber aRequest)
 {
   const auto found = pending_.find(aRequest);
   if (found == pending_.end()) {
@@ -304,7 +306,7 @@
   }
   const auto service = pending.service_->name_;
   if (pending.attempt_ != 0 && !pending.route_->isRepeatable_) {
-    pending.isGone_ = true;
+    pending.isClientGone_ = true;
     return;
   }
   if (pending.attempt_ != 0) {
@@ -314,11 +316,11 @@
     attempts_.erase(pending.attempt_);
   }
   Finish(aRequest);
-  Pump(aNow, service);
+  SendQueued(aNow, service);
 }
 
 void
-RequestDesk::OnTime(Instant aNow)
+GatewayRouter::OnTime(Instant aNow)
 {
   std::set<std::string> services;
   while (!timers_.empty() && timers_.begin()->first <= aNow) {
@@ -331,9 +333,9 @@
     }
     services.insert(pending.service_->name_);
     if (pending.attempt_ != 0) {
-      GiveUp(aNow, pending);
-    } else if (pending.ask_ != 0) {
-      OnAskDue(aNow, pending);
+      TimeOut(aNow, pending);
+    } else if (pending.permitRequest_ != 0) {
+      OnPermitRequestTimeout(aNow, pending);
     } else if (aNow >= std::min(pending.refuseAt_, pending.deadline_)) {
       RefuseWaiting(aNow, pending);
     } else {
@@ -341,30 +343,30 @@
     }
   }
   for (const auto& service : services) {
-    Pump(aNow, service);
+    SendQueued(aNow, service);
   }
 }
 
 std::optional<Instant>
-RequestDesk::NextTime() const
+GatewayRouter::NextTime() const
 {
   return timers_.empty() ? std::nullopt : std::optional(timers_.begin()->first);
 }
 
 void
-RequestDesk::GiveUp(Instant aNow, PendingRequest& aPending)
+GatewayRouter::TimeOut(Instant aNow, PendingRequest& aPending)
 {
   actions_.Cancel(aPending.attempt_);
   permits_.ReportSendEnd(
     { aPending.attempt_, SendResult::Broken, aNow - aPending.sentAt_, std::nullopt, Duration(0) });
-  tally_.OnAttempt(aPending.server_, AttemptEnd::Broken);
+  statistics_.OnAttempt(aPending.server_, AttemptEnd::Broken);
   if (const auto load = loads_.find(aPending.server_); load != loads_.end()) {
     load->second.OnTimeOut(aNow, aPending.attempt_);
   }
   attempts_.erase(aPending.attempt_);
   aPending.attempt_ = 0;
   ++aPending.runs_;
-  if (aPending.isGone_) {
+  if (aPending.isClientGone_) {
     Finish(aPending.request_.number_);
     return;
   }
@@ -372,14 +374,15 @@
 }
 
 void
-RequestDesk::RefuseWaiting(Instant aNow, PendingRequest& aPending)
+GatewayRouter::RefuseWaiting(Instant aNow, PendingRequest& aPending)
 {
   LeaveQueue(aPending);
-  Refuse(aNow, aPending, aPending.runs_ > 0 ? RefusalReason::OutcomeUnknown : aPending.obstacle_);
+  Refuse(
+    aNow, aPending, aPending.runs_ > 0 ? RefusalReason::OutcomeUnknown : aPending.blockReason_);
 }
 
 void
-RequestDesk::Refuse(Instant aNow, PendingRequest& aPending, RefusalReason aReason)
+GatewayRouter::Refuse(Instant aNow, PendingRequest& aPending, RefusalReason aReason)
 {
   const auto number = aPending.request_.number_;
   events_.Record(
@@ -390,76 +393,78 @@
       " service=" + (aPending.service_ == nullptr ? "-" : aPending.service_->name_) +
       " server=" + (aPending.server_.empty() ? "-" : aPending.server_) +
       " owner=" + (aPending.owner_.empty() ? "-" : aPending.owner_) +
-      " told_wait_us=" + std::to_string(aPending.toldWait_.value_or(Duration(0)).count()) +
+      " told_wait_us=" + std::to_string(aPending.dispatcherWait_.value_or(Duration(0)).count()) +
       " sends=" + std::to_string(aPending.sends_) + " runs=" + std::to_string(aPending.runs_) +
       " age_us=" + std::to_string((aNow - aPending.arrival_).count()) +
       " time_left_us=" + std::to_string(aPending.request_.timeLeft_.value_or(Duration(0)).count()));
-  tally_.OnRefusal(NameOf(aPending.route_), aReason, aNow - aPending.arrival_);
+  statistics_.OnRefusal(NameOf(aPending.route_), aReason, aNow - aPending.arrival_);
   actions_.Refuse(number, { aReason, aPending.runs_ == 0, RetryAfterOf(aNow, aPending) });
   Finish(number);
 }
 
 Duration
-RequestDesk::RetryAfterOf(Instant aNow, PendingRequest& aPending)
+GatewayRouter::RetryAfterOf(Instant aNow, PendingRequest& aPending)
 {
-  std::uniform_real_distribution<double> draw(kLeastSpread, kMostSpread);
+  std::uniform_real_distribution<double> draw(kMinJitter, kMaxJitter);
   if (!aPending.routes_) {
-    return Scale(kUnknownTarget, kRetryAfterOfTimeLeft);
+    return Scale(kAssumedTimeLeft, kRetryDelayPerTimeLeft);
   }
   if (aPending.service_ == nullptr) {
-    const auto left = aPending.request_.timeLeft_.value_or(kUnknownTarget);
-    return std::min(Scale(left, kRetryAfterOfTimeLeft), Scale(kBarredPause, draw(random_)));
+    const auto left = aPending.request_.timeLeft_.value_or(kAssumedTimeLeft);
+    return std::min(Scale(left, kRetryDelayPerTimeLeft), Scale(kRejectedRetryDelay, draw(random_)));
   }
-  // The client may come back after the time limit of one try.
+  // The client may retry after the time limit of a single try.
   const auto given = aPending.request_.timeLeft_.value_or(aPending.route_->timeLimit_);
   const auto left = std::max(Duration(0), Duration(aPending.arrival_ + given - aNow));
-  const auto most = Scale(left, kRetryAfterOfTimeLeft);
-  const auto wait = aPending.toldWait_ ? aPending.toldWait_ : ExpectedWait(aNow, aPending);
+  const auto most = Scale(left, kRetryDelayPerTimeLeft);
+  const auto wait =
+    aPending.dispatcherWait_ ? aPending.dispatcherWait_ : ExpectedWait(aNow, aPending);
   if (!wait) {
     return most;
   }
-  auto& spell = spells_[aPending.owner_.empty() ? aPending.service_->name_ : aPending.owner_];
-  const auto lasting = spell.OnRefusal(aNow);
-  return std::min(most, std::max(kLeastRetryAfter, Scale(std::max(*wait, lasting), draw(random_))));
+  auto& streak =
+    refusalStreaks_[aPending.owner_.empty() ? aPending.service_->name_ : aPending.owner_];
+  const auto lasting = streak.OnRefusal(aNow);
+  return std::min(most, std::max(kMinRetryDelay, Scale(std::max(*wait, lasting), draw(random_))));
 }
 
 void
-RequestDesk::Finish(RequestNumber aRequest)
+GatewayRouter::Finish(RequestNumber aRequest)
 {
   auto& pending = pending_.at(aRequest);
   LeaveQueue(pending);
-  DropAsk(pending);
+  WithdrawPermitRequest(pending);
   SetTimer(pending, Instant::max());
   pending_.erase(aRequest);
 }
 
 bool
-RequestDesk::TrySend(Instant aNow, PendingRequest& aPending)
+GatewayRouter::TrySend(Instant aNow, PendingRequest& aPending)
 {
   if (aNow < aPending.notBefore_) {
     return false;
   }
   if (!IsApiKeyProven(aNow, aPending)) {
-    aPending.obstacle_ = RefusalReason::ApiKeysUnproven;
+    aPending.blockReason_ = RefusalReason::ApiKeysUnproven;
     return false;
   }
-  return TryAsk(aNow, aPending) || TrySendAlone(aNow, aPending);
+  return TryRequestPermit(aNow, aPending) || TrySendWithoutPermit(aNow, aPending);
 }
 
 bool
-RequestDesk::TrySendAlone(Instant aNow, PendingRequest& aPending)
+GatewayRouter::TrySendWithoutPermit(Instant aNow, PendingRequest& aPending)
 {
   ServerCandidate chosen{};
   const auto choice = ChooseServer(aNow, aPending, chosen);
-  if (choice == Choice::Found && aPending.isLate_ && !chosen.load_->HasSpareRoom()) {
-    aPending.obstacle_ = RefusalReason::NoCapacity;
+  if (choice == Choice::Found && aPending.isLate_ && !chosen.load_->HasSpareCapacity()) {
+    aPending.blockReason_ = RefusalReason::NoCapacity;
     return false;
   }
   if (choice != Choice::Found) {
-    aPending.obstacle_ = ObstacleOf(choice);
+    aPending.blockReason_ = RefusalReasonOf(choice);
     return false;
   }
-  const auto timeLeft = TimeToSend(aNow, aPending);
+  const auto timeLeft = SendTimeLimit(aNow, aPending);
   if (!timeLeft) {
     return false;
   }
@@ -471,14 +476,14 @@
 }
 
 std::optional<Duration>
-RequestDesk::TimeToSend(Instant aNow, const PendingRequest& aPending)
+GatewayRouter::SendTimeLimit(Instant aNow, const PendingRequest& aPending)
 {
-  const Duration left = aPending.deadline_ - aNow - kWayBack;
-  return left < kLeastSendTime ? std::nullopt : std::optional(left);
+  const Duration left = aPending.deadline_ - aNow - kAnswerTransitTime;
+  return left < kMinSendTime ? std::nullopt : std::optional(left);
 }
 
 RefusalReason
-RequestDesk::ObstacleOf(Choice aChoice)
+GatewayRouter::RefusalReasonOf(Choice aChoice)
 {
   switch (aChoice) {
     case Choice::NoServer:
@@ -493,11 +498,11 @@
 }
 
 void
-RequestDesk::SendTo(Instant aNow,
-                    PendingRequest& aPending,
-                    const ServerCandidate& aServer,
-                    AttemptNumber aAttempt,
-                    Duration aTimeLeft)
+GatewayRouter::SendTo(Instant aNow,
+                      PendingRequest& aPending,
+                      const ServerCandidate& aServer,
+                      AttemptNumber aAttempt,
+                      Duration aTimeLeft)
 {
   LeaveQueue(aPending);
   const auto number = aPending.request_.number_;
@@ -520,15 +525,15 @@
 }
 
 void
-RequestDesk::WaitOrRefuse(Instant aNow, PendingRequest& aPending)
+GatewayRouter::WaitOrRefuse(Instant aNow, PendingRequest& aPending)
 {
   const auto wait = ExpectedWait(aNow, aPending);
   const auto latency = ExpectedLatency(aPending);
   const auto inTime = aPending.inTimeUntil_ - latency;
   if (wait && aNow + *wait <= inTime) {
     aPending.refuseAt_ = inTime;
-  } else if (wait && *wait <= kLateWait) {
-    aPending.refuseAt_ = aNow + kLateWait;
+  } else if (wait && *wait <= kMaxLateWait) {
+    aPending.refuseAt_ = aNow + kMaxLateWait;
   } else {
     aPending.refuseAt_ = aNow;
     RefuseWaiting(aNow, aPending);
@@ -538,7 +543,7 @@
 }
 
 std::optional<Duration>
-RequestDesk::ExpectedWait(Instant aNow, PendingRequest& aPending)
+GatewayRouter::ExpectedWait(Instant aNow, PendingRequest& aPending)
 {
   const auto wait = aPending.service_->isKeyed_ ? ExpectedWaitForOwner(aNow, aPending)
                                                 : ExpectedWaitForAny(aNow, aPending);
@@ -546,33 +551,34 @@
     return wait;
   }
   const Duration pause = std::max(aPending.notBefore_, aNow) - aNow;
-  return std::max({ *wait, PauseLeft(aNow, aPending), pause });
+  return std::max({ *wait, RemainingDelay(aNow, aPending), pause });
 }
 
 Duration
-RequestDesk::RestLeft(Instant aNow, PendingRequest& aPending)
+GatewayRouter::RemainingBackoff(Instant aNow, PendingRequest& aPending)
 {
-  return LeastOfServers(
-    aNow, aPending, [aNow](const ServerLoad& aLoad) { return aLoad.RestLeft(aNow); });
+  return MinOverServers(
+    aNow, aPending, [aNow](const ServerLoad& aLoad) { return aLoad.RemainingBackoff(aNow); });
 }
 
 Duration
-RequestDesk::PauseLeft(Instant aNow, PendingRequest& aPending)
+GatewayRouter::RemainingDelay(Instant aNow, PendingRequest& aPending)
 {
-  // A dispatcher deals out the whole rate of a server, of which this instance has a part only.
-  if (permits_.CanRequestPermit(aPending.service_->name_)) {
-    return RestLeft(aNow, aPending);
+  // A dispatcher allocates the full rate of a server, of which this instance alone has only a
+  // share.
+  if (permits_.CanAsk(aPending.service_->name_)) {
+    return RemainingBackoff(aNow, aPending);
   }
-  const auto ahead = WaitingAhead(aPending);
-  return LeastOfServers(aNow, aPending, [aNow, ahead](const ServerLoad& aLoad) {
-    return aLoad.PauseLeft(aNow, ahead);
+  const auto ahead = QueuedAhead(aPending);
+  return MinOverServers(aNow, aPending, [aNow, ahead](const ServerLoad& aLoad) {
+    return aLoad.RemainingDelay(aNow, ahead);
   });
 }
 
 Duration
-RequestDesk::LeastOfServers(Instant aNow,
-                            PendingRequest& aPending,
-                            const std::function<Duration(const ServerLoad&)>& aTimeOf)
+GatewayRouter::MinOverServers(Instant aNow,
+                              PendingRequest& aPending,
+                              const std::function<Duration(const ServerLoad&)>& aTimeOf)
 {
   if (aPending.service_->isKeyed_) {
     ServerCandidate owner{};
@@ -581,7 +587,7 @@
   }
   auto least = Duration::max();
   for (const auto& server : StateOf(aPending.service_->name_).servers_) {
-    if (!server.record_->TakesWork()) {
+    if (!server.record_->AcceptsWork()) {
       continue;
     }
     least = std::min(least, aTimeOf(*server.load_));
@@ -593,12 +599,12 @@
 }
 
 std::optional<Duration>
-RequestDesk::ExpectedWaitForOwner(Instant aNow, const PendingRequest& aPending)
+GatewayRouter::ExpectedWaitForOwner(Instant aNow, const PendingRequest& aPending)
 {
   const auto& service = aPending.service_->name_;
   const auto ownership = ownership_.find(service);
   if (ownership == ownership_.end()) {
-    return ExpectedLearning(aNow);
+    return ExpectedStartupWait(aNow);
   }
   const auto* range =
     aPending.request_.key_ ? ownership->second.Find(*aPending.request_.key_) : nullptr;
@@ -606,55 +612,55 @@
     return std::nullopt;
   }
   const auto* record = directory_.Find(range->owner_);
-  if (!range->previous_.empty() || record == nullptr || !record->TakesWork()) {
-    return moveTimes_[service].Remaining(WaitingForMove(aNow, service, *range, record));
+  if (!range->previous_.empty() || record == nullptr || !record->AcceptsWork()) {
+    return moveTimes_[service].ExpectedRemaining(MoveAge(aNow, service, *range, record));
   }
   const auto& load = LoadOf(*record, *aPending.service_);
-  return load.ExpectedTurn(aNow, WaitingAhead(aPending), ExpectedLatency(aPending));
+  return load.ExpectedQueueTime(aNow, QueuedAhead(aPending), ExpectedLatency(aPending));
 }
 
 Duration
-RequestDesk::WaitingForMove(Instant aNow,
-                            const std::string& aService,
-                            const KeyRange& aRange,
-                            const ServerRecord* aOwner) const
+GatewayRouter::MoveAge(Instant aNow,
+                       const std::string& aService,
+                       const KeyRange& aRange,
+                       const ServerRecord* aOwner) const
 {
   const auto moving = movingSince_.find({ aService, aRange.fence_ });
   if (moving != movingSince_.end()) {
     return aNow - moving->second;
   }
-  // Without the store the placer cannot name another owner, however long that takes.
+  // Without the store, the placer cannot assign another owner, however long that takes.
   const bool isLeaving = aOwner != nullptr && aOwner->IsLeaving();
   return isLeaving ? std::max(Duration(0), Duration(aNow - aOwner->leavingSince_)) : Duration(0);
 }
 
 std::optional<Duration>
-RequestDesk::ExpectedWaitForAny(Instant aNow, const PendingRequest& aPending)
+GatewayRouter::ExpectedWaitForAny(Instant aNow, const PendingRequest& aPending)
 {
   const auto& servers = StateOf(aPending.service_->name_).servers_;
   if (servers.empty()) {
-    return ExpectedLearning(aNow);
+    return ExpectedStartupWait(aNow);
   }
   std::size_t limits = 0;
   for (const auto& server : servers) {
-    limits += server.record_->TakesWork() ? server.load_->Limit() : 0;
+    limits += server.record_->AcceptsWork() ? server.load_->Limit() : 0;
   }
   if (limits == 0) {
     return std::nullopt;
   }
-  const auto ahead = static_cast<double>(WaitingAhead(aPending) + 1);
+  const auto ahead = static_cast<double>(QueuedAhead(aPending) + 1);
   return Scale(ExpectedLatency(aPending), ahead / static_cast<double>(limits));
 }
 
 std::optional<Duration>
-RequestDesk::ExpectedLearning(Instant aNow) const
+GatewayRouter::ExpectedStartupWait(Instant aNow) const
 {
-  const auto until = firstRoutesAt_ + kLearnTime;
+  const auto until = firstRoutesAt_ + kStartupLearnTime;
   return aNow < until ? std::optional(Duration(until - aNow)) : std::nullopt;
 }
 
 Duration
-RequestDesk::ExpectedLatency(const PendingRequest& aPending)
+GatewayRouter::ExpectedLatency(const PendingRequest& aPending)
 {
   const auto& servers = StateOf(aPending.service_->name_).servers_;
   const auto load = loads_.find(aPending.owner_);
@@ -663,7 +669,7 @@
 }
 
 std::size_t
-RequestDesk::WaitingAhead(const PendingRequest& aPending)
+GatewayRouter::QueuedAhead(const PendingRequest& aPending)
 {
   std::size_t ahead = 0;
   for (const auto& place : StateOf(aPending.service_->name_).queue_) {
@@ -677,30 +683,30 @@
 }
 
 void
-RequestDesk::Queue(Instant aNow, PendingRequest& aPending)
+GatewayRouter::Queue(Instant aNow, PendingRequest& aPending)
 {
-  StateOf(aPending.service_->name_).queue_.insert(PlaceOf(aPending));
+  StateOf(aPending.service_->name_).queue_.insert(PositionOf(aPending));
   auto time = std::min(aPending.refuseAt_, aPending.deadline_);
   if (aNow < aPending.notBefore_) {
     time = std::min(time, aPending.notBefore_);
   }
-  // Nothing else may happen when servers take requests again.
-  if (const auto left = PauseLeft(aNow, aPending); left > Duration(0)) {
+  // No other event may wake the request up when servers accept requests again.
+  if (const auto left = RemainingDelay(aNow, aPending); left > Duration(0)) {
     time = std::min(time, aNow + left);
   }
   SetTimer(aPending, time);
 }
 
 void
-RequestDesk::LeaveQueue(const PendingRequest& aPending)
+GatewayRouter::LeaveQueue(const PendingRequest& aPending)
 {
   if (aPending.service_ != nullptr) {
-    StateOf(aPending.service_->name_).queue_.erase(PlaceOf(aPending));
+    StateOf(aPending.service_->name_).queue_.erase(PositionOf(aPending));
   }
 }
 
 void
-RequestDesk::Pump(Instant aNow, const std::string& aService)
+GatewayRouter::SendQueued(Instant aNow, const std::string& aService)
 {
   const auto queue = StateOf(aService).queue_;
   for (const auto& place : queue) {
@@ -711,7 +717,7 @@
 }
 
 void
-RequestDesk::SetTimer(PendingRequest& aPending, Instant aTime)
+GatewayRouter::SetTimer(PendingRequest& aPending, Instant aTime)
 {
   if (aPending.timer_ != Instant::max()) {
     timers_.erase({ aPending.timer_, aPending.request_.number_ });
@@ -723,7 +729,7 @@
 }
 
 std::size_t
-RequestDesk::Waiting() const
+GatewayRouter::Waiting() const
 {
   std::size_t waiting = 0;
   for (const auto& [name, state] : services_) {
--- a/Libraries/LibGateway/PermitSource.h
+++ b/Libraries/LibGateway/PermitSource.h
@@ -4,35 +4,37 @@
 
 namespace latchslip {
 
-// Where an instance gets permits for its sends. Answers come later, never from inside.
+// Client side of the permit protocol. Answers arrive later through the GatewayRouter, never from
+// within a call.
 class PermitSource
 {
 public:
   virtual ~PermitSource() = default;
 
-  // Whether the dispatcher of that service can be asked; otherwise the instance chooses by
-  // what it knows alone.
-  virtual bool CanRequestPermit(const std::string& aService) const = 0;
-  virtual void RequestPermit(Instant aNow, const PermitRequest& aRequest) = 0;
+  // Whether the dispatcher of the service can be asked for permits; if not, the instance chooses
+  // servers by its local state alone.
+  virtual bool CanAsk(const std::string& aService) const = 0;
+  // Sends a permit request.
+  virtual void RequestPermit(Instant aNow, const PermitAsk& aRequest) = 0;
   virtual void Withdraw(AttemptNumber aNumber) = 0;
-  // No answer came in the time in which one comes.
-  virtual void OnUnanswered(Instant aNow, const std::string& aService) = 0;
-  // Tells of a send without a permit.
-  virtual void ReportSend(Instant aNow, const SendNotice& aNotice) = 0;
-  // Tells the end of a send, or that a permit is not used.
-  virtual void ReportSendEnd(const SendEnd& aEnd) = 0;
+  // The dispatcher did not answer a permit request before its timeout.
+  virtual void OnPermitTimeout(Instant aNow, const std::string& aService) = 0;
+  // Reports a send that used no permit.
+  virtual void TellSend(Instant aNow, const SendNotice& aNotice) = 0;
+  // Reports the end of an attempt, or that a permit was not used.
+  virtual void TellEnd(const SendEnd& aEnd) = 0;
 };
 
-// Has no dispatcher: the instance chooses alone.
-class NoPermits : public PermitSource
+// For an instance without a dispatcher: it chooses servers by its local state alone.
+class NullPermitSource : public PermitSource
 {
 public:
-  bool CanRequestPermit(const std::string&) const override { return false; }
-  void RequestPermit(Instant, const PermitRequest&) override {}
+  bool CanAsk(const std::string&) const override { return false; }
+  void RequestPermit(Instant, const PermitAsk&) override {}
   void Withdraw(AttemptNumber) override {}
-  void OnUnanswered(Instant, const std::string&) override {}
-  void ReportSend(Instant, const SendNotice&) override {}
-  void ReportSendEnd(const SendEnd&) override {}
+  void OnPermitTimeout(Instant, const std::string&) override {}
+  void TellSend(Instant, const SendNotice&) override {}
+  void TellEnd(const SendEnd&) override {}
 };
 
 } // namespace latchslip
--- a/Libraries/LibGateway/RateLimit.cpp
+++ b/Libraries/LibGateway/RateLimit.cpp
@@ -6,50 +6,50 @@
 
 namespace {
 
-// Requests a second that a server gets that takes less: only an answer tells that its limit
-// has ended.
-constexpr double kLeastRate = 0.1;
-// So much of the rate may be saved up, so that requests which come unevenly can use it.
-constexpr Duration kSavedTime = milliseconds(500);
+// Minimum rate in requests per second, also for a server that advertises less: only an answer can
+// report the end of its limit.
+constexpr double kMinRate = 0.1;
+// The bucket holds the tokens of this time, so that unevenly spaced requests can use the rate.
+constexpr Duration kBurstTime = milliseconds(500);
 
 } // namespace
 
 bool
-RateLimit::OnTold(Instant aNow, Instant aSentAt, double aRate, double aShare)
+RateLimit::OnAdvertised(Instant aNow, Instant aSentAt, double aRate, double aShare)
 {
   const bool isNamed = aRate < kNoRateLimit;
-  // The answer may have been written before the one that named the limit.
-  if (!isNamed && aSentAt < namedAt_) {
+  // The answer may have been written before the one that advertised the limit.
+  if (!isNamed && aSentAt < advertisedAt_) {
     return false;
   }
-  const bool isNews = isNamed != IsNamed();
-  rate_ = std::max(aRate, kLeastRate);
+  const bool isChange = isNamed != IsAdvertised();
+  rate_ = std::max(aRate, kMinRate);
   if (!isNamed) {
-    return isNews;
+    return isChange;
   }
-  namedAt_ = aNow;
+  advertisedAt_ = aNow;
   const double rate = rate_ * aShare;
-  const double most = std::max(1.0, rate * ToSeconds(kSavedTime));
-  bucket_.SetTerms(aNow, { rate, most, most });
-  if (isNews) {
-    // What the server got before is as much as it takes.
-    bucket_.Fill(aNow, 0);
+  const double most = std::max(1.0, rate * ToSeconds(kBurstTime));
+  bucket_.SetParameters(aNow, { rate, most, most });
+  if (isChange) {
+    // What the server received before the limit already uses its capacity.
+    bucket_.SetTokens(aNow, 0);
   }
-  return isNews;
+  return isChange;
 }
 
 void
 RateLimit::OnSent(Instant aNow)
 {
-  if (IsNamed()) {
+  if (IsAdvertised()) {
     bucket_.Take(aNow);
   }
 }
 
 Duration
-RateLimit::WaitLeft(Instant aNow, std::size_t aAhead) const
+RateLimit::RemainingWait(Instant aNow, std::size_t aAhead) const
 {
-  return IsNamed() ? bucket_.WaitFor(aNow, aAhead + 1) : Duration(0);
+  return IsAdvertised() ? bucket_.WaitFor(aNow, aAhead + 1) : Duration(0);
 }
 
 } // namespace latchslip
--- a/Libraries/LibGateway/RetryBudget.cpp
+++ b/Libraries/LibGateway/RetryBudget.cpp
@@ -6,16 +6,16 @@
 
 namespace {
 
-// The part of the budget that is used: arrivals are counted at the servers, and
-// what is sent now may arrive in the next window.
-constexpr double kUsedPart = 0.8;
-// Instances that are not known of yet may be starting.
-constexpr std::size_t kLeastInstances = 12;
+// Fraction of the budget that is used: servers count retries when they arrive, so a retry sent
+// now may count in the next window.
+constexpr double kUsableFraction = 0.8;
+// Lower bound on the number of instances, because others may be starting.
+constexpr std::size_t kMinInstances = 12;
 
 } // namespace
 
-RetryBudget::RetryBudget(RetryBudgetTerms aTerms)
-  : terms_(aTerms)
+RetryBudget::RetryBudget(RetryBudgetParameters aParameters)
+  : parameters_(aParameters)
 {
 }
 
@@ -35,13 +35,14 @@
     if (step.number_ < 0 || step.number_ + static_cast<std::int64_t>(kSteps) < current.number_) {
       continue;
     }
-    // The oldest step has partly left the window: its retries still count.
+    // The oldest step has partly left the window: its retries still count, its requests do not.
     const bool isLeaving = step.number_ + static_cast<std::int64_t>(kSteps) == current.number_;
     requests += isLeaving ? 0 : step.requests_;
     retries += step.retries_;
   }
-  const auto part = static_cast<double>(std::max(aInstances, kLeastInstances));
-  const double allowed = kUsedPart * (terms_.ratio_ * requests + terms_.extra_ / part);
+  const auto part = static_cast<double>(std::max(aInstances, kMinInstances));
+  const double allowed =
+    kUsableFraction * (parameters_.ratio_ * requests + parameters_.extra_ / part);
   if (retries + 1 > allowed) {
     return false;
   }
@@ -52,7 +53,7 @@
 RetryBudget::Step&
 RetryBudget::StepAt(Instant aNow)
 {
-  const auto length = std::max<Duration>(terms_.window_ / kSteps, Duration(1));
+  const auto length = std::max<Duration>(parameters_.window_ / kSteps, Duration(1));
   const auto number = aNow / length;
   auto& step = steps_[static_cast<std::size_t>(number) % steps_.size()];
   if (step.number_ != number) {
--- a/Libraries/LibGateway/RoutingTable.cpp
+++ b/Libraries/LibGateway/RoutingTable.cpp
@@ -32,18 +32,18 @@
     const auto& route = configuration.routes_[index];
     const auto name = "route " + route.Name();
     if (route.targets_.empty()) {
-      return FieldError{ name, "has no service" };
+      return FieldError{ name, "has no target service" };
     }
     for (const auto& target : route.targets_) {
       if (table.FindService(target.service_) == nullptr) {
-        return FieldError{ name, "names the unknown service " + target.service_ };
+        return FieldError{ name, "refers to the unknown service " + target.service_ };
       }
     }
     table.routesByHost_[NormalizeHost(route.host_)].push_back(index);
   }
   BOOST_OUTCOME_TRY(table.apiKeys_, ApiKeyIndex::Create(configuration.groups_));
   for (auto& group : table.configuration_.groups_) {
-    // What the index keeps is enough.
+    // The index is sufficient; the plain keys are not kept.
     group.apiKeys_.clear();
   }
   for (auto& [host, indices] : table.routesByHost_) {
--- a/Libraries/LibGateway/ServerChoice.cpp
+++ b/Libraries/LibGateway/ServerChoice.cpp
@@ -1,6 +1,6 @@
-// Which server a request is sent to: the part of RequestDesk that chooses.
+// Choice of servers (load balancing) in GatewayRouter.
 
-#include "LibGateway/RequestDesk.h"
+#include "LibGateway/GatewayRouter.h"
 
 #include <algorithm>
 #include <iterator>
@@ -10,40 +10,40 @@
 
 namespace {
 
-// What a server in another data hall costs more than one in the same: bytes
-// between halls are paid for, and the way is longer.
-constexpr double kOtherHallCost = 1.7;
-// What a server costs more that a connection has to be opened to: it is paid for,
-// and may hold one of the server's slots for a moment. Less than twice, so that a
-// second request at a connected server costs more than the first at another.
-constexpr double kNewConnectionCost = 1.5;
-// How much a failing server is avoided: one that fails every request counts as
-// this many times as slow.
-constexpr double kFailureCost = 15;
-// While no news come, a range that began to move this long ago has most likely
-// arrived. The new owner is tried: it refuses what it does not hold.
-constexpr Duration kMoveTime = milliseconds(400);
-// The share of a server's connections that one instance uses at most, beyond
-// its equal part, since clients are not spread evenly over the instances.
-constexpr std::size_t kUnevenness = 3;
-// Requests under way at one server to begin with, for all instances together,
-// as a multiple of its slots.
-constexpr std::size_t kFirstLimitPerSlot = 2;
-// As above, at the most.
-constexpr std::size_t kMostLimitPerSlot = 3;
-// Instances assumed while their count is not known.
-constexpr std::size_t kUnknownInstances = 8;
+// Cost factor of a server in another data hall: traffic between halls is charged, and its latency
+// is higher.
+constexpr double kOtherHallCostFactor = 1.7;
+// Cost factor of a server to which a connection must be opened: connections are charged, and
+// opening one may hold a slot of the server for a moment. Less than 2, so that a second request
+// at a connected server costs more than a first at another one.
+constexpr double kNewConnectionCostFactor = 1.5;
+// Weight of failures in the cost: a server that fails every request counts as this many times as
+// slow.
+constexpr double kFailureCostWeight = 15;
+// Without updates, a range that began to move this long ago has most likely arrived. The request
+// is sent to the new owner, which refuses keys that it does not hold.
+constexpr Duration kStaleMoveTimeout = milliseconds(400);
+// Factor by which an instance may exceed its equal share of a server's connections, because
+// clients are not spread evenly over the instances.
+constexpr std::size_t kMaxConnectionShareFactor = 3;
+// Initial limit on requests in flight at one server, for all instances together, as a multiple of
+// its slots.
+constexpr std::size_t kInitialLimitPerSlot = 2;
+// Maximum of that limit.
+constexpr std::size_t kMaxLimitPerSlot = 3;
+// Number of instances assumed while it is not known.
+constexpr std::size_t kAssumedInstances = 8;
 
 bool
 HasServer(const std::vector<ServerCandidate>& aServers)
 {
   return std::any_of(aServers.begin(), aServers.end(), [](const ServerCandidate& aServer) {
-    return aServer.record_->TakesWork();
+    return aServer.record_->AcceptsWork();
   });
 }
 
-// The servers that can take a request now: those that have not had it yet, or if
-// there are none, the others.
+// The servers that can take a request now: those that have not been tried yet or, if there are
+// none, the others.
 std::vector<ServerCandidate>
 AvailableServers(Instant aNow,
                  const std::vector<ServerCandidate>& aServers,
@@ -52,7 +52,7 @@
   std::vector<ServerCandidate> fresh;
   std::vector<ServerCandidate> again;
   for (const auto& server : aServers) {
-    if (!server.record_->TakesWork() || !server.load_->HasRoom(aNow)) {
+    if (!server.record_->AcceptsWork() || !server.load_->HasCapacity(aNow)) {
       continue;
     }
     const bool isTried =
@@ -65,7 +65,7 @@
 } // namespace
 
 ServiceState&
-RequestDesk::StateOf(const std::string& aService)
+GatewayRouter::StateOf(const std::string& aService)
 {
   const auto found = services_.find(aService);
   if (found != services_.end()) {
@@ -75,42 +75,44 @@
 }
 
 std::size_t
-RequestDesk::Sharers() const
+GatewayRouter::InstanceCount() const
 {
-  return instances_ == 0 ? kUnknownInstances : instances_;
+  return instances_ == 0 ? kAssumedInstances : instances_;
 }
 
 ServerLoad&
-RequestDesk::LoadOf(const ServerRecord& aRecord, const RoutedService& aService)
+GatewayRouter::LoadOf(const ServerRecord& aRecord, const RoutedService& aService)
 {
-  const auto instances = Sharers();
+  const auto instances = InstanceCount();
   const std::size_t slots = std::max(1U, aRecord.slots_);
-  const auto connections = std::max<std::size_t>(1, aService.mostConnections_ / instances);
-  const auto most = std::min(slots * kMostLimitPerSlot, connections * kUnevenness);
+  const auto connections = std::max<std::size_t>(1, aService.maxConnections_ / instances);
+  const auto most = std::min(slots * kMaxLimitPerSlot, connections * kMaxConnectionShareFactor);
   const auto first = std::clamp<std::size_t>(
-    (slots * kFirstLimitPerSlot * kUnevenness + instances - 1) / instances, 1, most);
+    (slots * kInitialLimitPerSlot * kMaxConnectionShareFactor + instances - 1) / instances,
+    1,
+    most);
   auto& load = loads_.try_emplace(aRecord.id_, first, most).first->second;
-  load.SetMostLimit(most);
-  load.SetIncarnation(aRecord.incarnation_);
+  load.SetMaxLimit(most);
+  load.SetLife(aRecord.life_);
   return load;
 }
 
 void
-RequestDesk::RefreshServers(Instant aNow, ServiceState& aState, const RoutedService& aService)
+GatewayRouter::RefreshServers(Instant aNow, ServiceState& aState, const RoutedService& aService)
 {
   aState.servers_.clear();
   for (const auto* record : directory_.OfService(aService.name_)) {
     auto& load = LoadOf(*record, aService);
-    BoundSlowStart(aNow, *record, aService, load);
+    LimitSlowStart(aNow, *record, aService, load);
     aState.servers_.push_back({ record, &load });
   }
 }
 
 void
-RequestDesk::BoundSlowStart(Instant aNow,
-                            const ServerRecord& aRecord,
-                            const RoutedService& aService,
-                            ServerLoad& aLoad)
+GatewayRouter::LimitSlowStart(Instant aNow,
+                              const ServerRecord& aRecord,
+                              const RoutedService& aService,
+                              ServerLoad& aLoad)
 {
   if (aService.slowStartRate_ <= 0 || !aRecord.IsInSlowStart(aNow)) {
     return;
@@ -118,12 +120,12 @@
   std::uniform_real_distribution<double> draw(0, 1);
   aLoad.SlowStart().Begin(aNow,
                           aRecord.slowStartUntil_,
-                          aService.slowStartRate_ / static_cast<double>(Sharers()),
+                          aService.slowStartRate_ / static_cast<double>(InstanceCount()),
                           draw(random_));
 }
 
 void
-RequestDesk::OnDirectoryChanged(Instant aNow)
+GatewayRouter::OnDirectoryChanged(Instant aNow)
 {
   if (!routes_) {
     return;
@@ -131,28 +133,28 @@
   for (const auto& service : routes_->Configuration().services_) {
     RefreshServers(aNow, StateOf(service.name_), service);
   }
-  // Requests may still wait for a service that left the configuration.
+  // Requests may still wait for a service that was removed from the configuration.
   for (auto& [name, state] : services_) {
     if (routes_->FindService(name) == nullptr) {
       state.servers_.clear();
     }
   }
   std::erase_if(loads_, [&](const auto& aEntry) {
-    // A server that is listed again before its rest is over still wants it.
-    return directory_.Find(aEntry.first) == nullptr && aEntry.second.UnderWay() == 0 &&
-           aEntry.second.RestLeft(aNow) == Duration(0);
+    // A backoff stays in effect if the server is listed again before its end.
+    return directory_.Find(aEntry.first) == nullptr && aEntry.second.InFlight() == 0 &&
+           aEntry.second.RemainingBackoff(aNow) == Duration(0);
   });
-  std::erase_if(spells_, [&](const auto& aEntry) {
+  std::erase_if(refusalStreaks_, [&](const auto& aEntry) {
     return !loads_.contains(aEntry.first) && routes_->FindService(aEntry.first) == nullptr;
   });
-  tally_.KeepServers([&](const std::string& aServer) { return loads_.contains(aServer); });
+  statistics_.KeepServers([&](const std::string& aServer) { return loads_.contains(aServer); });
   for (const auto& service : routes_->Configuration().services_) {
-    Pump(aNow, service.name_);
+    SendQueued(aNow, service.name_);
   }
 }
 
 void
-RequestDesk::SetRoutes(Instant aNow, std::shared_ptr<const RouteTable> aRoutes)
+GatewayRouter::SetRoutes(Instant aNow, std::shared_ptr<const RouteTable> aRoutes)
 {
   if (!routes_) {
     firstRoutesAt_ = aNow;
@@ -161,24 +163,24 @@
   std::erase_if(services_, [&](const auto& aEntry) {
     return routes_->FindService(aEntry.first) == nullptr && aEntry.second.queue_.empty();
   });
-  ForgetFormerRoutes();
+  DropRemovedRoutes();
   RefuseRevoked(aNow);
   OnDirectoryChanged(aNow);
-  AdmitUnrouted(aNow);
+  RouteHeldRequests(aNow);
 }
 
 void
-RequestDesk::ForgetFormerRoutes()
+GatewayRouter::DropRemovedRoutes()
 {
   std::set<std::string> names{ kNoRoute };
   for (const auto& route : routes_->Configuration().routes_) {
     names.insert(route.Name());
   }
-  tally_.KeepRoutes([&](const std::string& aRoute) { return names.contains(aRoute); });
-  std::erase_if(patience_, [&](const auto& aEntry) { return !names.contains(aEntry.first); });
+  statistics_.KeepRoutes([&](const std::string& aRoute) { return names.contains(aRoute); });
+  std::erase_if(requestAges_, [&](const auto& aEntry) { return !names.contains(aEntry.first); });
   std::erase_if(moveTimes_,
                 [&](const auto& aEntry) { return routes_->FindService(aEntry.first) == nullptr; });
-  tally_.KeepGroups([&](const std::string& aGroup) {
+  statistics_.KeepGroups([&](const std::string& aGroup) {
     const auto& groups = routes_->Configuration().groups_;
     return std::any_of(groups.begin(), groups.end(), [&](const CallerGroup& aEntry) {
       return aEntry.name_ == aGroup;
@@ -187,7 +189,7 @@
 }
 
 void
-RequestDesk::AdmitUnrouted(Instant aNow)
+GatewayRouter::RouteHeldRequests(Instant aNow)
 {
   std::vector<RequestNumber> unrouted;
   for (const auto& [number, pending] : pending_) {
@@ -196,12 +198,12 @@
     }
   }
   for (const auto number : unrouted) {
-    Admit(aNow, pending_.at(number));
+    RouteRequest(aNow, pending_.at(number));
   }
 }
 
 void
-RequestDesk::SetOwnership(Instant aNow, KeyOwnership aOwnership)
+GatewayRouter::SetOwnership(Instant aNow, KeyOwnership aOwnership)
 {
   const auto service = aOwnership.service_;
   std::map<std::pair<std::string, FenceNumber>, Instant> moving;
@@ -212,17 +214,17 @@
       moving[key] = known == movingSince_.end() ? aNow : known->second;
     }
   }
-  NoteMoves(aNow, aOwnership);
+  RecordMoves(aNow, aOwnership);
   std::erase_if(movingSince_, [&](const auto& aEntry) { return aEntry.first.first == service; });
   movingSince_.merge(moving);
   ownership_[service] = std::move(aOwnership);
   if (services_.contains(service)) {
-    Pump(aNow, service);
+    SendQueued(aNow, service);
   }
 }
 
 void
-RequestDesk::NoteMoves(Instant aNow, const KeyOwnership& aOwnership)
+GatewayRouter::RecordMoves(Instant aNow, const KeyOwnership& aOwnership)
 {
   for (const auto& range : aOwnership.ranges_) {
     const auto since = movingSince_.find({ aOwnership.service_, range.fence_ });
@@ -233,29 +235,29 @@
 }
 
 void
-RequestDesk::SetRetryTerms(const RetryBudgetTerms& aTerms)
+GatewayRouter::SetRetryParameters(const RetryBudgetParameters& aParameters)
 {
-  settings_.retries_ = aTerms;
+  settings_.retries_ = aParameters;
   for (auto& [name, state] : services_) {
-    state.budget_.SetTerms(aTerms);
+    state.budget_.SetParameters(aParameters);
   }
 }
 
 ServerWork
-RequestDesk::TakeWorkOf(const std::string& aServer)
+GatewayRouter::TakeWorkOf(const std::string& aServer)
 {
   const auto load = loads_.find(aServer);
   return load == loads_.end() ? ServerWork() : load->second.TakeWork();
 }
 
 const std::string&
-RequestDesk::ChooseTarget(const Route& aRoute)
+GatewayRouter::ChooseTarget(const Route& aRoute)
 {
   const auto& targets = aRoute.targets_;
   if (targets.size() == 1) {
     return targets.front().service_;
   }
-  // Smooth weighted round robin keeps the shares exact over short spans too.
+  // Smooth weighted round robin keeps the weights exact over short runs too.
   auto& credits = credits_[aRoute.Name()];
   credits.resize(targets.size(), 0);
   double total = 0;
@@ -268,25 +270,25 @@
   return targets[static_cast<std::size_t>(best - credits.begin())].service_;
 }
 
-RequestDesk::Choice
-RequestDesk::ChooseServer(Instant aNow, PendingRequest& aPending, ServerCandidate& aChosen)
+GatewayRouter::Choice
+GatewayRouter::ChooseServer(Instant aNow, PendingRequest& aPending, ServerCandidate& aChosen)
 {
   return aPending.service_->isKeyed_ ? ChooseOwner(aNow, aPending, aChosen)
                                      : ChooseAny(aNow, aPending, aChosen);
 }
 
 bool
-RequestDesk::IsMoving(Instant aNow, const std::string& aService, const KeyRange& aRange) const
+GatewayRouter::IsInHandover(Instant aNow, const std::string& aService, const KeyRange& aRange) const
 {
-  if (aRange.previous_.empty() || !isNewsStale_) {
+  if (aRange.previous_.empty() || !areUpdatesStale_) {
     return !aRange.previous_.empty();
   }
   const auto since = movingSince_.find({ aService, aRange.fence_ });
-  return since == movingSince_.end() || aNow - since->second < kMoveTime;
+  return since == movingSince_.end() || aNow - since->second < kStaleMoveTimeout;
 }
 
-RequestDesk::Choice
-RequestDesk::ChooseOwner(Instant aNow, PendingRequest& aPending, ServerCandidate& aChosen)
+GatewayRouter::Choice
+GatewayRouter::ChooseOwner(Instant aNow, PendingRequest& aPending, ServerCandidate& aChosen)
 {
   aPending.owner_.clear();
   const auto ownership = ownership_.find(aPending.service_->name_);
@@ -294,20 +296,20 @@
     return Choice::NoOwner;
   }
   const auto* range = ownership->second.Find(*aPending.request_.key_);
-  if (range == nullptr || IsMoving(aNow, aPending.service_->name_, *range)) {
+  if (range == nullptr || IsInHandover(aNow, aPending.service_->name_, *range)) {
     return Choice::NoOwner;
   }
   const auto* record = directory_.Find(range->owner_);
-  if (record == nullptr || !record->TakesWork()) {
+  if (record == nullptr || !record->AcceptsWork()) {
     return Choice::NoOwner;
   }
   aPending.owner_ = range->owner_;
   aChosen = { record, &LoadOf(*record, *aPending.service_) };
-  return aChosen.load_->HasRoom(aNow) ? Choice::Found : Choice::NoCapacity;
+  return aChosen.load_->HasCapacity(aNow) ? Choice::Found : Choice::NoCapacity;
 }
 
-RequestDesk::Choice
-RequestDesk::ChooseAny(Instant aNow, const PendingRequest& aPending, ServerCandidate& aChosen)
+GatewayRouter::Choice
+GatewayRouter::ChooseAny(Instant aNow, const PendingRequest& aPending, ServerCandidate& aChosen)
 {
   const auto& servers = StateOf(aPending.service_->name_).servers_;
   const auto available = AvailableServers(aNow, servers, aPending.tried_);
@@ -323,19 +325,19 @@
                });
   const auto typical = TypicalLatency(servers);
   std::optional<ServerCandidate> chosen;
-  DrawBetter(aNow, connected, typical, chosen);
-  DrawBetter(aNow, available, typical, chosen);
+  SampleTwoChoices(aNow, connected, typical, chosen);
+  SampleTwoChoices(aNow, available, typical, chosen);
   aChosen = *chosen;
   return Choice::Found;
 }
 
-// Drawn, since instances that do not see each other's load would all run to the one
-// best server.
+// The choice is random because instances that do not see each other's load would otherwise all
+// choose the same best server.
 void
-RequestDesk::DrawBetter(Instant aNow,
-                        const std::vector<ServerCandidate>& aServers,
-                        Duration aDefault,
-                        std::optional<ServerCandidate>& aChosen)
+GatewayRouter::SampleTwoChoices(Instant aNow,
+                                const std::vector<ServerCandidate>& aServers,
+                                Duration aDefault,
+                                std::optional<ServerCandidate>& aChosen)
 {
   constexpr int kDraws = 2;
   if (aServers.empty()) {
@@ -351,15 +353,15 @@
 }
 
 double
-RequestDesk::CostOf(Instant aNow, const ServerCandidate& aCandidate, Duration aDefault) const
+GatewayRouter::CostOf(Instant aNow, const ServerCandidate& aCandidate, Duration aDefault) const
 {
   const auto& load = *aCandidate.load_;
   const auto latency = static_cast<double>(load.ExpectedLatency(aNow, aDefault).count());
-  const auto underWay = static_cast<double>(load.UnderWay() + 1);
-  const auto hall = aCandidate.record_->hall_ == settings_.hall_ ? 1.0 : kOtherHallCost;
+  const auto underWay = static_cast<double>(load.InFlight() + 1);
+  const auto hall = aCandidate.record_->hall_ == settings_.hall_ ? 1.0 : kOtherHallCostFactor;
   const auto connection =
-    actions_.HasConnection(aCandidate.record_->address_) ? 1.0 : kNewConnectionCost;
-  return latency * underWay * hall * connection * (1 + kFailureCost * load.FailureShare());
+    actions_.HasConnection(aCandidate.record_->address_) ? 1.0 : kNewConnectionCostFactor;
+  return latency * underWay * hall * connection * (1 + kFailureCostWeight * load.FailureShare());
 }
 
 } // namespace latchslip
--- a/Libraries/LibGateway/ServiceState.cpp
+++ b/Libraries/LibGateway/ServiceState.cpp
@@ -4,8 +4,8 @@
 
 namespace {
 
-// What is expected of a service that was never called.
-constexpr Duration kUnknownLatency = milliseconds(50);
+// Assumed latency of a service without any answer yet.
+constexpr Duration kAssumedLatency = milliseconds(50);
 
 } // namespace
 
@@ -16,12 +16,12 @@
   Duration::rep count = 0;
   for (const auto& server : aServers) {
     const auto latency = server.load_->MeanLatency();
-    if (server.record_->TakesWork() && latency > Duration(0)) {
+    if (server.record_->AcceptsWork() && latency > Duration(0)) {
       sum += latency;
       ++count;
     }
   }
-  return count == 0 ? kUnknownLatency : Duration(sum / count);
+  return count == 0 ? kAssumedLatency : Duration(sum / count);
 }
 
 } // namespace latchslip
--- a/Libraries/LibGateway/ServiceState.h
+++ b/Libraries/LibGateway/ServiceState.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "LibGateway/Messages.h"
-#include "LibGateway/QueuePlace.h"
+#include "LibGateway/QueuePosition.h"
 #include "LibGateway/RetryBudget.h"
 #include "LibGateway/ServerDirectory.h"
 #include "LibGateway/ServerLoad.h"
@@ -12,28 +12,28 @@
 
 namespace latchslip {
 
-// A server that may get a request, and what this instance has seen of it.
+// A server that may get a request, with its load as this instance sees it.
 struct ServerCandidate
 {
   const ServerRecord* record_;
   ServerLoad* load_;
 };
 
-// What one instance knows of a service that it routes to.
+// One instance's state of a service that it routes to.
 struct ServiceState
 {
-  explicit ServiceState(RetryBudgetTerms aTerms)
-    : budget_(aTerms)
+  explicit ServiceState(RetryBudgetParameters aParameters)
+    : budget_(aParameters)
   {
   }
 
   std::vector<ServerCandidate> servers_;
   RetryBudget budget_;
   // The requests that wait to be sent.
-  std::set<QueuePlace<RequestNumber>> queue_;
+  std::set<QueuePosition<RequestNumber>> queue_;
 };
 
-// What is expected of a server that has not answered yet: the mean of the others.
+// Expected latency of a server that has not answered yet: the mean over the other servers.
 Duration
 TypicalLatency(const std::vector<ServerCandidate>& aServers);
 
--- a/Libraries/LibNet/PermitCodec.cpp
+++ b/Libraries/LibNet/PermitCodec.cpp
@@ -63,7 +63,7 @@
     out.setRunning(aEnd.status_->running_);
     out.setWaiting(aEnd.status_->waiting_);
     out.setSlots(aEnd.status_->slots_);
-    out.setPace(aEnd.status_->pace_);
+    out.setPace(aEnd.status_->slowdown_);
   }
 }
 
@@ -138,7 +138,7 @@
   end.number_ = aIn.getNumber();
   end.result_ = static_cast<SendResult>(aIn.getResult());
   end.latency_ = Duration(aIn.getLatencyMicros());
-  end.rest_ = Duration(aIn.getRestMicros());
+  end.backoff_ = Duration(aIn.getRestMicros());
   if (aIn.getIsLeaving()) {
     end.leavingIncarnation_ = aIn.getLife();
   }
--- a/Libraries/LibPermit/DispatchedServer.cpp
+++ b/Libraries/LibPermit/DispatchedServer.cpp
@@ -88,7 +88,7 @@
     StartBackoff(aNow, aCaller, aEnd.rest_);
   }
   if (aEnd.rateLimit_) {
-    rateLimit_.OnTold(aNow, aSentAt, *aEnd.rateLimit_, 1);
+    rateLimit_.OnAdvertised(aNow, aSentAt, *aEnd.rateLimit_, 1);
   }
   UpdateEstimates(aNow, aInFlightAtStart, aEnd);
 }
--- a/Libraries/LibPermit/PermitClient.cpp
+++ b/Libraries/LibPermit/PermitClient.cpp
@@ -237,7 +237,7 @@
 }
 
 void
-PermitClient::OnUnanswered(Instant aNow, const std::string& aService)
+PermitClient::OnPermitTimeout(Instant aNow, const std::string& aService)
 {
   const auto dispatcher = dispatchers_.find(aService);
   if (dispatcher != dispatchers_.end() && IsUp(dispatcher->second)) {
--- a/Libraries/LibPermit/PermitDispatcher.h
+++ b/Libraries/LibPermit/PermitDispatcher.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "LibGateway/QueuePlace.h"
+#include "LibGateway/QueuePosition.h"
 #include "LibGateway/RoutingTable.h"
 #include "LibPermit/DispatchedServer.h"
 #include "LibPermit/LateWaitBound.h"
--- a/Tests/LibFleet/FleetMemberFixture.h
+++ b/Tests/LibFleet/FleetMemberFixture.h
@@ -89,7 +89,7 @@
   void ReadConfigurationVersion() override { ++configurationReads_; }
   void SendUsage(const std::string& aAddress, const UseReport& aReport) override
   {
-    uses_.emplace_back(aAddress, aReport);
+    usages_.emplace_back(aAddress, aReport);
   }
   void OnApiKeysProven(Instant aUntil) override { apiKeysUntil_ = aUntil; }
   void OnRoutes(std::shared_ptr<const RouteTable> aRoutes) override
@@ -116,7 +116,7 @@
   std::vector<std::pair<std::string, FleetUpdate>> updates_;
   std::vector<std::string> fetches_;
   int configurationReads_ = 0;
-  std::vector<std::pair<std::string, UseReport>> uses_;
+  std::vector<std::pair<std::string, UsageReport>> usages_;
   std::optional<Instant> apiKeysUntil_;
   std::vector<std::uint64_t> versions_;
   int directoryChanges_ = 0;
--- a/Tests/LibGateway/RecordedActions.h
+++ b/Tests/LibGateway/RecordingActions.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "../SilentEvents.h"
-#include "LibGateway/RequestDesk.h"
+#include "LibGateway/GatewayRouter.h"
 
 #include <map>
 #include <set>
@@ -11,11 +11,11 @@
 
 namespace latchslip {
 
-// Writes down what the desk decides.
-class RecordedActions : public RequestActions
+// Records the actions of a router.
+class RecordingActions : public RequestActions
 {
 public:
-  void Send(const AttemptOrder& aOrder) override { sent_.push_back(aOrder); }
+  void Send(const AttemptCommand& aCommand) override { sent_.push_back(aCommand); }
   void Cancel(AttemptNumber aAttempt) override { cancelled_.push_back(aAttempt); }
   void Deliver(RequestNumber aRequest, AttemptNumber) override { delivered_.push_back(aRequest); }
   void Refuse(RequestNumber aRequest, const Refusal& aRefusal) override
@@ -26,25 +26,25 @@
   {
     return connected_.contains(aAddress);
   }
-  void NoteLeaving(const std::string& aServer, std::uint64_t aIncarnation) override
+  void RecordLeaving(const std::string& aServer, std::uint64_t aLife) override
   {
     leaving_.emplace(aServer, aIncarnation);
   }
   void CountKey(const std::string& aService, KeyNumber aKey) override
   {
-    ++wanted_[{ aService, aKey }];
+    ++keyCounts_[{ aService, aKey }];
   }
 
-  std::vector<AttemptOrder> sent_;
+  std::vector<AttemptCommand> sent_;
   std::vector<AttemptNumber> cancelled_;
   std::vector<RequestNumber> delivered_;
   std::map<RequestNumber, Refusal> refused_;
-  // The addresses to which a connection lies idle.
+  // Addresses to which an idle connection exists.
   std::set<std::string> connected_;
-  // The servers that told that they are about to end, each with its life.
+  // The servers that announced that they are shutting down, each with its incarnation.
   std::set<std::pair<std::string, std::uint64_t>> leaving_;
-  // How often each key was asked for.
-  std::map<std::pair<std::string, KeyNumber>, int> wanted_;
+  // How often each key was requested.
+  std::map<std::pair<std::string, KeyNumber>, int> keyCounts_;
 };
 
 } // namespace latchslip
--- a/Tests/LibGateway/TestRequestDesk.cpp
+++ b/Tests/LibGateway/TestGatewayRouter.cpp
@@ -1,6 +1,6 @@
 #include "../CountedEvents.h"
-#include "LibGateway/RequestDesk.h"
-#include "RecordedActions.h"
+#include "LibGateway/GatewayRouter.h"
+#include "RecordingActions.h"
 
 #include <gtest/gtest.h>
 #include <set>
@@ -9,12 +9,12 @@
 
 namespace {
 
-// Routes "/read/" (repeatable, urgent last), "/write/" (not repeatable), both to
-// "plain"; "/key/" to the keyed service; "/split/" to two services.
-class DeskOfThreeServers : public testing::Test
+// Routes "/read/" (repeatable, lowest priority) and "/write/" (not repeatable), both to "plain";
+// "/key/" to the keyed service; "/split/" to two services.
+class RouterOfThreeServers : public testing::Test
 {
 protected:
-  DeskOfThreeServers()
+  RouterOfThreeServers()
   {
     for (const auto* id : { "p1", "p2", "p3" }) {
       PutServer(id, "plain");
@@ -32,13 +32,14 @@
                               MakeRoute("/write/", false, 0, { { "plain", 1 } }),
                               MakeRoute("/key/", true, 1, { { "keyed", 1 } }),
                               MakeRoute("/split/", true, 1, { { "plain", 90 }, { "other", 10 } }) };
-    desk_.SetInstances(1);
-    desk_.SetRoutes(now_,
-                    std::make_shared<const RouteTable>(RouteTable::Create(configuration).value()));
-    desk_.SetOwnership(now_, { "keyed", 2, { { 0, 99, "k1", 1, "" }, { 100, 199, "k2", 2, "" } } });
-    // Earn some retries.
+    router_.SetInstances(1);
+    router_.SetRoutes(
+      now_, std::make_shared<const RouteTable>(RouteTable::Create(configuration).value()));
+    router_.SetOwnership(now_,
+                         { "keyed", 2, { { 0, 99, "k1", 1, "" }, { 100, 199, "k2", 2, "" } } });
+    // Earns some retry budget.
     for (int index = 0; index < 100; ++index) {
-      const auto number = Ask("/read/warm");
+      const auto number = SendRequest("/read/warm");
       Answer(number, 200);
     }
     actions_ = {};
@@ -56,7 +57,7 @@
     route.priority_ = aPriority;
     route.latencyTarget_ = milliseconds(200);
     route.timeLimit_ = milliseconds(500);
-    route.mostAttempts_ = 2;
+    route.maxAttempts_ = 2;
     route.targets_ = std::move(aTargets);
     return route;
   }
@@ -66,9 +67,9 @@
     directory_.Put(now_, { aId, aService, aId + ":80", "hall", 4, aIsLeaving, ++revision_ });
   }
 
-  RequestNumber Ask(const std::string& aPath,
-                    std::optional<KeyNumber> aKey = std::nullopt,
-                    Duration aTimeLeft = milliseconds(400))
+  RequestNumber SendRequest(const std::string& aPath,
+                            std::optional<KeyNumber> aKey = std::nullopt,
+                            Duration aTimeLeft = milliseconds(400))
   {
     RoutedRequest request;
     request.number_ = ++lastRequest_;
@@ -76,25 +77,25 @@
     request.path_ = aPath;
     request.key_ = aKey;
     request.timeLeft_ = aTimeLeft;
-    desk_.OnRequest(now_, std::move(request));
+    router_.OnRequest(now_, std::move(request));
     return lastRequest_;
   }
 
   // The last send of a request.
-  const AttemptOrder& SendOf(RequestNumber aRequest) const
+  const AttemptCommand& SendOf(RequestNumber aRequest) const
   {
     const auto send =
-      std::find_if(actions_.sent_.rbegin(), actions_.sent_.rend(), [&](const AttemptOrder& aOrder) {
-        return aOrder.request_ == aRequest;
-      });
+      std::find_if(actions_.sent_.rbegin(),
+                   actions_.sent_.rend(),
+                   [&](const AttemptCommand& aCommand) { return aCommand.request_ == aRequest; });
     return *send;
   }
 
   std::size_t SendsOf(RequestNumber aRequest) const
   {
-    return static_cast<std::size_t>(
-      std::count_if(actions_.sent_.begin(), actions_.sent_.end(), [&](const AttemptOrder& aOrder) {
-        return aOrder.request_ == aRequest;
+    return static_cast<std::size_t>(std::count_if(
+      actions_.sent_.begin(), actions_.sent_.end(), [&](const AttemptCommand& aCommand) {
+        return aCommand.request_ == aRequest;
       }));
   }
 
@@ -103,24 +104,24 @@
            unsigned aStatus = 0,
            bool aIsOtherIncarnation = false)
   {
-    desk_.OnAttemptEnded(
-      now_, SendOf(aRequest).number_, { aEnd, aStatus, aIsOtherIncarnation, std::nullopt });
+    router_.OnAttemptEnded(
+      now_, SendOf(aRequest).number_, { aEnd, aStatus, aIsOtherLife, std::nullopt });
   }
 
-  // The server turns the request away and asks for rest.
-  void TurnAway(RequestNumber aRequest, Duration aRest)
+  // The server refuses the request and requests a backoff.
+  void RefuseWithBackoff(RequestNumber aRequest, Duration aBackoff)
   {
     auto outcome = OutcomeOf(AttemptEnd::NotRun, 503);
-    outcome.rest_ = aRest;
-    desk_.OnAttemptEnded(now_, SendOf(aRequest).number_, outcome);
+    outcome.backoff_ = aBackoff;
+    router_.OnAttemptEnded(now_, SendOf(aRequest).number_, outcome);
   }
 
-  // Answers, and names how many requests a second the server takes.
+  // Answers, and advertises the server's rate limit in requests per second.
   void AnswerWithLimit(RequestNumber aRequest, double aRateLimit)
   {
     auto outcome = OutcomeOf(AttemptEnd::Answered, 200);
     outcome.rateLimit_ = aRateLimit;
-    desk_.OnAttemptEnded(now_, SendOf(aRequest).number_, outcome);
+    router_.OnAttemptEnded(now_, SendOf(aRequest).number_, outcome);
   }
 
   static AttemptOutcome OutcomeOf(AttemptEnd aEnd, unsigned aStatus)
@@ -139,9 +140,9 @@
   void Pass(Duration aTime)
   {
     const auto end = now_ + aTime;
-    while (desk_.NextTime() && *desk_.NextTime() <= end) {
-      now_ = std::max(now_, *desk_.NextTime());
-      desk_.OnTime(now_);
+    while (router_.NextTime() && *router_.NextTime() <= end) {
+      now_ = std::max(now_, *router_.NextTime());
+      router_.OnTime(now_);
     }
     now_ = end;
   }
@@ -156,32 +157,32 @@
   std::uint64_t revision_ = 0;
   RequestNumber lastRequest_ = 0;
   CountedEvents events_;
-  RecordedActions actions_;
+  RecordingActions actions_;
   ServerDirectory directory_;
-  NoPermits permits_;
-  RequestDesk desk_{ { "hall", { 0.2, 0, seconds(10) }, 1 },
-                     directory_,
-                     actions_,
-                     permits_,
-                     events_ };
+  NullPermitSource permits_;
+  GatewayRouter router_{ { "hall", { 0.2, 0, seconds(10) }, 1 },
+                         directory_,
+                         actions_,
+                         permits_,
+                         events_ };
 };
 
-TEST_F(DeskOfThreeServers, KeyWithoutOwnerOrWithAFullOne_EachRequestCountsOnce)
+TEST_F(RouterOfThreeServers, KeyHasNoOwnerOrAFullOne_EachRequestIsCountedOnce)
 {
-  Ask("/key/x", 500);
+  SendRequest("/key/x", 500);
   for (int index = 0; index < 40; ++index) {
-    Ask("/key/x", 50);
+    SendRequest("/key/x", 50);
   }
   ASSERT_LT(actions_.sent_.size(), 40U);
-  EXPECT_EQ((actions_.wanted_[{ "keyed", 500 }]), 1);
-  EXPECT_EQ((actions_.wanted_[{ "keyed", 50 }]), 40);
-  Ask("/read/x", 50);
-  EXPECT_EQ(actions_.wanted_.size(), 2U);
+  EXPECT_EQ((actions_.keyCounts_[{ "keyed", 500 }]), 1);
+  EXPECT_EQ((actions_.keyCounts_[{ "keyed", 50 }]), 40);
+  SendRequest("/read/x", 50);
+  EXPECT_EQ(actions_.keyCounts_.size(), 2U);
 }
 
-TEST_F(DeskOfThreeServers, RequestArrives_IsSentOnceWithTheTimeThatIsLeft)
+TEST_F(RouterOfThreeServers, RequestArrives_IsSentOnceWithTheTimeThatIsLeft)
 {
-  const auto request = Ask("/read/1");
+  const auto request = SendRequest("/read/1");
   ASSERT_EQ(SendsOf(request), 1U);
   EXPECT_LE(SendOf(request).timeLeft_, milliseconds(400));
   EXPECT_GT(SendOf(request).timeLeft_, milliseconds(380));
@@ -189,85 +190,85 @@
   EXPECT_EQ(actions_.delivered_, std::vector<RequestNumber>{ request });
 }
 
-TEST_F(DeskOfThreeServers, ConnectionToOneLiesIdle_ItGetsTheRequestUnlessItIsBusy)
+TEST_F(RouterOfThreeServers, OneServerHasAnIdleConnection_IsPreferredUnlessBusy)
 {
   int elsewhere = 0;
   for (int index = 0; index < 20; ++index) {
     actions_.connected_ = { "p2:80" };
-    const auto first = Ask("/read/x");
+    const auto first = SendRequest("/read/x");
     EXPECT_EQ(SendOf(first).server_, "p2");
-    // Its connection is in use now, and one more request would be its second.
+    // Its connection is in use now, and one more request would need a second one.
     actions_.connected_.clear();
-    const auto second = Ask("/read/x");
+    const auto second = SendRequest("/read/x");
     elsewhere += SendOf(second).server_ == "p2" ? 0 : 1;
     Answer(first, 200);
     Answer(second, 200);
   }
-  // The better of two drawn: one in nine times both are the busy one.
+  // The better of two drawn servers is used: one in nine times both draws are the busy one.
   EXPECT_GE(elsewhere, 14);
 }
 
-TEST_F(DeskOfThreeServers, RequestsEnd_AreCountedByRouteAndServer)
+TEST_F(RouterOfThreeServers, RequestsEnd_AreCountedByRouteAndServer)
 {
-  const auto answered = Ask("/read/x");
+  const auto answered = SendRequest("/read/x");
   const auto server = SendOf(answered).server_;
-  const auto before = desk_.Tally().Servers().at(server).front();
+  const auto before = router_.Statistics().Servers().at(server).front();
   Answer(answered, 200);
-  Ask("/nowhere");
-  const auto& routes = desk_.Tally().Routes();
+  SendRequest("/nowhere");
+  const auto& routes = router_.Statistics().Routes();
   EXPECT_EQ(routes.at("a.example/read/").answers_.at(200), 101U);
   EXPECT_EQ(routes.at("-").refusals_.at(static_cast<std::size_t>(RefusalReason::NoRoute)), 1U);
-  EXPECT_EQ(desk_.Tally().Servers().at(server).front(), before + 1);
+  EXPECT_EQ(router_.Statistics().Servers().at(server).front(), before + 1);
   directory_.Remove(now_, server);
   now_ += seconds(30);
   directory_.Expire(now_);
-  desk_.OnDirectoryChanged(now_);
-  EXPECT_FALSE(desk_.Tally().Servers().contains(server));
+  router_.OnDirectoryChanged(now_);
+  EXPECT_FALSE(router_.Statistics().Servers().contains(server));
 }
 
-TEST_F(DeskOfThreeServers, RequestComesBeforeAConfiguration_WaitsForItForAMoment)
+TEST_F(RouterOfThreeServers, RequestArrivesBeforeAConfiguration_WaitsBriefly)
 {
-  RequestDesk desk({ "hall", {}, 1 }, directory_, actions_, permits_, events_);
-  const auto ask = [&](RequestNumber aNumber) {
+  GatewayRouter router({ "hall", {}, 1 }, directory_, actions_, permits_, events_);
+  const auto send = [&](RequestNumber aNumber) {
     RoutedRequest request;
     request.number_ = aNumber;
     request.host_ = "a.example";
     request.path_ = "/read/x";
     request.timeLeft_ = milliseconds(1000);
-    desk.OnRequest(now_, std::move(request));
+    router.OnRequest(now_, std::move(request));
   };
-  ask(7001);
+  send(7001);
   EXPECT_TRUE(actions_.refused_.empty());
   now_ += milliseconds(80);
-  desk.OnTime(now_);
+  router.OnTime(now_);
   ASSERT_TRUE(actions_.refused_.contains(7001));
   EXPECT_EQ(actions_.refused_[7001].reason_, RefusalReason::NoConfiguration);
   EXPECT_TRUE(actions_.refused_[7001].isNotRun_);
-  ask(7002);
-  ask(7003);
-  desk.OnClientGone(now_, 7003);
+  send(7002);
+  send(7003);
+  router.OnClientGone(now_, 7003);
   now_ += milliseconds(50);
   RoutingConfiguration configuration;
   configuration.version_ = 1;
   configuration.services_ = { { "plain", 100, false } };
   configuration.routes_ = { MakeRoute("/read/", true, 2, { { "plain", 1 } }) };
-  desk.SetRoutes(now_,
-                 std::make_shared<const RouteTable>(RouteTable::Create(configuration).value()));
+  router.SetRoutes(now_,
+                   std::make_shared<const RouteTable>(RouteTable::Create(configuration).value()));
   EXPECT_EQ(SendsOf(7002), 1U);
   EXPECT_EQ(SendsOf(7003), 0U);
 }
 
-TEST_F(DeskOfThreeServers, OwnersAreNotKnownYet_WaitsForThemOnlyAfterAStart)
+TEST_F(RouterOfThreeServers, OwnersAreUnknown_WaitsForThemOnlyAfterAStart)
 {
-  RequestDesk desk({ "hall", {}, 1 }, directory_, actions_, permits_, events_);
+  GatewayRouter router({ "hall", {}, 1 }, directory_, actions_, permits_, events_);
   RoutingConfiguration configuration;
   configuration.version_ = 1;
   configuration.services_ = { { "keyed", 100, true } };
   configuration.routes_ = { MakeRoute("/key/", true, 1, { { "keyed", 1 } }) };
   configuration.routes_.front().latencyTarget_ = milliseconds(400);
-  desk.SetRoutes(now_,
-                 std::make_shared<const RouteTable>(RouteTable::Create(configuration).value()));
-  const auto ask = [&](RequestDesk& aDesk, RequestNumber aNumber) {
+  router.SetRoutes(now_,
+                   std::make_shared<const RouteTable>(RouteTable::Create(configuration).value()));
+  const auto send = [&](GatewayRouter& aDesk, RequestNumber aNumber) {
     RoutedRequest request;
     request.number_ = aNumber;
     request.host_ = "a.example";
@@ -276,61 +277,61 @@
     request.timeLeft_ = milliseconds(1000);
     aDesk.OnRequest(now_, std::move(request));
   };
-  ask(desk, 7001);
+  send(router, 7001);
   now_ += milliseconds(50);
-  desk.OnTime(now_);
+  router.OnTime(now_);
   EXPECT_TRUE(actions_.refused_.empty());
-  desk.SetOwnership(now_, { "keyed", 1, { { 0, 99, "k1", 1, "" } } });
+  router.SetOwnership(now_, { "keyed", 1, { { 0, 99, "k1", 1, "" } } });
   EXPECT_EQ(SendsOf(7001), 1U);
-  RequestDesk another({ "hall", {}, 1 }, directory_, actions_, permits_, events_);
+  GatewayRouter another({ "hall", {}, 1 }, directory_, actions_, permits_, events_);
   another.SetRoutes(now_,
                     std::make_shared<const RouteTable>(RouteTable::Create(configuration).value()));
   now_ += seconds(1);
-  ask(another, 7002);
+  send(another, 7002);
   EXPECT_TRUE(IsRefused(7002, RefusalReason::NoOwner));
 }
 
-TEST_F(DeskOfThreeServers, NoRouteMatches_IsRefusedAtOnce)
+TEST_F(RouterOfThreeServers, NoRouteMatches_IsRefusedAtOnce)
 {
-  EXPECT_TRUE(IsRefused(Ask("/nowhere/"), RefusalReason::NoRoute));
+  EXPECT_TRUE(IsRefused(SendRequest("/nowhere/"), RefusalReason::NoRoute));
 }
 
-TEST_F(DeskOfThreeServers, RepeatableBreaks_IsTriedAtAnotherServer)
+TEST_F(RouterOfThreeServers, RepeatableBreaks_IsTriedAtAnotherServer)
 {
-  const auto request = Ask("/read/1");
+  const auto request = SendRequest("/read/1");
   const auto first = SendOf(request).server_;
   End(request, AttemptEnd::Broken);
   ASSERT_EQ(SendsOf(request), 2U);
   EXPECT_NE(SendOf(request).server_, first);
 }
 
-TEST_F(DeskOfThreeServers, NotRepeatableBreaks_IsNeverSentAgainAndSaidToBeUnknown)
+TEST_F(RouterOfThreeServers, NotRepeatableBreaks_IsNotRetriedAndItsOutcomeIsUnknown)
 {
-  const auto request = Ask("/write/1");
+  const auto request = SendRequest("/write/1");
   End(request, AttemptEnd::Broken);
   EXPECT_EQ(SendsOf(request), 1U);
   ASSERT_TRUE(IsRefused(request, RefusalReason::OutcomeUnknown));
   EXPECT_FALSE(actions_.refused_[request].isNotRun_);
 }
 
-TEST_F(DeskOfThreeServers, NotRepeatableIsShed_IsTriedElsewhere)
+TEST_F(RouterOfThreeServers, NotRepeatableIsShed_IsTriedElsewhere)
 {
-  const auto request = Ask("/write/1");
+  const auto request = SendRequest("/write/1");
   End(request, AttemptEnd::NotRun, 503);
   EXPECT_EQ(SendsOf(request), 2U);
 }
 
-TEST_F(DeskOfThreeServers, NotRepeatableFailsWithAServerError_ItsAnswerIsDelivered)
+TEST_F(RouterOfThreeServers, NotRepeatableFailsWithAServerError_ItsAnswerIsDelivered)
 {
-  const auto request = Ask("/write/1");
+  const auto request = SendRequest("/write/1");
   Answer(request, 500);
   EXPECT_EQ(SendsOf(request), 1U);
   EXPECT_EQ(actions_.delivered_, std::vector<RequestNumber>{ request });
 }
 
-TEST_F(DeskOfThreeServers, RepeatableFailsEverywhere_StopsAtItsAttemptsAndDeliversTheLast)
+TEST_F(RouterOfThreeServers, RepeatableFailsEverywhere_StopsAtMaxAttemptsAndDeliversTheLastAnswer)
 {
-  const auto request = Ask("/read/1");
+  const auto request = SendRequest("/read/1");
   Answer(request, 500);
   ASSERT_EQ(SendsOf(request), 2U);
   Answer(request, 500);
@@ -338,11 +339,11 @@
   EXPECT_EQ(actions_.delivered_, std::vector<RequestNumber>{ request });
 }
 
-TEST_F(DeskOfThreeServers, ShedEverywhere_IsRefusedAsNotRunWithATimeToComeBack)
+TEST_F(RouterOfThreeServers, ShedEverywhere_IsRefusedAsNotRunWithARetryDelay)
 {
-  const auto request = Ask("/write/1");
+  const auto request = SendRequest("/write/1");
   while (actions_.refused_.empty()) {
-    if (desk_.Waiting() == 0) {
+    if (router_.Waiting() == 0) {
       End(request, AttemptEnd::NotRun, 503);
     }
     Pass(milliseconds(10));
@@ -353,13 +354,13 @@
   EXPECT_LE(refusal.retryAfter_, milliseconds(400) / 3);
 }
 
-// Of the target of 200 ms the answer itself takes 50, as long as none was seen.
-TEST_F(DeskOfThreeServers, AllServersFull_WaitsWhileAnAnswerMayBeInTimeAndIsRefusedThen)
+// Of the target of 200 ms the answer itself is assumed to take 50, as long as no answer was seen.
+TEST_F(RouterOfThreeServers, AllServersFull_WaitsWhileAnAnswerMayBeInTimeAndIsRefusedThen)
 {
-  while (desk_.Waiting() == 0) {
-    Ask("/read/fill");
+  while (router_.Waiting() == 0) {
+    SendRequest("/read/fill");
   }
-  const auto request = Ask("/write/1");
+  const auto request = SendRequest("/write/1");
   Pass(milliseconds(149));
   EXPECT_TRUE(actions_.refused_.empty());
   Pass(milliseconds(2));
@@ -367,18 +368,18 @@
   EXPECT_EQ(SendsOf(request), 0U);
 }
 
-TEST_F(DeskOfThreeServers, TurnWouldComeTooLate_IsRefusedAtOnceWithTheTimeThatItTakes)
+TEST_F(RouterOfThreeServers, QueueTimeIsTooLong_IsRefusedAtOnceWithARetryDelay)
 {
   // Answers of 150 ms leave 50 ms to wait.
   for (int index = 0; index < 60; ++index) {
-    const auto request = Ask("/key/x", 5);
+    const auto request = SendRequest("/key/x", 5);
     now_ += milliseconds(150);
     Answer(request, 200);
   }
-  while (desk_.Waiting() == 0 && actions_.refused_.empty()) {
-    Ask("/key/fill", 5);
+  while (router_.Waiting() == 0 && actions_.refused_.empty()) {
+    SendRequest("/key/fill", 5);
   }
-  const auto request = Ask("/key/x", 5);
+  const auto request = SendRequest("/key/x", 5);
   ASSERT_TRUE(IsRefused(request, RefusalReason::NoCapacity));
   EXPECT_EQ(SendsOf(request), 0U);
   EXPECT_TRUE(actions_.refused_[request].isNotRun_);
@@ -386,202 +387,203 @@
   EXPECT_LE(actions_.refused_[request].retryAfter_, milliseconds(400) / 3);
 }
 
-TEST_F(DeskOfThreeServers, ManyAreRefusedTogether_TheyComeBackAtDifferentTimes)
+TEST_F(RouterOfThreeServers, ManyAreRefusedTogether_RetryDelaysHaveJitter)
 {
-  desk_.SetOwnership(now_, { "keyed", 3, { { 0, 99, "k2", 3, "k1" } } });
+  router_.SetOwnership(now_, { "keyed", 3, { { 0, 99, "k2", 3, "k1" } } });
   std::set<Duration> times;
   for (int index = 0; index < 20; ++index) {
-    const auto request = Ask("/key/x", 5, seconds(4));
+    const auto request = SendRequest("/key/x", 5, seconds(4));
     times.insert(actions_.refused_.at(request).retryAfter_);
   }
   EXPECT_GT(times.size(), 10U);
 }
 
-// Most have 400 ms left when they come, so one with 150 has been trying for longer than
-// its target. It leaves half of the places to others, and waits for no more than a moment.
-TEST_F(DeskOfThreeServers, CallerTriedLongBefore_YieldsToThoseWhoMayBeInTime)
+// Most requests arrive with 400 ms left, so one with 150 ms was first tried longer ago than its
+// latency target. It leaves half of the capacity to others, and waits only for a moment.
+TEST_F(RouterOfThreeServers, RequestIsALateRetry_YieldsToRequestsThatCanBeInTime)
 {
   std::size_t places = 0;
-  while (SendsOf(Ask("/key/x", 5)) == 1) {
+  while (SendsOf(SendRequest("/key/x", 5)) == 1) {
     ++places;
   }
   ASSERT_GE(places, 4U);
-  const auto late = Ask("/key/x", 105, milliseconds(150));
+  const auto late = SendRequest("/key/x", 105, milliseconds(150));
   EXPECT_EQ(SendsOf(late), 1U);
   for (std::size_t count = 1; count < places / 2; ++count) {
-    Ask("/key/x", 105);
+    SendRequest("/key/x", 105);
   }
-  const auto yielding = Ask("/key/x", 105, milliseconds(150));
+  const auto yielding = SendRequest("/key/x", 105, milliseconds(150));
   EXPECT_EQ(SendsOf(yielding), 0U);
-  EXPECT_EQ(SendsOf(Ask("/key/x", 105)), 1U);
+  EXPECT_EQ(SendsOf(SendRequest("/key/x", 105)), 1U);
   Pass(milliseconds(51));
   EXPECT_TRUE(IsRefused(yielding, RefusalReason::NoCapacity));
 }
 
-TEST_F(DeskOfThreeServers, RoomComesWhileSomeWait_MostUrgentGoesFirst)
+TEST_F(RouterOfThreeServers, CapacityIsFreedWhileSomeWait_MostUrgentIsSentFirst)
 {
   std::vector<RequestNumber> running;
-  while (desk_.Waiting() == 0) {
-    running.push_back(Ask("/read/fill"));
+  while (router_.Waiting() == 0) {
+    running.push_back(SendRequest("/read/fill"));
   }
   const auto lastWaiting = running.back();
-  const auto urgent = Ask("/write/1");
+  const auto urgent = SendRequest("/write/1");
   Answer(running.front(), 200);
   EXPECT_EQ(SendsOf(urgent), 1U);
   EXPECT_EQ(SendsOf(lastWaiting), 0U);
 }
 
-TEST_F(DeskOfThreeServers, ServerIsLeaving_GetsNothingNew)
+TEST_F(RouterOfThreeServers, ServerIsLeaving_GetsNothingNew)
 {
   PutServer("p1", "plain", true);
   PutServer("p2", "plain", true);
-  desk_.OnDirectoryChanged(now_);
+  router_.OnDirectoryChanged(now_);
   for (int index = 0; index < 4; ++index) {
-    EXPECT_EQ(SendOf(Ask("/read/1")).server_, "p3");
+    EXPECT_EQ(SendOf(SendRequest("/read/1")).server_, "p3");
   }
 }
 
-TEST_F(DeskOfThreeServers, ServerLeavesWhileARequestWaits_ItIsNotSentThere)
+TEST_F(RouterOfThreeServers, ServerLeavesWhileARequestWaits_ItIsNotSentThere)
 {
   std::vector<RequestNumber> running;
-  while (desk_.Waiting() == 0) {
-    running.push_back(Ask("/read/fill"));
+  while (router_.Waiting() == 0) {
+    running.push_back(SendRequest("/read/fill"));
   }
   const auto waiting = running.back();
   const auto freed = SendOf(running.front()).server_;
   PutServer(freed, "plain", true);
-  desk_.OnDirectoryChanged(now_);
+  router_.OnDirectoryChanged(now_);
   Answer(running.front(), 200);
   EXPECT_EQ(SendsOf(waiting), 0U);
 }
 
-TEST_F(DeskOfThreeServers, KeyHasAnOwner_OnlyTheOwnerGetsIt)
+TEST_F(RouterOfThreeServers, KeyHasAnOwner_OnlyTheOwnerGetsIt)
 {
-  EXPECT_EQ(SendOf(Ask("/key/1", 5)).server_, "k1");
-  EXPECT_EQ(SendOf(Ask("/key/1", 105)).server_, "k2");
+  EXPECT_EQ(SendOf(SendRequest("/key/1", 5)).server_, "k1");
+  EXPECT_EQ(SendOf(SendRequest("/key/1", 105)).server_, "k2");
 }
 
-TEST_F(DeskOfThreeServers, KeyIsMoving_WaitsAndGoesToTheNewOwner)
+TEST_F(RouterOfThreeServers, KeyIsMoving_WaitsAndIsSentToTheNewOwner)
 {
-  // A move that took 40 ms has been seen.
-  desk_.SetOwnership(now_, { "keyed", 3, { { 0, 99, "k2", 3, "k1" } } });
+  // A move that took 40 ms has been observed.
+  router_.SetOwnership(now_, { "keyed", 3, { { 0, 99, "k2", 3, "k1" } } });
   Pass(milliseconds(40));
-  desk_.SetOwnership(now_, { "keyed", 3, { { 0, 99, "k2", 3, "" } } });
-  desk_.SetOwnership(now_, { "keyed", 4, { { 0, 99, "k1", 4, "k2" } } });
-  const auto request = Ask("/key/1", 5);
+  router_.SetOwnership(now_, { "keyed", 3, { { 0, 99, "k2", 3, "" } } });
+  router_.SetOwnership(now_, { "keyed", 4, { { 0, 99, "k1", 4, "k2" } } });
+  const auto request = SendRequest("/key/1", 5);
   EXPECT_EQ(SendsOf(request), 0U);
   Pass(milliseconds(20));
   EXPECT_TRUE(actions_.refused_.empty());
-  desk_.SetOwnership(now_, { "keyed", 4, { { 0, 99, "k1", 4, "" } } });
+  router_.SetOwnership(now_, { "keyed", 4, { { 0, 99, "k1", 4, "" } } });
   ASSERT_EQ(SendsOf(request), 1U);
   EXPECT_EQ(SendOf(request).server_, "k1");
 }
 
-// It waits for something that does not come soon, such as the grants of a silent server.
-TEST_F(DeskOfThreeServers, KeyHasBeenMovingForLong_IsRefusedAtOnce)
+// Such a move is blocked, for example on the grants of a silent server.
+TEST_F(RouterOfThreeServers, KeyHasBeenMovingForLong_IsRefusedAtOnce)
 {
-  desk_.SetOwnership(now_, { "keyed", 3, { { 0, 99, "k2", 3, "k1" } } });
+  router_.SetOwnership(now_, { "keyed", 3, { { 0, 99, "k2", 3, "k1" } } });
   Pass(seconds(2));
-  const auto request = Ask("/key/1", 5);
+  const auto request = SendRequest("/key/1", 5);
   EXPECT_TRUE(IsRefused(request, RefusalReason::NoOwner));
   EXPECT_GE(actions_.refused_[request].retryAfter_, milliseconds(110));
 }
 
-TEST_F(DeskOfThreeServers, NewsOfTheEndOfAMoveAreMissed_NewOwnerIsTried)
+TEST_F(RouterOfThreeServers, UpdateOfTheEndOfAMoveIsMissed_NewOwnerIsTried)
 {
-  desk_.SetNewsStale(true);
-  desk_.SetOwnership(now_, { "keyed", 3, { { 0, 99, "k2", 3, "k1" } } });
+  router_.SetUpdatesStale(true);
+  router_.SetOwnership(now_, { "keyed", 3, { { 0, 99, "k2", 3, "k1" } } });
   Pass(milliseconds(300));
-  desk_.SetOwnership(now_, { "keyed", 4, { { 0, 99, "k2", 3, "k1" }, { 100, 199, "k1", 4, "" } } });
+  router_.SetOwnership(now_,
+                       { "keyed", 4, { { 0, 99, "k2", 3, "k1" }, { 100, 199, "k1", 4, "" } } });
   Pass(milliseconds(150));
-  const auto request = Ask("/key/1", 5);
+  const auto request = SendRequest("/key/1", 5);
   ASSERT_EQ(SendsOf(request), 1U);
   EXPECT_EQ(SendOf(request).server_, "k2");
 }
 
-TEST_F(DeskOfThreeServers, MoveTakesLongButNewsCome_NewOwnerIsNotTriedEarly)
+TEST_F(RouterOfThreeServers, MoveTakesLongButUpdatesArrive_NewOwnerIsNotTriedEarly)
 {
-  desk_.SetOwnership(now_, { "keyed", 3, { { 0, 99, "k2", 3, "k1" } } });
+  router_.SetOwnership(now_, { "keyed", 3, { { 0, 99, "k2", 3, "k1" } } });
   Pass(seconds(5));
-  EXPECT_EQ(SendsOf(Ask("/key/1", 5)), 0U);
+  EXPECT_EQ(SendsOf(SendRequest("/key/1", 5)), 0U);
 }
 
-TEST_F(DeskOfThreeServers, KeyHasNoOwnerForLong_IsRefusedAsNotRun)
+TEST_F(RouterOfThreeServers, KeyHasNoOwnerForLong_IsRefusedAsNotRun)
 {
-  const auto request = Ask("/key/1", 5000);
+  const auto request = SendRequest("/key/1", 5000);
   Pass(milliseconds(50));
   EXPECT_TRUE(IsRefused(request, RefusalReason::NoOwner));
   EXPECT_TRUE(actions_.refused_[request].isNotRun_);
 }
 
-TEST_F(DeskOfThreeServers, OwnerSaysItIsNot_IsSentAgainOnlyAfterAPause)
+TEST_F(RouterOfThreeServers, OwnerDeniesOwnership_IsRetriedOnlyAfterADelay)
 {
   for (int index = 0; index < 50; ++index) {
-    Answer(Ask("/key/1", 5), 200);
+    Answer(SendRequest("/key/1", 5), 200);
   }
-  const auto request = Ask("/key/1", 5);
+  const auto request = SendRequest("/key/1", 5);
   End(request, AttemptEnd::WrongServer, 421);
   EXPECT_EQ(SendsOf(request), 1U);
   Pass(milliseconds(35));
   EXPECT_EQ(SendsOf(request), 2U);
 }
 
-TEST_F(DeskOfThreeServers, NoAnswerUntilTheLimit_IsGivenUpAndCancelled)
+TEST_F(RouterOfThreeServers, NoAnswerUntilTheTimeLimit_IsCancelledAndRefused)
 {
-  const auto request = Ask("/read/1");
+  const auto request = SendRequest("/read/1");
   Pass(milliseconds(450));
   EXPECT_TRUE(IsRefused(request, RefusalReason::OutOfTime));
   EXPECT_FALSE(actions_.refused_[request].isNotRun_);
   EXPECT_EQ(actions_.cancelled_.size(), 1U);
 }
 
-TEST_F(DeskOfThreeServers, ClientOfARepeatableLeaves_ServerIsRelieved)
+TEST_F(RouterOfThreeServers, ClientOfARepeatableDisconnects_AttemptIsCancelled)
 {
-  const auto request = Ask("/read/1");
-  desk_.OnClientGone(now_, request);
+  const auto request = SendRequest("/read/1");
+  router_.OnClientGone(now_, request);
   EXPECT_EQ(actions_.cancelled_, std::vector<AttemptNumber>{ SendOf(request).number_ });
-  EXPECT_EQ(desk_.UnderWay(), 0U);
+  EXPECT_EQ(router_.InFlight(), 0U);
 }
 
-TEST_F(DeskOfThreeServers, ClientOfANotRepeatableLeaves_ItRunsToItsEnd)
+TEST_F(RouterOfThreeServers, ClientOfANotRepeatableDisconnects_AttemptRunsToItsEnd)
 {
-  const auto request = Ask("/write/1");
-  desk_.OnClientGone(now_, request);
+  const auto request = SendRequest("/write/1");
+  router_.OnClientGone(now_, request);
   EXPECT_TRUE(actions_.cancelled_.empty());
   Answer(request, 200);
   EXPECT_TRUE(actions_.delivered_.empty());
-  EXPECT_EQ(desk_.UnderWay(), 0U);
+  EXPECT_EQ(router_.InFlight(), 0U);
 }
 
-TEST_F(DeskOfThreeServers, ClientLeavesWhileWaiting_NothingIsSent)
+TEST_F(RouterOfThreeServers, ClientDisconnectsWhileWaiting_NothingIsSent)
 {
-  while (desk_.Waiting() == 0) {
-    Ask("/read/fill");
+  while (router_.Waiting() == 0) {
+    SendRequest("/read/fill");
   }
-  const auto request = Ask("/write/1");
-  desk_.OnClientGone(now_, request);
+  const auto request = SendRequest("/write/1");
+  router_.OnClientGone(now_, request);
   Answer(1 + lastRequest_ - 2, 200);
   EXPECT_EQ(SendsOf(request), 0U);
 }
 
-TEST_F(DeskOfThreeServers, RouteHasWeights_SharesAreKeptOverShortSpans)
+TEST_F(RouterOfThreeServers, RouteHasWeights_SharesAreExactOverShortRuns)
 {
   std::size_t others = 0;
   for (int index = 0; index < 50; ++index) {
-    const auto request = Ask("/split/1");
+    const auto request = SendRequest("/split/1");
     others += SendOf(request).server_ == "o1" ? 1U : 0U;
     Answer(request, 200);
   }
   EXPECT_EQ(others, 5U);
 }
 
-TEST_F(DeskOfThreeServers, OnePartOfASplitRouteIsFull_WhatDoesNotFitIsRefusedAndNotMoved)
+TEST_F(RouterOfThreeServers, OneTargetOfASplitRouteIsFull_ItsRequestsAreRefusedAndNotRerouted)
 {
-  // The part with a tenth of the weight answers nothing; the other has room.
+  // The target with a tenth of the weight answers nothing; the other has capacity.
   constexpr int kAsked = 200;
   int toPlain = 0;
   for (int index = 0; index < kAsked; ++index) {
-    const auto request = Ask("/split/x");
+    const auto request = SendRequest("/split/x");
     if (SendsOf(request) == 1 && SendOf(request).server_ != "o1") {
       ++toPlain;
       Answer(request, 200);
@@ -591,7 +593,7 @@
   const auto sent = actions_.sent_.size();
   ASSERT_LT(sent, static_cast<std::size_t>(kAsked));
   now_ += milliseconds(200);
-  desk_.OnTime(now_);
+  router_.OnTime(now_);
   EXPECT_EQ(actions_.sent_.size(), sent);
   EXPECT_EQ(actions_.refused_.size(), kAsked - sent);
   for (const auto& [request, refusal] : actions_.refused_) {
@@ -599,43 +601,43 @@
   }
 }
 
-TEST_F(DeskOfThreeServers, AnotherLifeAnswers_AddressIsLeftAlone)
+TEST_F(RouterOfThreeServers, AnotherIncarnationAnswers_AddressIsSuspended)
 {
-  const auto request = Ask("/read/1");
+  const auto request = SendRequest("/read/1");
   const auto first = SendOf(request).server_;
   End(request, AttemptEnd::WrongServer, 421, true);
   for (int index = 0; index < 30; ++index) {
-    const auto next = Ask("/read/1");
+    const auto next = SendRequest("/read/1");
     EXPECT_NE(SendOf(next).server_, first);
     Answer(next, 200);
   }
 }
 
-TEST_F(DeskOfThreeServers, ServiceLeavesTheConfigurationWhileRequestsWait_TheyAreRefused)
+TEST_F(RouterOfThreeServers, ServiceIsRemovedWhileRequestsWait_TheyAreRefused)
 {
-  while (desk_.Waiting() == 0) {
-    Ask("/read/fill");
+  while (router_.Waiting() == 0) {
+    SendRequest("/read/fill");
   }
   const auto waiting = lastRequest_;
   RoutingConfiguration configuration;
   configuration.version_ = 2;
   configuration.services_ = { { "other", 100, false } };
-  desk_.SetRoutes(now_,
-                  std::make_shared<const RouteTable>(RouteTable::Create(configuration).value()));
+  router_.SetRoutes(now_,
+                    std::make_shared<const RouteTable>(RouteTable::Create(configuration).value()));
   for (const auto* id : { "p1", "p2", "p3" }) {
     directory_.Remove(now_, id);
   }
   directory_.Expire(now_ + seconds(1));
-  desk_.OnDirectoryChanged(now_);
+  router_.OnDirectoryChanged(now_);
   Pass(milliseconds(200));
   EXPECT_EQ(actions_.refused_.count(waiting), 1U);
 }
 
-TEST_F(DeskOfThreeServers, RetriesAreSpent_FailureIsFinal)
+TEST_F(RouterOfThreeServers, RetryBudgetIsExhausted_FailureIsFinal)
 {
   std::size_t sends = 0;
   for (int index = 0; index < 100; ++index) {
-    const auto request = Ask("/read/1");
+    const auto request = SendRequest("/read/1");
     now_ += milliseconds(30);
     Answer(request, 500);
     sends += SendsOf(request);
@@ -646,57 +648,57 @@
   EXPECT_LT(sends, 145U);
 }
 
-TEST(RequestDesk, NoConfigurationForAMoment_IsRefusedAsNotRun)
+TEST(GatewayRouter, NoConfigurationForAMoment_IsRefusedAsNotRun)
 {
   SilentEvents events;
-  RecordedActions actions;
+  RecordingActions actions;
   const ServerDirectory directory;
-  NoPermits permits;
-  RequestDesk desk({ "hall", {}, 1 }, directory, actions, permits, events);
-  desk.OnRequest(seconds(1), { 7, "id", "a.example", "/x/", {}, {} });
-  ASSERT_TRUE(desk.NextTime());
-  EXPECT_LE(*desk.NextTime(), seconds(1) + milliseconds(100));
-  desk.OnTime(*desk.NextTime());
+  NullPermitSource permits;
+  GatewayRouter router({ "hall", {}, 1 }, directory, actions, permits, events);
+  router.OnRequest(seconds(1), { 7, "id", "a.example", "/x/", {}, {} });
+  ASSERT_TRUE(router.NextTime());
+  EXPECT_LE(*router.NextTime(), seconds(1) + milliseconds(100));
+  router.OnTime(*router.NextTime());
   ASSERT_EQ(actions.refused_.count(7), 1U);
   EXPECT_EQ(actions.refused_[7].reason_, RefusalReason::NoConfiguration);
   EXPECT_TRUE(actions.refused_[7].isNotRun_);
 }
 
-TEST_F(DeskOfThreeServers, HallIsDrained_NothingIsSentOrSentAgainToItsServers)
+TEST_F(RouterOfThreeServers, HallIsDrained_NothingIsSentOrRetriedThere)
 {
   auto elsewhere = *directory_.Find("p1");
   elsewhere.hall_ = "other-hall";
   directory_.Put(now_, elsewhere);
   directory_.DrainHall("hall");
-  desk_.OnDirectoryChanged(now_);
+  router_.OnDirectoryChanged(now_);
   for (int index = 0; index < 20; ++index) {
-    const auto request = Ask("/read/x");
+    const auto request = SendRequest("/read/x");
     EXPECT_EQ(SendOf(request).server_, "p1");
     End(request, AttemptEnd::NotRun, 503);
     EXPECT_EQ(SendOf(request).server_, "p1");
     now_ += milliseconds(100);
   }
-  const auto keyed = Ask("/key/x", 50);
+  const auto keyed = SendRequest("/key/x", 50);
   EXPECT_EQ(SendsOf(keyed), 0U);
 }
 
-TEST_F(DeskOfThreeServers, ServersStartSlowly_EachGetsThisInstancesPartOfTheRate)
+TEST_F(RouterOfThreeServers, ServersAreInSlowStart_EachGetsThisInstancesShareOfTheRate)
 {
   RoutingConfiguration configuration;
   configuration.version_ = 2;
   configuration.services_ = { { "plain", 100, false, 5 } };
   configuration.routes_ = { MakeRoute("/read/", true, 2, { { "plain", 1 } }) };
-  desk_.SetInstances(10);
+  router_.SetInstances(10);
   for (const auto* id : { "p1", "p2" }) {
     auto record = *directory_.Find(id);
     record.slowStartLeft_ = seconds(3);
     directory_.Put(now_, record);
   }
-  desk_.SetRoutes(now_,
-                  std::make_shared<const RouteTable>(RouteTable::Create(configuration).value()));
+  router_.SetRoutes(now_,
+                    std::make_shared<const RouteTable>(RouteTable::Create(configuration).value()));
   std::map<std::string, int> sends;
   for (int index = 0; index < 300; ++index) {
-    const auto request = Ask("/read/x");
+    const auto request = SendRequest("/read/x");
     if (SendsOf(request) > 0) {
       ++sends[SendOf(request).server_];
       Answer(request, 200);
@@ -708,47 +710,47 @@
   EXPECT_GT(sends["p3"], 200);
 }
 
-TEST_F(DeskOfThreeServers, AnswerSaysThatItsServerLeaves_TheFleetIsTold)
+TEST_F(RouterOfThreeServers, AnswerAnnouncesThatItsServerLeaves_IsPassedOn)
 {
-  const auto request = Ask("/write/1");
+  const auto request = SendRequest("/write/1");
   AttemptOutcome outcome;
   outcome.end_ = AttemptEnd::Answered;
   outcome.status_ = 200;
   outcome.isLeaving_ = true;
   const auto server = SendOf(request).server_;
-  desk_.OnAttemptEnded(now_, SendOf(request).number_, outcome);
+  router_.OnAttemptEnded(now_, SendOf(request).number_, outcome);
   EXPECT_TRUE(actions_.leaving_.contains({ server, 0 }));
   EXPECT_EQ(actions_.delivered_, std::vector<RequestNumber>{ request });
 }
 
-// Guards against requests that go on to an owner of keys which asked for rest.
-TEST_F(DeskOfThreeServers, OwnerAsksForRest_IsSentNothingBeforeItsEnd)
+// Guards against sends to the owner of a key during the backoff that it requested.
+TEST_F(RouterOfThreeServers, OwnerRequestsBackoff_IsSentNothingBeforeItsEnd)
 {
-  TurnAway(Ask("/key/1", 5), seconds(3));
+  RefuseWithBackoff(SendRequest("/key/1", 5), seconds(3));
   actions_.sent_.clear();
   for (int index = 0; index < 28; ++index) {
-    Ask("/key/1", 5);
+    SendRequest("/key/1", 5);
     Pass(milliseconds(100));
   }
   EXPECT_TRUE(actions_.sent_.empty());
   Pass(milliseconds(300));
-  Ask("/key/1", 5);
+  SendRequest("/key/1", 5);
   EXPECT_EQ(actions_.sent_.size(), 1U);
 }
 
-// Guards against an instance without a dispatcher that sends an owner more than its part of
-// what the owner takes.
-TEST_F(DeskOfThreeServers, OwnerNamesARateLimit_GetsItsPartOfItOnly)
+// Guards against an instance without a dispatcher that sends an owner more than its share of the
+// owner's rate limit.
+TEST_F(RouterOfThreeServers, OwnerAdvertisesARateLimit_InstanceKeepsToItsShare)
 {
   constexpr double kLimit = 10;
   constexpr std::size_t kInstances = 4;
   constexpr int kSeconds = 8;
-  desk_.SetInstances(kInstances);
-  AnswerWithLimit(Ask("/key/1", 5), kLimit);
+  router_.SetInstances(kInstances);
+  AnswerWithLimit(SendRequest("/key/1", 5), kLimit);
   actions_.sent_.clear();
   std::size_t sent = 0;
   for (int index = 0; index < kSeconds * 20; ++index) {
-    Ask("/key/1", 5);
+    SendRequest("/key/1", 5);
     Pass(milliseconds(50));
     while (sent < actions_.sent_.size()) {
       AnswerWithLimit(actions_.sent_[sent++].request_, kLimit);
@@ -759,40 +761,40 @@
   EXPECT_GE(sent, part - 1);
 }
 
-// Guards against callers that are held for a server which takes the next request in seconds.
-TEST_F(DeskOfThreeServers, OwnerNamesALowRateLimit_RequestsBeyondItAreRefusedAtOnce)
+// Guards against holding requests for a server that accepts the next one only seconds later.
+TEST_F(RouterOfThreeServers, OwnerAdvertisesALowRateLimit_RequestsBeyondItAreRefusedAtOnce)
 {
-  desk_.SetInstances(8);
-  AnswerWithLimit(Ask("/key/1", 5), 0.5);
-  AnswerWithLimit(Ask("/key/1", 5), 0.5);
-  const auto request = Ask("/key/1", 5);
+  router_.SetInstances(8);
+  AnswerWithLimit(SendRequest("/key/1", 5), 0.5);
+  AnswerWithLimit(SendRequest("/key/1", 5), 0.5);
+  const auto request = SendRequest("/key/1", 5);
   ASSERT_TRUE(actions_.refused_.contains(request));
   EXPECT_EQ(actions_.refused_.at(request).reason_, RefusalReason::NoCapacity);
   EXPECT_TRUE(actions_.refused_.at(request).isNotRun_);
 }
 
-// Guards against a request that waits for the next one that its owner takes and is forgotten
-// while nothing else happens.
-TEST_F(DeskOfThreeServers, OwnerNamesARateLimit_WhatWaitsForItsTurnIsSentThen)
+// Guards against a request that waits for its owner's rate limit and is not woken up while
+// nothing else happens.
+TEST_F(RouterOfThreeServers, OwnerAdvertisesARateLimit_WaitingRequestIsSentWhenATokenAccrues)
 {
-  AnswerWithLimit(Ask("/key/1", 5), 10);
+  AnswerWithLimit(SendRequest("/key/1", 5), 10);
   actions_.sent_.clear();
   Pass(milliseconds(50));
-  const auto request = Ask("/key/1", 5);
+  const auto request = SendRequest("/key/1", 5);
   EXPECT_TRUE(actions_.sent_.empty());
   Pass(milliseconds(60));
   EXPECT_EQ(SendsOf(request), 1U);
 }
 
-// Guards against the same where any server may have the request.
-TEST_F(DeskOfThreeServers, AServerNamesARateLimit_OthersGetTheRequestsBeyondIt)
+// Guards against ignoring a rate limit where any server may have the request.
+TEST_F(RouterOfThreeServers, OneServerAdvertisesARateLimit_OthersGetTheRequestsBeyondIt)
 {
-  const auto first = Ask("/read/1");
+  const auto first = SendRequest("/read/1");
   const auto limited = SendOf(first).server_;
   AnswerWithLimit(first, 1);
   int atLimited = 0;
   for (int index = 0; index < 100; ++index) {
-    const auto request = Ask("/read/1");
+    const auto request = SendRequest("/read/1");
     ASSERT_EQ(SendsOf(request), 1U);
     const bool isLimited = SendOf(request).server_ == limited;
     atLimited += isLimited ? 1 : 0;
@@ -802,15 +804,15 @@
   EXPECT_LE(atLimited, 6);
 }
 
-// Guards against the same where any server may have the request.
-TEST_F(DeskOfThreeServers, AServerAsksForRest_OthersGetTheRequests)
+// Guards against ignoring a backoff where any server may have the request.
+TEST_F(RouterOfThreeServers, OneServerRequestsBackoff_OthersGetTheRequests)
 {
-  const auto first = Ask("/read/1");
+  const auto first = SendRequest("/read/1");
   const auto resting = SendOf(first).server_;
-  TurnAway(first, seconds(3));
+  RefuseWithBackoff(first, seconds(3));
   actions_.sent_.clear();
   for (int index = 0; index < 50; ++index) {
-    const auto request = Ask("/read/1");
+    const auto request = SendRequest("/read/1");
     ASSERT_EQ(SendsOf(request), 1U);
     EXPECT_NE(SendOf(request).server_, resting);
     Answer(request, 200);
@@ -818,37 +820,37 @@
   }
 }
 
-// Guards against requests that are held for a move which does not come while the store is
-// away.
-TEST_F(DeskOfThreeServers, OwnerLeavesAndItsKeysDoNotMove_RequestsAreSoonRefusedAtOnce)
+// Guards against holding requests for a move that cannot happen while the store is unavailable.
+TEST_F(RouterOfThreeServers, OwnerLeavesAndItsKeysDoNotMove_RequestsAreSoonRefusedAtOnce)
 {
-  // Moves usually take 50 ms, which is worth waiting for.
-  desk_.SetOwnership(now_, { "keyed", 3, { { 0, 99, "k1", 1, "" }, { 100, 199, "k2", 3, "k1" } } });
+  // Moves usually take 50 ms, which is a useful wait.
+  router_.SetOwnership(now_,
+                       { "keyed", 3, { { 0, 99, "k1", 1, "" }, { 100, 199, "k2", 3, "k1" } } });
   Pass(milliseconds(50));
-  desk_.SetOwnership(now_, { "keyed", 3, { { 0, 99, "k1", 1, "" }, { 100, 199, "k2", 3, "" } } });
-  directory_.NoteLeaving(now_, "k1", 0);
-  desk_.OnDirectoryChanged(now_);
-  EXPECT_FALSE(actions_.refused_.contains(Ask("/key/1", 5)));
+  router_.SetOwnership(now_, { "keyed", 3, { { 0, 99, "k1", 1, "" }, { 100, 199, "k2", 3, "" } } });
+  directory_.RecordLeaving(now_, "k1", 0);
+  router_.OnDirectoryChanged(now_);
+  EXPECT_FALSE(actions_.refused_.contains(SendRequest("/key/1", 5)));
   Pass(seconds(1));
-  const auto request = Ask("/key/1", 5);
+  const auto request = SendRequest("/key/1", 5);
   ASSERT_TRUE(actions_.refused_.contains(request));
   EXPECT_EQ(actions_.refused_.at(request).reason_, RefusalReason::NoOwner);
   EXPECT_TRUE(actions_.refused_.at(request).isNotRun_);
 }
 
-TEST_F(DeskOfThreeServers, ServerAsksForRestTwiceInOne_IsLoggedOnce)
+TEST_F(RouterOfThreeServers, ServerRequestsBackoffDuringOne_IsLoggedOnce)
 {
-  const auto first = Ask("/key/1", 5);
-  const auto second = Ask("/key/1", 5);
-  TurnAway(first, seconds(3));
-  TurnAway(second, seconds(3));
+  const auto first = SendRequest("/key/1", 5);
+  const auto second = SendRequest("/key/1", 5);
+  RefuseWithBackoff(first, seconds(3));
+  RefuseWithBackoff(second, seconds(3));
   EXPECT_EQ(events_.CountOf(Event::ServerAskedForRest), 1);
 }
 
-TEST_F(DeskOfThreeServers, ServerNamesARateLimit_ItsBeginAndItsEndAreLogged)
+TEST_F(RouterOfThreeServers, ServerAdvertisesARateLimit_ItsBeginAndItsEndAreLogged)
 {
   for (const double limit : { 8.7, 8.2, kNoRateLimit, kNoRateLimit }) {
-    AnswerWithLimit(Ask("/key/1", 5), limit);
+    AnswerWithLimit(SendRequest("/key/1", 5), limit);
     Pass(seconds(1));
   }
   EXPECT_EQ(events_.CountOf(Event::ServerLimitsRate), 2);
--- a/Tests/LibGateway/TestPermitAsks.cpp
+++ b/Tests/LibGateway/TestPermitRequests.cpp
@@ -1,5 +1,5 @@
-#include "LibGateway/RequestDesk.h"
-#include "RecordedActions.h"
+#include "LibGateway/GatewayRouter.h"
+#include "RecordingActions.h"
 
 #include <gtest/gtest.h>
 #include <set>
@@ -8,30 +8,33 @@
 
 namespace {
 
-// Writes down what is asked and told; the test answers.
-class RecordedPermits : public PermitSource
+// Records permit requests and reports; the test answers them.
+class RecordingPermitSource : public PermitSource
 {
 public:
-  bool CanRequestPermit(const std::string&) const override { return isHeard_; }
-  void RequestPermit(Instant, const PermitRequest& aRequest) override { asks_.push_back(aRequest); }
+  bool CanAsk(const std::string&) const override { return isAvailable_; }
+  void RequestPermit(Instant, const PermitAsk& aRequest) override
+  {
+    permitRequests_.push_back(aRequest);
+  }
   void Withdraw(AttemptNumber aNumber) override { withdrawn_.insert(aNumber); }
-  void OnUnanswered(Instant, const std::string&) override { isHeard_ = false; }
-  void ReportSend(Instant, const SendNotice& aNotice) override { notices_.push_back(aNotice); }
-  void ReportSendEnd(const SendEnd& aEnd) override { ends_.push_back(aEnd); }
+  void OnPermitTimeout(Instant, const std::string&) override { isAvailable_ = false; }
+  void TellSend(Instant, const SendNotice& aNotice) override { notices_.push_back(aNotice); }
+  void TellEnd(const SendEnd& aEnd) override { ends_.push_back(aEnd); }
 
-  bool isHeard_ = true;
-  std::vector<PermitRequest> asks_;
+  bool isAvailable_ = true;
+  std::vector<PermitAsk> permitRequests_;
   std::set<AttemptNumber> withdrawn_;
   std::vector<SendNotice> notices_;
   std::vector<SendEnd> ends_;
 };
 
-// An instance that asks a dispatcher for permits: "/read/" goes to any server of "plain",
-// "/key/" to the owner of the key among those of "keyed".
-class DeskWithADispatcher : public testing::Test
+// An instance with a dispatcher: requests to "/plain/" may use any server of "plain", those to
+// "/keyed/" need the owner of their key among the servers of "keyed".
+class RouterWithADispatcher : public testing::Test
 {
 protected:
-  DeskWithADispatcher()
+  RouterWithADispatcher()
   {
     for (const auto* id : { "p1", "p2" }) {
       directory_.Put(now_, { id, "plain", std::string(id) + ":80", "hall", 4, false, 1 });
@@ -47,14 +50,14 @@
       route.isRepeatable_ = true;
       route.latencyTarget_ = milliseconds(200);
       route.timeLimit_ = milliseconds(500);
-      route.mostAttempts_ = 2;
+      route.maxAttempts_ = 2;
       route.targets_ = { { service, 1 } };
       configuration.routes_.push_back(route);
     }
-    desk_.SetInstances(1);
-    desk_.SetRoutes(now_,
-                    std::make_shared<const RouteTable>(RouteTable::Create(configuration).value()));
-    desk_.SetOwnership(now_, { "keyed", 2, { { 0, 99, "k1", 1, "" } } });
+    router_.SetInstances(1);
+    router_.SetRoutes(
+      now_, std::make_shared<const RouteTable>(RouteTable::Create(configuration).value()));
+    router_.SetOwnership(now_, { "keyed", 2, { { 0, 99, "k1", 1, "" } } });
   }
 
   RequestNumber Request(const std::string& aPath, std::optional<KeyNumber> aKey = std::nullopt)
@@ -65,31 +68,31 @@
     request.path_ = aPath;
     request.key_ = aKey;
     request.timeLeft_ = milliseconds(400);
-    desk_.OnRequest(now_, std::move(request));
+    router_.OnRequest(now_, std::move(request));
     return lastRequest_;
   }
 
   void Permit(const std::string& aServer)
   {
-    desk_.OnPermit(now_, permits_.asks_.back().number_, aServer);
+    router_.OnPermit(now_, permits_.permitRequests_.back().number_, aServer);
   }
 
-  // The server of the last send turns it away and asks for rest.
-  void TurnAway(Duration aRest)
+  // The server of the last send refuses the request and requests a backoff.
+  void RefuseWithBackoff(Duration aBackoff)
   {
     AttemptOutcome outcome;
     outcome.end_ = AttemptEnd::NotRun;
     outcome.status_ = 503;
-    outcome.rest_ = aRest;
-    desk_.OnAttemptEnded(now_, actions_.sent_.back().number_, outcome);
+    outcome.backoff_ = aBackoff;
+    router_.OnAttemptEnded(now_, actions_.sent_.back().number_, outcome);
   }
 
   void Pass(Duration aTime)
   {
     const auto end = now_ + aTime;
-    while (desk_.NextTime() && *desk_.NextTime() <= end) {
-      now_ = std::max(now_, *desk_.NextTime());
-      desk_.OnTime(now_);
+    while (router_.NextTime() && *router_.NextTime() <= end) {
+      now_ = std::max(now_, *router_.NextTime());
+      router_.OnTime(now_);
     }
     now_ = end;
   }
@@ -97,73 +100,76 @@
   Instant now_ = seconds(100);
   RequestNumber lastRequest_ = 0;
   SilentEvents events_;
-  RecordedActions actions_;
-  RecordedPermits permits_;
+  RecordingActions actions_;
+  RecordingPermitSource permits_;
   ServerDirectory directory_;
-  RequestDesk desk_{ { "hall", { 0.2, 62, seconds(10) }, 1 },
-                     directory_,
-                     actions_,
-                     permits_,
-                     events_ };
+  GatewayRouter router_{ { "hall", { 0.2, 62, seconds(10) }, 1 },
+                         directory_,
+                         actions_,
+                         permits_,
+                         events_ };
 };
 
-TEST_F(DeskWithADispatcher, RequestComes_IsSentWhereItIsPermittedAndItsEndIsTold)
+TEST_F(RouterWithADispatcher, RequestArrives_IsSentWithThePermitAndItsEndIsReported)
 {
   const auto request = Request("/plain/1");
-  ASSERT_EQ(permits_.asks_.size(), 1U);
+  ASSERT_EQ(permits_.permitRequests_.size(), 1U);
   EXPECT_TRUE(actions_.sent_.empty());
   Permit("p2");
   ASSERT_EQ(actions_.sent_.size(), 1U);
   EXPECT_EQ(actions_.sent_[0].server_, "p2");
   now_ += milliseconds(30);
   const ServerStatus status{ 1, 0, 4, 2 };
-  desk_.OnAttemptEnded(
+  router_.OnAttemptEnded(
     now_, actions_.sent_[0].number_, { AttemptEnd::Answered, 200, false, status });
   EXPECT_EQ(actions_.delivered_, std::vector<RequestNumber>{ request });
   ASSERT_EQ(permits_.ends_.size(), 1U);
-  EXPECT_EQ(permits_.ends_[0],
-            (SendEnd{ permits_.asks_[0].number_, SendResult::Answered, milliseconds(30), status }));
+  EXPECT_EQ(
+    permits_.ends_[0],
+    (SendEnd{
+      permits_.permitRequests_[0].number_, SendResult::Answered, milliseconds(30), status }));
   EXPECT_TRUE(permits_.notices_.empty());
 }
 
-TEST_F(DeskWithADispatcher, KeyHasAnOwner_ThatOneIsAskedFor)
+TEST_F(RouterWithADispatcher, KeyHasAnOwner_PermitIsRequestedForTheOwner)
 {
   Request("/keyed/1", 50);
-  ASSERT_EQ(permits_.asks_.size(), 1U);
-  EXPECT_EQ(permits_.asks_[0].server_, "k1");
+  ASSERT_EQ(permits_.permitRequests_.size(), 1U);
+  EXPECT_EQ(permits_.permitRequests_[0].server_, "k1");
   Request("/keyed/1", 500);
-  EXPECT_EQ(permits_.asks_.size(), 1U) << "nobody owns that key";
+  EXPECT_EQ(permits_.permitRequests_.size(), 1U) << "nobody owns that key";
 }
 
-TEST_F(DeskWithADispatcher, OwnerAsksForRest_DispatcherIsToldAndNoPermitIsAskedFor)
+TEST_F(RouterWithADispatcher, OwnerRequestsBackoff_IsReportedToDispatcherAndNoPermitIsRequested)
 {
   Request("/keyed/1", 50);
   Permit("k1");
-  TurnAway(seconds(3));
+  RefuseWithBackoff(seconds(3));
   ASSERT_EQ(permits_.ends_.size(), 1U);
-  EXPECT_EQ(permits_.ends_[0].rest_, seconds(3));
+  EXPECT_EQ(permits_.ends_[0].backoff_, seconds(3));
   const auto request = Request("/keyed/1", 50);
-  EXPECT_EQ(permits_.asks_.size(), 1U);
+  EXPECT_EQ(permits_.permitRequests_.size(), 1U);
   ASSERT_TRUE(actions_.refused_.contains(request));
   EXPECT_TRUE(actions_.refused_[request].isNotRun_);
   Pass(seconds(3));
   Request("/keyed/1", 50);
-  EXPECT_EQ(permits_.asks_.size(), 2U);
+  EXPECT_EQ(permits_.permitRequests_.size(), 2U);
 }
 
-// Guards against permits of a dispatcher that was not told of the rest, such as a new one.
-TEST_F(DeskWithADispatcher, PermitIsForAServerThatWantsRest_IsGivenBackWithTheRestThatIsLeft)
+// Guards against permits from a dispatcher that was not informed of the backoff, such as a new
+// one.
+TEST_F(RouterWithADispatcher, PermitIsForAServerInBackoff_IsReturnedWithTheRemainingBackoff)
 {
   Request("/plain/1");
   Permit("p1");
-  TurnAway(seconds(3));
+  RefuseWithBackoff(seconds(3));
   permits_.ends_.clear();
   const auto sent = actions_.sent_.size();
   Permit("p1");
   EXPECT_EQ(actions_.sent_.size(), sent);
   ASSERT_EQ(permits_.ends_.size(), 1U);
-  auto givenBack = CancelledSend(permits_.asks_.back().number_);
-  givenBack.rest_ = seconds(3);
+  auto givenBack = CancelledSend(permits_.permitRequests_.back().number_);
+  givenBack.backoff_ = seconds(3);
   EXPECT_EQ(permits_.ends_[0], givenBack);
   Pass(milliseconds(40));
   Permit("p2");
@@ -171,18 +177,18 @@
   EXPECT_EQ(actions_.sent_.back().server_, "p2");
 }
 
-TEST_F(DeskWithADispatcher, PermitIsForAServerThatSaidThatItLeaves_IsGivenBackWithThat)
+TEST_F(RouterWithADispatcher, PermitIsForALeavingServer_IsReturnedWithItsIncarnation)
 {
   Request("/plain/1");
-  directory_.NoteLeaving(now_, "p1", 0);
-  desk_.OnDirectoryChanged(now_);
+  directory_.RecordLeaving(now_, "p1", 0);
+  router_.OnDirectoryChanged(now_);
   Permit("p1");
   EXPECT_TRUE(actions_.sent_.empty());
   ASSERT_EQ(permits_.ends_.size(), 1U);
   EXPECT_EQ(permits_.ends_[0].leavingIncarnation_, 0U);
 }
 
-TEST_F(DeskWithADispatcher, AnswerSaysThatItsServerLeaves_DispatcherIsTold)
+TEST_F(RouterWithADispatcher, AnswerAnnouncesThatItsServerLeaves_IsReportedToDispatcher)
 {
   Request("/plain/1");
   Permit("p1");
@@ -190,67 +196,67 @@
   outcome.end_ = AttemptEnd::Answered;
   outcome.status_ = 200;
   outcome.isLeaving_ = true;
-  desk_.OnAttemptEnded(now_, actions_.sent_.back().number_, outcome);
+  router_.OnAttemptEnded(now_, actions_.sent_.back().number_, outcome);
   ASSERT_EQ(permits_.ends_.size(), 1U);
   EXPECT_EQ(permits_.ends_[0].leavingIncarnation_, 0U);
 }
 
-TEST_F(DeskWithADispatcher, PermitIsDenied_IsRefusedAtOnceAsNotRun)
+TEST_F(RouterWithADispatcher, PermitIsDenied_IsRefusedAtOnceAsNotRun)
 {
   const auto request = Request("/plain/1");
-  desk_.OnPermitDenied(now_, permits_.asks_[0].number_, milliseconds(100));
+  router_.OnPermitDenied(now_, permits_.permitRequests_[0].number_, milliseconds(100));
   ASSERT_TRUE(actions_.refused_.contains(request));
   EXPECT_TRUE(actions_.refused_[request].isNotRun_);
   EXPECT_EQ(actions_.refused_[request].reason_, RefusalReason::NoCapacity);
   EXPECT_GE(actions_.refused_[request].retryAfter_, milliseconds(50));
 }
 
-TEST_F(DeskWithADispatcher, DispatcherDoesNotAnswer_InstanceChoosesAloneAndTellsOfIt)
+TEST_F(RouterWithADispatcher, DispatcherDoesNotAnswer_RequestIsSentWithoutPermitAndReported)
 {
   Request("/plain/1");
   Pass(milliseconds(50));
   EXPECT_EQ(actions_.sent_.size(), 1U);
-  EXPECT_TRUE(permits_.withdrawn_.contains(permits_.asks_[0].number_));
+  EXPECT_TRUE(permits_.withdrawn_.contains(permits_.permitRequests_[0].number_));
   EXPECT_EQ(permits_.notices_.size(), 1U);
   Request("/plain/2");
   EXPECT_EQ(actions_.sent_.size(), 2U) << "it is not asked while it is silent";
 }
 
-TEST_F(DeskWithADispatcher, PermitComesTwice_IsUsedOnceAndGivenBackOnce)
+TEST_F(RouterWithADispatcher, PermitArrivesTwice_IsUsedOnceAndReturnedOnce)
 {
   Request("/plain/1");
-  const auto number = permits_.asks_[0].number_;
-  desk_.OnPermit(now_, number, "p1");
-  desk_.OnPermit(now_, number, "p2");
+  const auto number = permits_.permitRequests_[0].number_;
+  router_.OnPermit(now_, number, "p1");
+  router_.OnPermit(now_, number, "p2");
   EXPECT_EQ(actions_.sent_.size(), 1U);
   ASSERT_EQ(permits_.ends_.size(), 1U);
   EXPECT_EQ(permits_.ends_[0].result_, SendResult::Cancelled);
 }
 
-TEST_F(DeskWithADispatcher, PermitIsForAServerOfADrainedHall_IsGivenBack)
+TEST_F(RouterWithADispatcher, PermitIsForAServerOfADrainedHall_IsReturned)
 {
   Request("/plain/1");
   directory_.DrainHall("hall");
-  desk_.OnDirectoryChanged(now_);
+  router_.OnDirectoryChanged(now_);
   Permit("p1");
   EXPECT_TRUE(actions_.sent_.empty());
   ASSERT_EQ(permits_.ends_.size(), 1U);
   EXPECT_EQ(permits_.ends_[0].result_, SendResult::Cancelled);
 }
 
-TEST_F(DeskWithADispatcher, KeyMovedMeanwhile_PermitForItsFormerOwnerIsGivenBack)
+TEST_F(RouterWithADispatcher, KeyMovedMeanwhile_PermitForItsFormerOwnerIsReturned)
 {
   Request("/keyed/1", 50);
-  desk_.SetOwnership(now_, { "keyed", 3, { { 0, 99, "k2", 2, "k1" } } });
+  router_.SetOwnership(now_, { "keyed", 3, { { 0, 99, "k2", 2, "k1" } } });
   Permit("k1");
   EXPECT_TRUE(actions_.sent_.empty());
   EXPECT_EQ(permits_.ends_.size(), 1U);
 }
 
-TEST_F(DeskWithADispatcher, PromisedPermitNeverComes_IsRefusedWhenItWouldNotBeInTime)
+TEST_F(RouterWithADispatcher, AnnouncedPermitNeverArrives_IsRefusedWhenItWouldBeLate)
 {
   const auto request = Request("/plain/1");
-  desk_.OnPermitDelayed(now_, permits_.asks_[0].number_);
+  router_.OnPermitDelayed(now_, permits_.permitRequests_[0].number_);
   Pass(milliseconds(150));
   EXPECT_FALSE(actions_.refused_.contains(request));
   Pass(milliseconds(150));
@@ -258,32 +264,32 @@
   EXPECT_TRUE(actions_.refused_[request].isNotRun_);
 }
 
-TEST_F(DeskWithADispatcher, ClientLeavesWhileItsRequestWaits_AskIsWithdrawn)
+TEST_F(RouterWithADispatcher, ClientDisconnectsWhileItsRequestWaits_PermitRequestIsWithdrawn)
 {
   const auto request = Request("/plain/1");
-  desk_.OnClientGone(now_, request);
-  EXPECT_TRUE(permits_.withdrawn_.contains(permits_.asks_[0].number_));
+  router_.OnClientGone(now_, request);
+  EXPECT_TRUE(permits_.withdrawn_.contains(permits_.permitRequests_[0].number_));
   Permit("p1");
   EXPECT_TRUE(actions_.sent_.empty());
 }
 
-TEST_F(DeskWithADispatcher, DispatcherIsGone_AnotherIsAsked)
+TEST_F(RouterWithADispatcher, DispatcherIsGone_PermitIsRequestedAgain)
 {
   Request("/plain/1");
-  desk_.OnPermitRequestLost(now_, permits_.asks_[0].number_);
-  ASSERT_EQ(permits_.asks_.size(), 2U);
+  router_.OnAskLost(now_, permits_.permitRequests_[0].number_);
+  ASSERT_EQ(permits_.permitRequests_.size(), 2U);
   Permit("p1");
   EXPECT_EQ(actions_.sent_.size(), 1U);
 }
 
-TEST_F(DeskWithADispatcher, ServerDidNotRunIt_AnotherPermitIsAskedForWithWhatWasTried)
+TEST_F(RouterWithADispatcher, ServerDidNotRunIt_AnotherPermitIsRequestedWithTheTriedServers)
 {
   Request("/plain/1");
   Permit("p1");
-  desk_.OnAttemptEnded(
+  router_.OnAttemptEnded(
     now_, actions_.sent_[0].number_, { AttemptEnd::NotRun, 503, false, std::nullopt });
-  ASSERT_EQ(permits_.asks_.size(), 2U);
-  EXPECT_EQ(permits_.asks_[1].tried_, std::vector<std::string>{ "p1" });
+  ASSERT_EQ(permits_.permitRequests_.size(), 2U);
+  EXPECT_EQ(permits_.permitRequests_[1].tried_, std::vector<std::string>{ "p1" });
 }
 
 } // namespace
--- a/Tests/LibGateway/TestServerDirectory.cpp
+++ b/Tests/LibGateway/TestServerDirectory.cpp
@@ -29,12 +29,12 @@
     return directory_.Find(aId) != nullptr;
   }
 
-  // A second from now the first server is gone, and a copy of the store lists it again.
+  // Drops the first server; one second later an older copy of the store lists it again.
   void DropAndListAgainByACopy()
   {
     directory_.Remove(kNow, "s1");
     ASSERT_FALSE(IsListedAt("s1", seconds(1)));
-    directory_.OnStoreCameBack(kNow + seconds(1));
+    directory_.OnStoreRolledBack(kNow + seconds(1));
     directory_.Put(kNow + seconds(1),
                    { "s1", "rates", "10.0.0.1:80", "hall", 4, false, MakeVersion(2, 1) });
   }
@@ -42,7 +42,7 @@
   ServerDirectory directory_;
 };
 
-TEST_F(DirectoryOfTwoServers, RecordDisappearsWhileStoreIsWell_IsDroppedSoon)
+TEST_F(DirectoryOfTwoServers, RecordDisappearsWhileStoreIsAvailable_IsDroppedSoon)
 {
   directory_.Remove(kNow, "s1");
   EXPECT_TRUE(IsListedAt("s1", milliseconds(100)));
@@ -50,7 +50,7 @@
   EXPECT_TRUE(IsListedAt("s2", seconds(60)));
 }
 
-TEST_F(DirectoryOfTwoServers, RecordDisappearsAfterOutage_IsKeptUntilLivingServersAreBack)
+TEST_F(DirectoryOfTwoServers, RecordDisappearsAfterOutage_IsKeptUntilRunningServersAreBack)
 {
   directory_.OnStoreLost(kNow);
   directory_.OnStoreRegained(kNow + seconds(4));
@@ -67,27 +67,27 @@
   EXPECT_TRUE(IsListedAt("s1", seconds(60)));
 }
 
-// The three things that a copy of the store takes back, though they had been acknowledged.
-TEST_F(DirectoryOfTwoServers, CopyShowsALeavingServerAsReady_ItStaysLeavingUntilItCouldSaySoAgain)
+// The next tests cover the three acknowledged states that an older copy of the store reverts.
+TEST_F(DirectoryOfTwoServers, CopyShowsALeavingServerAsReady_StaysLeavingUntilItCouldRepeatIt)
 {
   directory_.Put(kNow, { "s1", "rates", "10.0.0.1:80", "hall", 4, true, 3 });
-  directory_.OnStoreCameBack(kNow);
-  Put("s1", "10.0.0.1:80", MakeVersion(2, 1));
-  EXPECT_FALSE(directory_.Find("s1")->TakesWork());
+  directory_.OnStoreRolledBack(kNow);
+  Put("s1", "10.0.0.1:80", VersionIn(2, 1));
+  EXPECT_FALSE(directory_.Find("s1")->AcceptsWork());
   directory_.Expire(kNow + milliseconds(2200));
-  EXPECT_FALSE(directory_.Find("s1")->TakesWork());
+  EXPECT_FALSE(directory_.Find("s1")->AcceptsWork());
   EXPECT_TRUE(directory_.Expire(kNow + milliseconds(2400)));
-  EXPECT_TRUE(directory_.Find("s1")->TakesWork());
+  EXPECT_TRUE(directory_.Find("s1")->AcceptsWork());
 }
 
-TEST_F(DirectoryOfTwoServers, LeavingServerSaysSoAgainAfterTheCopy_ItStaysLeaving)
+TEST_F(DirectoryOfTwoServers, LeavingServerRepeatsItAfterTheCopy_StaysLeaving)
 {
   directory_.Put(kNow, { "s1", "rates", "10.0.0.1:80", "hall", 4, true, 3 });
-  directory_.OnStoreCameBack(kNow);
-  Put("s1", "10.0.0.1:80", MakeVersion(2, 1));
-  directory_.Put(kNow, { "s1", "rates", "10.0.0.1:80", "hall", 4, true, MakeVersion(2, 9) });
+  directory_.OnStoreRolledBack(kNow);
+  Put("s1", "10.0.0.1:80", VersionIn(2, 1));
+  directory_.Put(kNow, { "s1", "rates", "10.0.0.1:80", "hall", 4, true, VersionIn(2, 9) });
   EXPECT_FALSE(directory_.Expire(kNow + seconds(3)));
-  EXPECT_FALSE(directory_.Find("s1")->TakesWork());
+  EXPECT_FALSE(directory_.Find("s1")->AcceptsWork());
 }
 
 TEST_F(DirectoryOfTwoServers, CopyListsAServerThatWasGone_ItIsUsedOnlyIfItStaysListed)
@@ -104,44 +104,44 @@
   EXPECT_FALSE(IsListedAt("s1", seconds(5)));
 }
 
-TEST_F(DirectoryOfTwoServers, CopyLacksAServer_ItIsKeptUntilItCouldWriteItselfAgain)
+TEST_F(DirectoryOfTwoServers, CopyLacksAServer_IsKeptUntilItCouldRegisterAgain)
 {
-  directory_.OnStoreCameBack(kNow);
+  directory_.OnStoreRolledBack(kNow);
   directory_.Remove(kNow, "s1");
   EXPECT_TRUE(IsListedAt("s1", milliseconds(2200)));
   EXPECT_FALSE(IsListedAt("s1", milliseconds(2400)));
 }
 
-TEST_F(DirectoryOfTwoServers, CopyLacksADrainedHall_ItStaysDrainedUntilOperatorsCouldSaySoAgain)
+TEST_F(DirectoryOfTwoServers, CopyLacksADrainedHall_StaysDrainedUntilOperatorsCouldRepeatIt)
 {
   directory_.DrainHall("hall");
-  directory_.OnStoreCameBack(kNow);
+  directory_.OnStoreRolledBack(kNow);
   directory_.RestoreHall(kNow, "hall");
-  EXPECT_FALSE(directory_.Find("s1")->TakesWork());
+  EXPECT_FALSE(directory_.Find("s1")->AcceptsWork());
   directory_.DrainHall("hall");
   directory_.Expire(kNow + seconds(3));
-  EXPECT_FALSE(directory_.Find("s1")->TakesWork());
+  EXPECT_FALSE(directory_.Find("s1")->AcceptsWork());
   directory_.RestoreHall(kNow + seconds(3), "hall");
-  EXPECT_TRUE(directory_.Find("s1")->TakesWork());
+  EXPECT_TRUE(directory_.Find("s1")->AcceptsWork());
 }
 
-TEST_F(DirectoryOfTwoServers, CopyLacksADrainedHallAndNobodySaysSoAgain_ItIsRestored)
+TEST_F(DirectoryOfTwoServers, CopyLacksADrainedHallAndNobodyRepeatsIt_IsRestored)
 {
   directory_.DrainHall("hall");
-  directory_.OnStoreCameBack(kNow);
+  directory_.OnStoreRolledBack(kNow);
   directory_.RestoreHall(kNow, "hall");
   EXPECT_TRUE(directory_.Expire(kNow + milliseconds(2400)));
-  EXPECT_TRUE(directory_.Find("s1")->TakesWork());
+  EXPECT_TRUE(directory_.Find("s1")->AcceptsWork());
 }
 
-TEST_F(DirectoryOfTwoServers, FormerLifeIsListedAgainByTheCopy_LaterLifeHasNotEnded)
+TEST_F(DirectoryOfTwoServers, FormerIncarnationIsListedByTheCopy_LaterOneHasNotEnded)
 {
   Put("s3", "10.0.0.1:80", 7);
   directory_.Remove(kNow, "s1");
   ASSERT_FALSE(IsListedAt("s1", seconds(1)));
-  directory_.OnStoreCameBack(kNow);
-  // The same write as before, in the store's next epoch.
-  Put("s1", "10.0.0.1:80", MakeVersion(1, 1));
+  directory_.OnStoreRolledBack(kNow);
+  // The same write as before, in the next epoch of the store.
+  Put("s1", "10.0.0.1:80", VersionIn(1, 1));
   directory_.Expire(kNow + seconds(3));
   EXPECT_FALSE(directory_.HasEnded("s3"));
   EXPECT_TRUE(directory_.HasEnded("s1"));
@@ -154,7 +154,7 @@
   EXPECT_TRUE(IsListedAt("s2", seconds(1)));
 }
 
-TEST_F(DirectoryOfTwoServers, LaterLifeHasTheAddress_FormerLifeHasEnded)
+TEST_F(DirectoryOfTwoServers, LaterIncarnationHasTheAddress_FormerOneHasEnded)
 {
   EXPECT_FALSE(directory_.HasEnded("s1"));
   Put("s3", "10.0.0.1:80", 7);
@@ -162,7 +162,7 @@
   EXPECT_FALSE(directory_.HasEnded("s3"));
 }
 
-TEST_F(DirectoryOfTwoServers, AddressPassesOnAfterRecordWasDropped_FormerLifeHasEnded)
+TEST_F(DirectoryOfTwoServers, AddressIsReusedAfterRecordWasDropped_FormerIncarnationHasEnded)
 {
   directory_.Remove(kNow, "s1");
   ASSERT_FALSE(IsListedAt("s1", seconds(1)));
@@ -171,24 +171,24 @@
   EXPECT_TRUE(directory_.HasEnded("s1"));
 }
 
-TEST_F(DirectoryOfTwoServers, LifeThatWasNeverListed_IsNotCalledEnded)
+TEST_F(DirectoryOfTwoServers, IncarnationWasNeverListed_HasNotEnded)
 {
   EXPECT_FALSE(directory_.HasEnded("unknown"));
 }
 
-TEST_F(DirectoryOfTwoServers, HallIsDrained_ItsServersTakeNoWorkUntilItIsRestored)
+TEST_F(DirectoryOfTwoServers, HallIsDrained_ItsServersAcceptNoWorkUntilItIsRestored)
 {
   directory_.DrainHall("hall");
-  EXPECT_FALSE(directory_.Find("s1")->TakesWork());
+  EXPECT_FALSE(directory_.Find("s1")->AcceptsWork());
   Put("s3", "10.0.0.3:80", 3);
-  EXPECT_FALSE(directory_.Find("s3")->TakesWork()) << "listed while its hall is drained";
+  EXPECT_FALSE(directory_.Find("s3")->AcceptsWork()) << "listed while its hall is drained";
   directory_.DrainHall("other");
   directory_.RestoreHall(kNow, "hall");
-  EXPECT_TRUE(directory_.Find("s1")->TakesWork());
-  EXPECT_TRUE(directory_.Find("s3")->TakesWork());
+  EXPECT_TRUE(directory_.Find("s1")->AcceptsWork());
+  EXPECT_TRUE(directory_.Find("s3")->AcceptsWork());
 }
 
-TEST_F(DirectoryOfTwoServers, HallIsRestored_ItsServersStartSlowlyUntilTheySayOtherwise)
+TEST_F(DirectoryOfTwoServers, HallIsRestored_ItsServersAreInSlowStartUntilTheyReportOtherwise)
 {
   directory_.RestoreHall(kNow, "hall");
   EXPECT_FALSE(directory_.Find("s1")->IsInSlowStart(kNow)) << "it was not drained";
@@ -200,7 +200,7 @@
   EXPECT_FALSE(directory_.Find("s1")->IsInSlowStart(kNow));
 }
 
-TEST_F(DirectoryOfTwoServers, ServerSaysHowLongItStartsSlowly_ItCountsFromThen)
+TEST_F(DirectoryOfTwoServers, ServerReportsRemainingSlowStart_CountsFromTheReport)
 {
   ServerRecord record{ "s4", "rates", "10.0.0.4:80", "hall", 4, false, 4 };
   record.slowStartLeft_ = seconds(3);
@@ -209,10 +209,10 @@
   EXPECT_FALSE(directory_.Find("s4")->IsInSlowStart(kNow + milliseconds(3100)));
 }
 
-// The news came from an instance that reaches the store: the server has left, and must get
-// nothing 2.5 s later, however long this instance itself is without the store.
+// The update came from an instance that reaches the store: the server has left, and must get
+// nothing 2.5 s later, however long this instance itself cannot reach the store.
 TEST_F(DirectoryOfTwoServers,
-       RecordDisappearsInAnOutageOfThisInstanceAlone_ItsReturnKeepsItNoLonger)
+       RecordDisappearsInAnOutageOfThisInstanceAlone_ReconnectingDoesNotKeepItLonger)
 {
   directory_.OnStoreLost(kNow);
   directory_.Remove(kNow + seconds(4), "s1");
@@ -221,36 +221,36 @@
   EXPECT_FALSE(IsListedAt("s1", milliseconds(6400)));
 }
 
-// Guards against a leaving server that is used since its record does not say so.
-TEST_F(DirectoryOfTwoServers, AnswerSaysThatAServerLeaves_TakesNoWorkWhateverRecordsOfItsLifeSay)
+// Guards against the use of a leaving server whose record does not say so.
+TEST_F(DirectoryOfTwoServers, AnswerAnnouncesThatAServerLeaves_RecordsOfItsIncarnationDoNotRevertIt)
 {
-  EXPECT_TRUE(directory_.NoteLeaving(kNow, "s1", 0));
-  EXPECT_FALSE(directory_.Find("s1")->TakesWork());
-  EXPECT_TRUE(directory_.Find("s2")->TakesWork());
+  EXPECT_TRUE(directory_.RecordLeaving(kNow, "s1", 0));
+  EXPECT_FALSE(directory_.Find("s1")->AcceptsWork());
+  EXPECT_TRUE(directory_.Find("s2")->AcceptsWork());
   Put("s1", "10.0.0.1:80", 9);
-  EXPECT_FALSE(directory_.Find("s1")->TakesWork());
+  EXPECT_FALSE(directory_.Find("s1")->AcceptsWork());
   directory_.Remove(kNow, "s1");
   EXPECT_FALSE(IsListedAt("s1", seconds(1)));
   Put("s1", "10.0.0.1:80", 12);
-  EXPECT_FALSE(directory_.Find("s1")->TakesWork());
-  ServerRecord nextIncarnation{ "s1", "rates", "10.0.0.1:80", "hall", 4, false, 13 };
-  nextIncarnation.incarnation_ = 200;
-  directory_.Put(kNow, nextIncarnation);
-  EXPECT_TRUE(directory_.Find("s1")->TakesWork());
+  EXPECT_FALSE(directory_.Find("s1")->AcceptsWork());
+  ServerRecord nextLife{ "s1", "rates", "10.0.0.1:80", "hall", 4, false, 13 };
+  nextLife.life_ = 200;
+  directory_.Put(kNow, nextLife);
+  EXPECT_TRUE(directory_.Find("s1")->AcceptsWork());
 }
 
-// Guards against a dropped record that hides what was learnt of the server since.
-TEST_F(DirectoryOfTwoServers, ServerIsDroppedAgain_IsRememberedAsItWasLast)
+// Guards against an older dropped record that hides what was learned of the server since.
+TEST_F(DirectoryOfTwoServers, ServerIsDroppedAgain_LatestRecordIsKept)
 {
   directory_.Remove(kNow, "s1");
   ASSERT_FALSE(IsListedAt("s1", seconds(1)));
   Put("s1", "10.0.0.9:80", 9);
-  directory_.NoteLeaving(kNow, "s1", 0);
+  directory_.RecordLeaving(kNow, "s1", 0);
   directory_.Remove(kNow, "s1");
   ASSERT_FALSE(IsListedAt("s1", seconds(1)));
   EXPECT_EQ(directory_.FindAny("s1")->address_, "10.0.0.9:80");
   Put("s1", "10.0.0.9:80", 12);
-  EXPECT_FALSE(directory_.Find("s1")->TakesWork());
+  EXPECT_FALSE(directory_.Find("s1")->AcceptsWork());
 }
 
 } // namespace
--- a/Tests/LibGateway/TestServerLoad.cpp
+++ b/Tests/LibGateway/TestServerLoad.cpp
@@ -13,7 +13,7 @@
 
   void Send() { load_.OnSent(now_, ++attempt_, kTarget); }
 
-  // One request after the other, each with the same latency.
+  // Sends requests one after the other, each with the same latency.
   void Answer(int aCount, Duration aLatency, SendResult aResult = SendResult::Answered)
   {
     for (int index = 0; index < aCount; ++index) {
@@ -24,15 +24,15 @@
     }
   }
 
-  // Keeps the limit full all the time.
+  // Keeps the limit reached all the time.
   void AnswerWhileFull(int aCount, Duration aLatency)
   {
     for (int index = 0; index < aCount; ++index) {
-      while (load_.HasRoom(now_)) {
+      while (load_.HasCapacity(now_)) {
         Send();
       }
       now_ += aLatency;
-      load_.OnEnded(now_, attempt_ - load_.UnderWay() + 1, SendResult::Answered);
+      load_.OnEnded(now_, attempt_ - load_.InFlight() + 1, SendResult::Answered);
     }
   }
 
@@ -41,15 +41,15 @@
   ServerLoad load_{ 2, 8 };
 };
 
-TEST_F(LoadOfAServer, LimitIsReached_HasNoRoom)
+TEST_F(LoadOfAServer, LimitIsReached_HasNoCapacity)
 {
   load_.OnSent(now_, 1, kTarget);
-  EXPECT_TRUE(load_.HasRoom(now_));
+  EXPECT_TRUE(load_.HasCapacity(now_));
   load_.OnSent(now_, 2, kTarget);
-  EXPECT_FALSE(load_.HasRoom(now_));
+  EXPECT_FALSE(load_.HasCapacity(now_));
 }
 
-TEST_F(LoadOfAServer, ServerStartsAgainUnderItsId_WhatWasLearntOfItIsForgotten)
+TEST_F(LoadOfAServer, ServerRestartsUnderItsId_StateIsReset)
 {
   load_.SetIncarnation(100);
   AnswerWhileFull(100, milliseconds(5));
@@ -63,7 +63,7 @@
   EXPECT_EQ(load_.MeanLatency(), Duration(0));
 }
 
-TEST_F(LoadOfAServer, FullAndFast_LimitGrowsUpToItsBound)
+TEST_F(LoadOfAServer, LimitIsReachedAndAnswersAreFast_LimitGrowsToItsMaximum)
 {
   AnswerWhileFull(200, milliseconds(5));
   EXPECT_EQ(load_.Limit(), 8U);
@@ -77,7 +77,7 @@
   EXPECT_EQ(load_.Limit(), 1U);
 }
 
-// Four times the former latency is no harm while callers get their answers in time.
+// Four times the former latency does not matter while answers are in time.
 TEST_F(LoadOfAServer, LatencyRisesManifoldWithinTheTarget_LimitStays)
 {
   AnswerWhileFull(100, milliseconds(5));
@@ -97,31 +97,31 @@
   EXPECT_EQ(load_.Limit(), 2U);
 }
 
-TEST_F(LoadOfAServer, RequestsAreUnderWay_TurnComesWhenTheOldestEnds)
+TEST_F(LoadOfAServer, RequestsAreInFlight_QueueTimeEndsWithTheOldest)
 {
   Send();
   Send();
   now_ += milliseconds(60);
-  // Two places, each free again after 100 ms: the next is free 40 ms from now, and one
-  // more every 50 ms.
-  EXPECT_EQ(load_.ExpectedTurn(now_, 0, milliseconds(100)), milliseconds(40));
-  EXPECT_EQ(load_.ExpectedTurn(now_, 2, milliseconds(100)), milliseconds(140));
-  // What is overdue may end at any moment.
-  EXPECT_EQ(load_.ExpectedTurn(now_ + seconds(1), 0, milliseconds(100)), milliseconds(25));
+  // Two places, each free again after 100 ms: the next is free 40 ms from now, and one more every
+  // 50 ms.
+  EXPECT_EQ(load_.ExpectedQueueTime(now_, 0, milliseconds(100)), milliseconds(40));
+  EXPECT_EQ(load_.ExpectedQueueTime(now_, 2, milliseconds(100)), milliseconds(140));
+  // An overdue request may end at any moment.
+  EXPECT_EQ(load_.ExpectedQueueTime(now_ + seconds(1), 0, milliseconds(100)), milliseconds(25));
 }
 
-TEST_F(LoadOfAServer, ShedAMomentAgo_TurnComesAfterThePause)
+TEST_F(LoadOfAServer, ShedRecently_QueueTimeIncludesTheSuspension)
 {
   Answer(1, milliseconds(1), SendResult::Shed);
-  EXPECT_GE(load_.ExpectedTurn(now_, 0, milliseconds(1)), milliseconds(15));
+  EXPECT_GE(load_.ExpectedQueueTime(now_, 0, milliseconds(1)), milliseconds(15));
 }
 
-TEST_F(LoadOfAServer, HalfOfTheLimitIsUnderWay_HasNoSpareRoom)
+TEST_F(LoadOfAServer, HalfOfTheLimitIsInFlight_HasNoSpareCapacity)
 {
-  EXPECT_TRUE(load_.HasSpareRoom());
+  EXPECT_TRUE(load_.HasSpareCapacity());
   Send();
-  EXPECT_TRUE(load_.HasRoom(now_));
-  EXPECT_FALSE(load_.HasSpareRoom());
+  EXPECT_TRUE(load_.HasCapacity(now_));
+  EXPECT_FALSE(load_.HasSpareCapacity());
 }
 
 TEST_F(LoadOfAServer, WorkIsTaken_CountsAnswersAndTimeOutsOnce)
@@ -135,30 +135,30 @@
   EXPECT_EQ(load_.TakeWork(), ServerWork());
 }
 
-TEST_F(LoadOfAServer, Sheds_LimitShrinksAndServerIsLeftAloneForAMoment)
+TEST_F(LoadOfAServer, RequestIsShed_LimitShrinksAndServerIsSuspended)
 {
   AnswerWhileFull(200, milliseconds(5));
   Answer(1, milliseconds(1), SendResult::Shed);
   EXPECT_EQ(load_.Limit(), 4U);
-  EXPECT_FALSE(load_.HasRoom(now_));
+  EXPECT_FALSE(load_.HasCapacity(now_));
 }
 
-TEST_F(LoadOfAServer, CannotBeReached_PauseDoublesAndEnds)
+TEST_F(LoadOfAServer, Unreachable_SuspensionDoublesAndEnds)
 {
   Answer(1, milliseconds(1), SendResult::NotReached);
-  EXPECT_FALSE(load_.HasRoom(now_ + milliseconds(100)));
-  EXPECT_TRUE(load_.HasRoom(now_ + milliseconds(300)));
+  EXPECT_FALSE(load_.HasCapacity(now_ + milliseconds(100)));
+  EXPECT_TRUE(load_.HasCapacity(now_ + milliseconds(300)));
   Answer(1, milliseconds(1), SendResult::NotReached);
-  EXPECT_FALSE(load_.HasRoom(now_ + milliseconds(300)));
-  EXPECT_TRUE(load_.HasRoom(now_ + milliseconds(600)));
+  EXPECT_FALSE(load_.HasCapacity(now_ + milliseconds(300)));
+  EXPECT_TRUE(load_.HasCapacity(now_ + milliseconds(600)));
 }
 
 TEST_F(LoadOfAServer, NoAnswerForManyTimesTheMean_NothingMoreIsSent)
 {
   Answer(20, milliseconds(20));
   Send();
-  EXPECT_TRUE(load_.HasRoom(now_ + milliseconds(100)));
-  EXPECT_FALSE(load_.HasRoom(now_ + milliseconds(400)));
+  EXPECT_TRUE(load_.HasCapacity(now_ + milliseconds(100)));
+  EXPECT_FALSE(load_.HasCapacity(now_ + milliseconds(400)));
 }
 
 TEST_F(LoadOfAServer, SomeFail_FailureShareFollows)
--- a/Tests/LibPermit/TestDispatchUnderLoad.cpp
+++ b/Tests/LibPermit/TestDispatchUnderLoad.cpp
@@ -94,7 +94,7 @@
   {
     std::size_t running_ = 0;
     std::deque<std::size_t> waiting_;
-    double pace_ = 1;
+    double slowdown_ = 1;
   };
 
   struct Step
@@ -176,7 +176,7 @@
     });
   }
 
-  void NoteLeaving(const std::string&, std::uint64_t) override {}
+  void RecordLeaving(const std::string&, std::uint64_t) override {}
   void Answer(CallerId, const MessageFromDispatcher& aMessage) override
   {
     if (const auto* permit = std::get_if<Permit>(&aMessage)) {
@@ -208,7 +208,7 @@
     // Mean 1; most values lie within a factor of two.
     constexpr double kSigma = 0.6;
     std::lognormal_distribution<double> spread(-kSigma * kSigma / 2, kSigma);
-    const auto work = Scale(kWork, SpeedOf(aServer) * server.pace_ * spread(random_));
+    const auto work = Scale(kWork, SpeedOf(aServer) * server.slowdown_ * spread(random_));
     In(work, [this, aRequest, aServer] { End(aRequest, aServer); });
   }
 
@@ -236,7 +236,7 @@
     const ServerStatus status{ static_cast<unsigned>(server.running_),
                                static_cast<unsigned>(server.waiting_.size()),
                                kSlots,
-                               server.pace_ };
+                               server.slowdown_ };
     const SendEnd end{ aRequest, aResult, now_ - requests_[aRequest].sent_, status };
     In(2 * kOneWayLatency,
        [this, aRequest, end] { dispatcher_.OnMessage(now_, 1 + aRequest % kInstances, end); });
