--- a/Benchmarks/BenchGateway.cpp
+++ b/Benchmarks/BenchGateway.cpp
@@ -71,11 +71,11 @@
   for (const auto& server : servers) {
     directory.Put(now, { server.id_, "rates", server.address_, "hall", 4, false, 1 });
   }
-  NoPermits permits;
-  RequestDesk desk({ "hall", {}, 1 }, directory, actions, permits, events);
-  desk.SetInstances(10);
-  desk.SetRoutes(now, MakeRoutes(aIsKeyed));
-  desk.SetOwnership(now, KeyBalancer::AssignAll("rates", 0, servers));
+  NullPermitSource permits;
+  GatewayRouter router({ "hall", {}, 1 }, directory, actions, permits, events);
+  router.SetInstances(10);
+  router.SetRoutes(now, MakeRoutes(aIsKeyed));
+  router.SetOwnership(now, KeyBalancer::AssignAll("rates", 0, servers));
   RequestNumber number = 0;
   for (auto _ : aState) {
     ++number;
--- a/Libraries/LibDaemon/GatewayFront.h
+++ b/Libraries/LibDaemon/GatewayFront.h
@@ -71,7 +71,7 @@
   {
     return client_->HasIdle(aAddress);
   }
-  void NoteLeaving(const std::string& aServer, std::uint64_t aIncarnation) override
+  void RecordLeaving(const std::string& aServer, std::uint64_t aIncarnation) override
   {
     leavingObserver_(aServer, aIncarnation);
   }
--- a/Libraries/LibDaemon/GatewayHost.cpp
+++ b/Libraries/LibDaemon/GatewayHost.cpp
@@ -230,12 +230,12 @@
 
   LeavingObserver RecordLeaving()
   {
-    return [this](const std::string& aServer, std::uint64_t aLife) {
-      member_.OnServerReportedLeaving(MonotonicNow(), aServer, aLife);
+    return [this](const std::string& aServer, std::uint64_t aIncarnation) {
+      member_.OnServerReportedLeaving(MonotonicNow(), aServer, aIncarnation);
     };
   }
 
-  void SendCommand(const std::string& aService, const KeyOrder& aOrder) override
+  void SendCommand(const std::string& aService, const KeyCommand& aCommand) override
   {
     ExchangeOptions options;
     options.timeout_ = kOrderTimeout;
@@ -247,7 +247,8 @@
                   [this, aService, aCommand](const HttpExchange& aExchange) {
                     const auto outcome = codec_.DecodeCommand(aCommand, aExchange);
                     if (outcome.isLeaving_) {
-                      member_.OnServerReportedLeaving(MonotonicNow(), aOrder.server_, aOrder.life_);
+                      member_.OnServerReportedLeaving(
+                        MonotonicNow(), aCommand.server_, aCommand.incarnation_);
                     }
                     member_.OnCommandEnded(MonotonicNow(), aService, aCommand.number_, outcome);
                   });
@@ -281,7 +282,7 @@
       });
   }
 
-  void SendUsage(const std::string& aAddress, const UseReport& aReport) override
+  void SendUsage(const std::string& aAddress, const UsageReport& aReport) override
   {
     peers_.SendUsage(aAddress, aReport);
   }
@@ -307,7 +308,7 @@
     front_.Router().SetOwnership(MonotonicNow(), aOwnership);
   }
 
-  void OnStalenessChanged(bool aIsStale) override { front_.Desk().SetNewsStale(aIsStale); }
+  void OnStalenessChanged(bool aIsStale) override { front_.Router().SetUpdatesStale(aIsStale); }
 
   void OnInstances(const std::map<std::string, FleetPeer>& aPeers) override
   {
@@ -335,7 +336,7 @@
   }
   void OnPermitRequestLost(Instant aNow, AttemptNumber aNumber) override
   {
-    front_.Desk().OnPermitRequestLost(aNow, aNumber);
+    front_.Router().OnPermitRequestLost(aNow, aNumber);
     front_.ArmTimer();
   }
 
--- a/Libraries/LibDaemon/PeerCalls.cpp
+++ b/Libraries/LibDaemon/PeerCalls.cpp
@@ -154,13 +154,14 @@
 }
 
 void
-PeerCalls::SendUsage(const std::string& aAddress, const UseReport& aReport)
+PeerCalls::SendUsage(const std::string& aAddress, const UsageReport& aReport)
 {
   client_->Send(aAddress,
                 MakePost(kUsesPath, SerializeUsageReport(aReport)),
                 kPeerTimeout,
                 [this](const HttpExchange& aExchange) {
-                  member_.OnUsageAnswered(MonotonicNow(), ReadAnswer(aExchange, ParseParts));
+                  member_.OnUsageAnswered(MonotonicNow(),
+                                          ReadAnswer(aExchange, ParseAdmittedShares));
                 });
 }
 
@@ -203,7 +204,7 @@
     return MakeHttpResponse(kBadRequest, report.error().Describe());
   }
   const auto parts = member_.OnUsage(MonotonicNow(), report.value());
-  return parts ? MakeHttpResponse(kOk, SerializeParts(*parts))
+  return parts ? MakeHttpResponse(kOk, SerializeAdmittedShares(*parts))
                : MakeHttpResponse(kConflict, "is not the placer\n");
 }
 
--- a/Libraries/LibDaemon/PeerCalls.h
+++ b/Libraries/LibDaemon/PeerCalls.h
@@ -24,7 +24,7 @@
   void SendReport(const std::string& aAddress, const InstanceReport& aReport);
   void SendUpdate(const std::vector<UpdateBranch>& aBranches, const FleetUpdate& aNews);
   void FetchUpdate(const std::string& aAddress, const TableVersions& aVersions);
-  void SendUsage(const std::string& aAddress, const UseReport& aReport);
+  void SendUsage(const std::string& aAddress, const UsageReport& aReport);
 
   void OnRequest(std::uint64_t aId, HttpRequest aRequest, HttpResponder aRespond) override;
   void OnGone(std::uint64_t) override {}
--- a/Libraries/LibDaemon/PermitLinks.h
+++ b/Libraries/LibDaemon/PermitLinks.h
@@ -56,7 +56,7 @@
   void Connect(const std::string& aDispatcher) override;
   void Disconnect(const std::string& aDispatcher) override;
   void Answer(CallerId aCaller, const MessageFromDispatcher& aMessage) override;
-  void NoteLeaving(const std::string& aServer, std::uint64_t aIncarnation) override
+  void RecordLeaving(const std::string& aServer, std::uint64_t aIncarnation) override
   {
     leavingObserver_(aServer, aIncarnation);
   }
--- a/Libraries/LibFleet/FleetMember.cpp
+++ b/Libraries/LibFleet/FleetMember.cpp
@@ -124,7 +124,7 @@
     placerMonitor_.OnFailure(PlacerFault::UpdatesPaused);
     UpdatePollMode(aNow);
   }
-  limits_.OnParts(aNow, aUpdate.parts_);
+  limits_.OnAdmittedShares(aNow, aUpdate.parts_);
   for (const auto& lease : aUpdate.uncertainLeases_) {
     KeepUncertainLease(aNow, lease);
   }
@@ -204,9 +204,11 @@
 }
 
 void
-FleetMember::OnServerReportedLeaving(Instant aNow, const std::string& aServer, std::uint64_t aLife)
+FleetMember::OnServerReportedLeaving(Instant aNow,
+                                     const std::string& aServer,
+                                     std::uint64_t aIncarnation)
 {
-  if (!view_.Directory().NoteLeaving(aNow, aServer, aIncarnation)) {
+  if (!view_.Directory().RecordLeaving(aNow, aServer, aIncarnation)) {
     return;
   }
   const bool isListedAsLeaving = view_.Directory().Find(aServer)->isLeaving_;
--- a/Libraries/LibFleet/FleetMember.h
+++ b/Libraries/LibFleet/FleetMember.h
@@ -35,8 +35,8 @@
   // Changes how the store's tables are polled; aKnown holds the version of each table that this
   // instance has.
   virtual void SetPollMode(StorePollMode aMode, const TableVersions& aKnown) = 0;
-  // Sends a key command to a server; the result is passed to OnOrderEnded.
-  virtual void SendCommand(const std::string& aService, const KeyOrder& aOrder) = 0;
+  // Sends a key command to a server; the result is passed to OnCommandEnded.
+  virtual void SendCommand(const std::string& aService, const KeyCommand& aOrder) = 0;
   // Sends a report to the placer at aAddress; the result is passed to OnReportAnswered.
   virtual void SendReport(const std::string& aAddress, const InstanceReport& aReport) = 0;
   // Pushes an update to other instances along the branches of an update tree.
@@ -50,7 +50,7 @@
   virtual void ReadConfigurationVersion() = 0;
   // Sends this instance's usage of the groups' limits to the limit coordinator; the result is
   // passed to OnUsageAnswered.
-  virtual void SendUsage(const std::string& aAddress, const UseReport& aReport) = 0;
+  virtual void SendUsage(const std::string& aAddress, const UsageReport& aReport) = 0;
 
   // A new configuration is in force.
   virtual void OnRoutes(std::shared_ptr<const RouteTable> aRoutes) = 0;
@@ -115,12 +115,14 @@
   // Result of FleetActions::Transact. Transactions are sent one at a time.
   void OnTransactEnded(Instant aNow, const StoreReply& aReply);
   // Result of FleetActions::SendCommand.
-  void OnOrderEnded(Instant aNow,
-                    const std::string& aService,
-                    OrderNumber aOrder,
-                    const OrderOutcome& aOutcome);
+  void OnCommandEnded(Instant aNow,
+                      const std::string& aService,
+                      CommandNumber aOrder,
+                      const CommandOutcome& aOutcome);
   // A response of that incarnation of a server announced that the server is about to shut down.
-  void OnServerReportedLeaving(Instant aNow, const std::string& aServer, std::uint64_t aLife);
+  void OnServerReportedLeaving(Instant aNow,
+                               const std::string& aServer,
+                               std::uint64_t aIncarnation);
   // Handles a report of another instance and returns the response to it.
   ReportAnswer OnReport(Instant aNow, const InstanceReport& aReport);
   // Result of FleetActions::SendReport; no value if no response arrived. aRoundTrip is the time
@@ -143,9 +145,9 @@
   void OnConfigurationRead(Instant aNow, Instant aAskedAt, std::optional<RowVersion> aVersion);
   // Handles another instance's usage of the groups' limits and returns the admitted shares of those
   // groups. No value if this instance is not the placer, which is the limit coordinator.
-  std::optional<GroupParts> OnUsage(Instant aNow, const UseReport& aReport);
+  std::optional<AdmittedShares> OnUsage(Instant aNow, const UsageReport& aReport);
   // Result of FleetActions::SendUsage; no value if no response arrived.
-  void OnUsageAnswered(Instant aNow, const std::optional<GroupParts>& aParts);
+  void OnUsageAnswered(Instant aNow, const std::optional<AdmittedShares>& aParts);
   // Counts a request for a key of a keyed service, for the load reports.
   void CountKey(const std::string& aService, KeyNumber aKey);
   // Runs all periodic work; the caller calls it every few tens of milliseconds.
@@ -159,7 +161,7 @@
   // keys can be accepted.
   bool IsServing(Instant aNow) const;
   // Admission control by the groups' limits.
-  GroupGate& Gate() { return limits_; }
+  GroupAdmission& Gate() { return limits_; }
 
 private:
   class ServicePlacer;
@@ -335,9 +337,9 @@
   Instant proofsValidFrom_ = Instant::min();
   StoreEpoch proofEpoch_ = 0;
   Instant reportedAt_ = Instant::min();
-  LimitMember limits_;
+  LimitEnforcer limits_;
   // Used only while this instance is the placer.
-  LimitKeeper limitCoordinator_;
+  LimitCoordinator limitCoordinator_;
   // Uncertain leases: until when each server may hold keys because of a command whose outcome is
   // unknown.
   std::map<std::string, Instant> uncertainLeases_;
--- a/Libraries/LibFleet/FleetMemberConfiguration.cpp
+++ b/Libraries/LibFleet/FleetMemberConfiguration.cpp
@@ -50,7 +50,7 @@
 {
   if (view_.Epoch() != proofEpoch_) {
     proofEpoch_ = view_.Epoch();
-    proofsValidFrom_ = aNow + kReturnAfterOutage;
+    proofsValidFrom_ = aNow + kReregistrationTime;
   }
   if (!NeedsProofs()) {
     return;
--- a/Libraries/LibFleet/FleetMemberLimits.cpp
+++ b/Libraries/LibFleet/FleetMemberLimits.cpp
@@ -10,27 +10,27 @@
 FleetMember::UpdateLimits(Instant aNow)
 {
   if (!election_.IsPlacer()) {
-    if (election_.Current() && limits_.IsTellDue(aNow)) {
+    if (election_.Current() && limits_.IsReportDue(aNow)) {
       actions_.SendUsage(election_.Current()->address_,
-                         { settings_.self_.address_, limits_.TakeUses(aNow) });
+                         { settings_.self_.address_, limits_.TakeUsage(aNow) });
     }
     return;
   }
-  limits_.OnKeeperHeard(aNow);
-  if (limits_.IsTellDue(aNow)) {
-    const auto uses = limits_.TakeUses(aNow);
-    limitCoordinator_.OnUses(aNow, uses);
-    limits_.OnParts(aNow, limitCoordinator_.PartsOf(aNow, uses));
+  limits_.OnCoordinatorContact(aNow);
+  if (limits_.IsReportDue(aNow)) {
+    const auto uses = limits_.TakeUsage(aNow);
+    limitCoordinator_.OnUsage(aNow, uses);
+    limits_.OnAdmittedShares(aNow, limitCoordinator_.AdmittedSharesOf(aNow, uses));
   }
   FleetUpdate update;
-  update.parts_ = limitCoordinator_.TakeShort(aNow);
+  update.parts_ = limitCoordinator_.TakeRestrictedShares(aNow);
   for (const auto& part : update.parts_) {
     events_.Record(Event::GroupOverLimit,
                    "group=" + part.group_ + " part=" + std::to_string(part.share_) +
                      " late_part=" + std::to_string(part.lateShare_));
   }
   if (!update.parts_.empty()) {
-    limits_.OnParts(aNow, update.parts_);
+    limits_.OnAdmittedShares(aNow, update.parts_);
     Broadcast(update);
   }
 }
@@ -38,28 +38,28 @@
 void
 FleetMember::StartLimitCoordinator(Instant aNow)
 {
-  limitCoordinator_ = LimitKeeper(settings_.limitWindow_);
+  limitCoordinator_ = LimitCoordinator(settings_.limitWindow_);
   if (view_.Routes()) {
     limitCoordinator_.SetGroups(aNow, view_.Routes()->Configuration().groups_);
   }
   for (const auto& [address, peer] : roster_.Peers()) {
-    limitCoordinator_.OnHeard(aNow, address);
+    limitCoordinator_.OnInstanceContact(aNow, address);
   }
 }
 
-std::optional<GroupParts>
-FleetMember::OnUsage(Instant aNow, const UseReport& aReport)
+std::optional<AdmittedShares>
+FleetMember::OnUsage(Instant aNow, const UsageReport& aReport)
 {
   if (!election_.IsPlacer()) {
     return std::nullopt;
   }
-  limitCoordinator_.OnHeard(aNow, aReport.address_);
-  limitCoordinator_.OnUses(aNow, aReport.uses_);
-  return limitCoordinator_.PartsOf(aNow, aReport.uses_);
+  limitCoordinator_.OnInstanceContact(aNow, aReport.address_);
+  limitCoordinator_.OnUsage(aNow, aReport.usages_);
+  return limitCoordinator_.AdmittedSharesOf(aNow, aReport.usages_);
 }
 
 void
-FleetMember::OnUsageAnswered(Instant aNow, const std::optional<GroupParts>& aParts)
+FleetMember::OnUsageAnswered(Instant aNow, const std::optional<AdmittedShares>& aParts)
 {
   if (aParts) {
     limits_.OnCoordinatorContact(aNow);
--- a/Libraries/LibFleet/FleetMemberPlacer.cpp
+++ b/Libraries/LibFleet/FleetMemberPlacer.cpp
@@ -112,7 +112,7 @@
 bool
 FleetMember::MaySendCommands(Instant aNow) const
 {
-  const auto bound = settings_.placer_.renewalAlone_;
+  const auto bound = settings_.placer_.isolatedRenewalTime_;
   if (aNow - storeContactAt_ < bound) {
     return true;
   }
@@ -138,7 +138,7 @@
     server.id_ = id;
     server.address_ = record.address_;
     server.incarnation_ = record.incarnation_;
-    server.isUsable_ = record.TakesWork() && !view_.Directory().HasEnded(id);
+    server.isUsable_ = record.AcceptsWork() && !view_.Directory().HasEnded(id);
     if (median) {
       const double atLimit =
         kUsableRateLimitShare * speeds_.RateLimitOf(aNow, id) * ToSeconds(*median);
--- a/Libraries/LibFleet/FleetMemberReports.cpp
+++ b/Libraries/LibFleet/FleetMemberReports.cpp
@@ -91,7 +91,7 @@
   reporter.processorShare_ = aReport.processorShare_;
   strongestShare_ = std::max(strongestShare_, aReport.processorShare_);
   if (election_.IsPlacer()) {
-    limitCoordinator_.OnHeard(aNow, aReport.address_);
+    limitCoordinator_.OnInstanceContact(aNow, aReport.address_);
     roster_.Put({ aReport.address_, aReport.hall_, aReport.processorShare_ });
     if (aReport.lacksTables_) {
       awaitingTables_.insert(aReport.address_);
@@ -176,7 +176,7 @@
 {
   if (aAnswer) {
     placerContactAt_ = aNow;
-    limits_.OnKeeperHeard(aNow);
+    limits_.OnCoordinatorContact(aNow);
     OnProofReceived(aNow, aAnswer->proof_, aRoundTrip);
   }
   // A placer that cannot reach the store is as good as any other while this instance cannot reach
--- a/Libraries/LibFleet/FleetUpdate.cpp
+++ b/Libraries/LibFleet/FleetUpdate.cpp
@@ -111,7 +111,7 @@
   }
   PutProof(aUpdate.proof_, document);
   if (!aUpdate.parts_.empty()) {
-    document["parts"] = SerializeParts(aUpdate.parts_);
+    document["parts"] = SerializeAdmittedShares(aUpdate.parts_);
   }
   return boost::json::serialize(document);
 }
@@ -156,7 +156,7 @@
   BOOST_OUTCOME_TRY(update.proof_, ProofFromJson(value.as_object()));
   if (value.as_object().contains("parts")) {
     BOOST_OUTCOME_TRY(const auto parts, reader.Text("parts"));
-    BOOST_OUTCOME_TRY(update.parts_, ParseParts(parts));
+    BOOST_OUTCOME_TRY(update.parts_, ParseAdmittedShares(parts));
   }
   return update;
 }
--- a/Libraries/LibFleet/FleetUpdate.h
+++ b/Libraries/LibFleet/FleetUpdate.h
@@ -65,7 +65,7 @@
   // Set only in responses to a fetch, whose receiver can tell how old it is on arrival.
   std::optional<ConfigurationProof> proof_;
   // Admitted shares of the groups that exceed their limits.
-  GroupParts parts_;
+  AdmittedShares parts_;
 };
 
 std::string
--- a/Libraries/LibFleet/ServicePlacer.h
+++ b/Libraries/LibFleet/ServicePlacer.h
@@ -16,8 +16,11 @@
   {
   }
 
-  void Order(const KeyOrder& aOrder) override { member_.actions_.SendCommand(service_, aOrder); }
-  std::optional<ServerLife> LifeOf(const std::string& aServer) const override
+  void SendCommand(const KeyCommand& aCommand) override
+  {
+    member_.actions_.SendCommand(service_, aCommand);
+  }
+  std::optional<ServerIncarnation> FindIncarnation(const std::string& aServer) const override
   {
     const auto& directory = member_.Directory();
     const auto* record = directory.FindAny(aServer);
@@ -29,7 +32,7 @@
                               record->IsLeaving(),
                               directory.HasEnded(aServer) };
   }
-  void Doubt(Instant aNow, const std::string& aServer, Duration aDuration) override
+  void RecordUncertainLease(Instant aNow, const std::string& aServer, Duration aDuration) override
   {
     member_.BroadcastUncertainLease(aNow, { aServer, aDuration });
   }
--- a/Libraries/LibGateway/GatewayRouter.cpp
+++ b/Libraries/LibGateway/GatewayRouter.cpp
@@ -44,7 +44,7 @@
 constexpr Duration kWrongOwnerRetryDelay = milliseconds(30);
 // Time for which the address of an ended incarnation is suspended; the directory has been updated
 // by then.
-constexpr Duration kOtherLifePause = seconds(3);
+constexpr Duration kOtherIncarnationPause = seconds(3);
 
 // Whether the server answered that the request failed.
 bool
@@ -163,17 +163,18 @@
   attempts_.erase(attempt);
   auto& pending = pending_.at(number);
   if (aOutcome.isLeaving_) {
-    actions_.RecordLeaving(pending.server_, pending.serverLife_);
+    actions_.RecordLeaving(pending.server_, pending.serverIncarnation_);
   }
   const auto service = pending.service_->name_;
   const auto result = ToSendResult(aOutcome);
-  permits_.TellEnd({ aAttempt,
-                     result,
-                     aNow - pending.sentAt_,
-                     aOutcome.server_,
-                     aOutcome.backoff_.value_or(Duration(0)),
-                     aOutcome.isLeaving_ ? std::optional(pending.serverLife_) : std::nullopt,
-                     aOutcome.rateLimit_ });
+  permits_.ReportSendEnd(
+    { aAttempt,
+      result,
+      aNow - pending.sentAt_,
+      aOutcome.server_,
+      aOutcome.backoff_.value_or(Duration(0)),
+      aOutcome.isLeaving_ ? std::optional(pending.serverIncarnation_) : std::nullopt,
+      aOutcome.rateLimit_ });
   if (const auto load = loads_.find(pending.server_); load != loads_.end()) {
     load->second.OnEnded(aNow, aAttempt, result);
     if (aOutcome.isOtherIncarnation_) {
@@ -264,7 +265,7 @@
                    std::to_string(aOutcome.status_) + " sends=" + std::to_string(aPending.sends_) +
                    " rest_us=" + std::to_string(aOutcome.backoff_.value_or(Duration(0)).count()));
   aPending.tried_.push_back(aPending.server_);
-  if (aOutcome.end_ == AttemptEnd::WrongServer && !aOutcome.isOtherLife_) {
+  if (aOutcome.end_ == AttemptEnd::WrongServer && !aOutcome.isOtherIncarnation_) {
     aPending.notBefore_ = aNow + kWrongOwnerRetryDelay;
   }
   if (!TrySend(aNow, aPending)) {
@@ -566,7 +567,7 @@
 {
   // A dispatcher allocates the full rate of a server, of which this instance alone has only a
   // share.
-  if (permits_.CanAsk(aPending.service_->name_)) {
+  if (permits_.CanRequestPermit(aPending.service_->name_)) {
     return RemainingBackoff(aNow, aPending);
   }
   const auto ahead = QueuedAhead(aPending);
--- a/Libraries/LibGateway/GatewayRouter.h
+++ b/Libraries/LibGateway/GatewayRouter.h
@@ -57,8 +57,8 @@
   // Time of the next timer; no value if none is set.
   std::optional<Instant> NextTime() const;
 
-  // Answers of the dispatcher to permit requests. OnAskLost: the dispatcher is gone and will not
-  // answer. aWait is the time until the dispatcher expects to have capacity.
+  // Answers of the dispatcher to permit requests. OnPermitRequestLost: the dispatcher is gone and
+  // will not answer. aWait is the time until the dispatcher expects to have capacity.
   void OnPermit(Instant aNow, AttemptNumber aNumber, const std::string& aServer);
   void OnPermitDelayed(Instant aNow, AttemptNumber aNumber);
   void OnPermitDenied(Instant aNow, AttemptNumber aNumber, Duration aWait);
--- a/Libraries/LibGateway/Messages.h
+++ b/Libraries/LibGateway/Messages.h
@@ -85,7 +85,7 @@
   AttemptEnd end_ = AttemptEnd::Broken;
   unsigned status_ = 0;
   // Set with WrongServer if another incarnation answered: the intended one has ended.
-  bool isOtherLife_ = false;
+  bool isOtherIncarnation_ = false;
   // No value if the server reported no load or an invalid one.
   std::optional<ServerStatus> server_;
   // The intended server incarnation announced that it is shutting down.
@@ -154,7 +154,7 @@
   // is expensive.
   virtual bool HasConnection(const std::string& aAddress) const = 0;
   // An answer of that server incarnation announced that it is shutting down.
-  virtual void RecordLeaving(const std::string& aServer, std::uint64_t aLife) = 0;
+  virtual void RecordLeaving(const std::string& aServer, std::uint64_t aIncarnation) = 0;
   // Counts a request for a key whether or not its owner can serve it: keys whose owner is full or
   // unknown are the ones that must be spread over more servers.
   virtual void CountKey(const std::string& aService, KeyNumber aKey) = 0;
--- a/Libraries/LibGateway/PermitMessages.h
+++ b/Libraries/LibGateway/PermitMessages.h
@@ -15,7 +15,7 @@
 // one server. Attempt numbers are assigned by the requesting instance.
 
 // Requests a permit.
-struct PermitAsk
+struct PermitRequest
 {
   AttemptNumber number_ = 0;
   std::string service_;
@@ -71,7 +71,7 @@
   Duration backoff_{ 0 };
   // The server incarnation, as in ServerRecord, if that incarnation announced that it is shutting
   // down.
-  std::optional<std::uint64_t> leavingLife_{};
+  std::optional<std::uint64_t> leavingIncarnation_{};
   // As in AttemptOutcome.
   std::optional<double> rateLimit_{};
 
--- a/Libraries/LibGateway/PermitRequests.cpp
+++ b/Libraries/LibGateway/PermitRequests.cpp
@@ -109,7 +109,7 @@
   }
   const auto* record = directory_.Find(aServer);
   if (record != nullptr && record->hasAnnouncedLeaving_) {
-    end.leavingLife_ = record->life_;
+    end.leavingIncarnation_ = record->incarnation_;
   }
   return end;
 }
@@ -128,7 +128,7 @@
     SendTo(aNow, *pending, *server, aNumber, *timeLeft);
     return;
   }
-  permits_.TellEnd(UnusedPermitReport(aNow, aNumber, aServer));
+  permits_.ReportSendEnd(UnusedPermitReport(aNow, aNumber, aServer));
   pending->notBefore_ = aNow + kViewConvergenceDelay;
   WaitOrRefuse(aNow, *pending);
 }
@@ -158,7 +158,7 @@
 }
 
 void
-GatewayRouter::OnAskLost(Instant aNow, AttemptNumber aNumber)
+GatewayRouter::OnPermitRequestLost(Instant aNow, AttemptNumber aNumber)
 {
   auto* pending = TakePermitRequest(aNumber);
   if (pending != nullptr && !TrySend(aNow, *pending)) {
--- a/Libraries/LibGateway/PermitSource.h
+++ b/Libraries/LibGateway/PermitSource.h
@@ -13,28 +13,28 @@
 
   // Whether the dispatcher of the service can be asked for permits; if not, the instance chooses
   // servers by its local state alone.
-  virtual bool CanAsk(const std::string& aService) const = 0;
+  virtual bool CanRequestPermit(const std::string& aService) const = 0;
   // Sends a permit request.
-  virtual void RequestPermit(Instant aNow, const PermitAsk& aRequest) = 0;
+  virtual void RequestPermit(Instant aNow, const PermitRequest& aRequest) = 0;
   virtual void Withdraw(AttemptNumber aNumber) = 0;
   // The dispatcher did not answer a permit request before its timeout.
   virtual void OnPermitTimeout(Instant aNow, const std::string& aService) = 0;
   // Reports a send that used no permit.
-  virtual void TellSend(Instant aNow, const SendNotice& aNotice) = 0;
+  virtual void ReportSend(Instant aNow, const SendNotice& aNotice) = 0;
   // Reports the end of an attempt, or that a permit was not used.
-  virtual void TellEnd(const SendEnd& aEnd) = 0;
+  virtual void ReportSendEnd(const SendEnd& aEnd) = 0;
 };
 
 // For an instance without a dispatcher: it chooses servers by its local state alone.
 class NullPermitSource : public PermitSource
 {
 public:
-  bool CanAsk(const std::string&) const override { return false; }
-  void RequestPermit(Instant, const PermitAsk&) override {}
+  bool CanRequestPermit(const std::string&) const override { return false; }
+  void RequestPermit(Instant, const PermitRequest&) override {}
   void Withdraw(AttemptNumber) override {}
   void OnPermitTimeout(Instant, const std::string&) override {}
-  void TellSend(Instant, const SendNotice&) override {}
-  void TellEnd(const SendEnd&) override {}
+  void ReportSend(Instant, const SendNotice&) override {}
+  void ReportSendEnd(const SendEnd&) override {}
 };
 
 } // namespace latchslip
--- a/Libraries/LibGateway/ServerChoice.cpp
+++ b/Libraries/LibGateway/ServerChoice.cpp
@@ -93,7 +93,7 @@
     most);
   auto& load = loads_.try_emplace(aRecord.id_, first, most).first->second;
   load.SetMaxLimit(most);
-  load.SetLife(aRecord.life_);
+  load.SetIncarnation(aRecord.incarnation_);
   return load;
 }
 
--- a/Libraries/LibGateway/ServerDirectory.cpp
+++ b/Libraries/LibGateway/ServerDirectory.cpp
@@ -55,8 +55,8 @@
 {
   aRecord.isHallDrained_ = drainedHalls_.contains(aRecord.hall_);
   const auto* known = FindAny(aRecord.id_);
-  const bool isSameLife = known != nullptr && known->life_ == aRecord.life_;
-  aRecord.hasAnnouncedLeaving_ = isSameLife && known->hasAnnouncedLeaving_;
+  const bool isSameIncarnation = known != nullptr && known->incarnation_ == aRecord.incarnation_;
+  aRecord.hasAnnouncedLeaving_ = isSameIncarnation && known->hasAnnouncedLeaving_;
   if (aRecord.IsLeaving()) {
     aRecord.leavingSince_ = isSameIncarnation ? std::min(known->leavingSince_, aNow) : aNow;
   }
@@ -69,18 +69,18 @@
 }
 
 bool
-ServerDirectory::RecordLeaving(Instant aNow, const std::string& aId, std::uint64_t aLife)
+ServerDirectory::RecordLeaving(Instant aNow, const std::string& aId, std::uint64_t aIncarnation)
 {
   const auto listed = records_.find(aId);
   const auto former = droppedRecords_.find(aId);
   if (listed == records_.end()) {
-    if (former != droppedRecords_.end() && former->second.life_ == aLife) {
+    if (former != droppedRecords_.end() && former->second.incarnation_ == aIncarnation) {
       former->second.hasAnnouncedLeaving_ = true;
     }
     return false;
   }
   auto& record = listed->second;
-  if (record.life_ != aLife || record.hasAnnouncedLeaving_) {
+  if (record.incarnation_ != aIncarnation || record.hasAnnouncedLeaving_) {
     return false;
   }
   record.hasAnnouncedLeaving_ = true;
--- a/Libraries/LibGateway/ServerDirectory.h
+++ b/Libraries/LibGateway/ServerDirectory.h
@@ -43,7 +43,7 @@
   // Time since which it is known to be leaving; set by the directory.
   Instant leavingSince_ = Instant::max();
   // Distinguishes incarnations under one id, the later the higher; 0 if not reported.
-  std::uint64_t life_ = 0;
+  std::uint64_t incarnation_ = 0;
 
   bool IsLeaving() const { return isLeaving_ || hasAnnouncedLeaving_; }
   // Whether it may get new work.
@@ -67,7 +67,7 @@
 
   // An answer of that server incarnation announced that it is shutting down. No record of the
   // same incarnation reverts this. Returns whether this changed a listed server.
-  bool RecordLeaving(Instant aNow, const std::string& aId, std::uint64_t aLife);
+  bool RecordLeaving(Instant aNow, const std::string& aId, std::uint64_t aIncarnation);
 
   // Nothing may be sent to the servers of the hall until it is restored.
   void DrainHall(const std::string& aHall);
--- a/Libraries/LibGateway/ServerLoad.cpp
+++ b/Libraries/LibGateway/ServerLoad.cpp
@@ -186,7 +186,7 @@
 {
   ++work_.answers_;
   work_.busy_ += aLatency;
-  meanLatency_ = Blend(meanLatency_, aLatency, kLatencyWeight);
+  meanLatency_ = ExponentialAverage(meanLatency_, aLatency, kLatencyWeight);
 }
 
 void
--- a/Libraries/LibGateway/ServerLoad.h
+++ b/Libraries/LibGateway/ServerLoad.h
@@ -38,7 +38,7 @@
   void SetMaxLimit(std::size_t aMaxLimit);
   // Sets the server's current incarnation, 0 if not reported, and drops what was learned of an
   // earlier one.
-  void SetLife(std::uint64_t aLife);
+  void SetIncarnation(std::uint64_t aIncarnation);
 
   SlowStartLimiter& SlowStart() { return slowStart_; }
   // The rate limit that the server advertises.
@@ -91,7 +91,7 @@
   double limit_;
   double maxLimit_;
   Instant backoffUntil_ = Instant::min();
-  std::uint64_t life_ = 0;
+  std::uint64_t incarnation_ = 0;
   SlowStartLimiter slowStart_;
   RateLimit rateLimit_;
   Instant shrunkAt_ = Instant::min();
--- a/Libraries/LibInstance/InstanceCore.cpp
+++ b/Libraries/LibInstance/InstanceCore.cpp
@@ -87,7 +87,7 @@
     return false;
   }
   return aNow - viewConfirmedAt_ <= timing_.maxViewAge_ ||
-         membership_.HeardFromMajority(aNow, timing_.maxViewAge_);
+         membership_.HasMajorityContact(aNow, timing_.maxViewAge_);
 }
 
 void
@@ -235,7 +235,7 @@
 InstanceCore::OnPeerUp(Instant aNow, const InstanceId& aPeer, std::string_view aHall)
 {
   events_.Record(Event::PeerConnected, "peer=" + aPeer + " hall=" + std::string(aHall));
-  membership_.OnHeard(aNow, aPeer, aHall, membership_.IsLeavingInstance(aPeer));
+  membership_.OnContact(aNow, aPeer, aHall, membership_.IsLeavingInstance(aPeer));
   // The peer replies with every row that changed while the two were disconnected.
   outbox_.SendToPeer(aPeer, ViewStamps{ view_.Stamps() });
   AcknowledgeConfiguration(aPeer);
--- a/Libraries/LibInstance/PlanController.cpp
+++ b/Libraries/LibInstance/PlanController.cpp
@@ -222,7 +222,7 @@
   }
   boost::json::array inForce;
   boost::json::array pending;
-  for (const auto& instance : context_.membership_.Live(aNow)) {
+  for (const auto& instance : context_.membership_.LiveInstances(aNow)) {
     const bool has = aConfirmation.appliedBy_.contains(instance.id_);
     (has ? inForce : pending).emplace_back(instance.id_);
   }
--- a/Libraries/LibNet/PermitCodec.cpp
+++ b/Libraries/LibNet/PermitCodec.cpp
@@ -53,7 +53,7 @@
   out.setNumber(aEnd.number_);
   out.setResult(static_cast<std::uint8_t>(aEnd.result_));
   out.setLatencyMicros(aEnd.latency_.count());
-  out.setRestMicros(aEnd.rest_.count());
+  out.setRestMicros(aEnd.backoff_.count());
   out.setIsLeaving(aEnd.leavingIncarnation_.has_value());
   out.setLife(aEnd.leavingIncarnation_.value_or(0));
   out.setHasRateLimit(aEnd.rateLimit_.has_value());
--- a/Libraries/LibPermit/DispatchedServer.cpp
+++ b/Libraries/LibPermit/DispatchedServer.cpp
@@ -36,7 +36,7 @@
   incarnation_ = aRecord.incarnation_;
   hall_ = aRecord.hall_;
   slots_ = std::max(1U, aRecord.slots_);
-  acceptsWork_ = aRecord.TakesWork();
+  acceptsWork_ = aRecord.AcceptsWork();
   slowStartUntil_ = aRecord.slowStartUntil_;
   slowStartRate_ = aSlowStartRate;
 }
@@ -50,7 +50,7 @@
   lastAnswers_.clear();
   backoffUntil_.clear();
   meanWork_ = Duration(0);
-  pace_ = 1;
+  slowdown_ = 1;
   otherRequests_ = 0;
   statusAt_ = Instant::min();
 }
@@ -84,8 +84,8 @@
   if (aEnd.result_ == SendResult::Answered) {
     RecordAnswer(aNow, aCaller);
   }
-  if (aEnd.rest_ > Duration(0)) {
-    StartBackoff(aNow, aCaller, aEnd.rest_);
+  if (aEnd.backoff_ > Duration(0)) {
+    StartBackoff(aNow, aCaller, aEnd.backoff_);
   }
   if (aEnd.rateLimit_) {
     rateLimit_.OnAdvertised(aNow, aSentAt, *aEnd.rateLimit_, 1);
@@ -131,15 +131,15 @@
   if (aEnd.status_) {
     const std::size_t reported = aEnd.status_->running_ + aEnd.status_->waiting_;
     otherRequests_ = reported > startTimes_.size() ? reported - startTimes_.size() : 0;
-    pace_ = aEnd.status_->pace_;
+    slowdown_ = aEnd.status_->slowdown_;
     statusAt_ = aNow;
   }
   if (aEnd.result_ != SendResult::Answered) {
     return;
   }
-  const double slowdown = aEnd.status_ ? aEnd.status_->pace_ : 1;
+  const double slowdown = aEnd.status_ ? aEnd.status_->slowdown_ : 1;
   const auto work = Scale(aEnd.latency_, 1 / ((1 + RelativeWait(aInFlightAtStart)) * slowdown));
-  meanWork_ = Blend(meanWork_, work, kWorkWeight);
+  meanWork_ = ExponentialAverage(meanWork_, work, kWorkWeight);
 }
 
 // Requests that are already there must leave a slot first.
@@ -164,7 +164,7 @@
   if (statusAt_ == Instant::min()) {
     return 1;
   }
-  return 1 + (pace_ - 1) * std::exp(-ToSeconds(aNow - statusAt_) / ToSeconds(kStatusLifetime));
+  return 1 + (slowdown_ - 1) * std::exp(-ToSeconds(aNow - statusAt_) / ToSeconds(kStatusLifetime));
 }
 
 bool
@@ -183,7 +183,7 @@
 DispatchedServer::HasCapacity(Instant aNow, Duration aDefaultWork) const
 {
   if (!acceptsWork_ || health_.IsSuspended(aNow) || Load(aNow) >= slots_ + kMaxQueuedAtServer ||
-      !AllowsSlowStart(aNow) || !rateLimit_.HasRoom(aNow)) {
+      !AllowsSlowStart(aNow) || !rateLimit_.HasCapacity(aNow)) {
     return false;
   }
   return startTimes_.empty() ||
@@ -210,9 +210,9 @@
   const auto work = WorkTime(aNow, aDefaultWork);
   const auto interval = Scale(work, 1 / static_cast<double>(slots_));
   const auto first = startTimes_.empty() ? Duration(0) : interval;
-  auto turn = std::max(first, health_.PauseLeft(aNow));
+  auto turn = std::max(first, health_.RemainingDelay(aNow));
   turn += interval * static_cast<Duration::rep>(aAhead);
-  turn = std::max(turn, rateLimit_.WaitLeft(aNow, aAhead));
+  turn = std::max(turn, rateLimit_.RemainingWait(aNow, aAhead));
   if (AllowsSlowStart(aNow)) {
     return turn;
   }
--- a/Libraries/LibPermit/DispatchedServer.h
+++ b/Libraries/LibPermit/DispatchedServer.h
@@ -96,7 +96,7 @@
   // End of the backoff by instance.
   std::map<CallerId, Instant> backoffUntil_;
   Duration meanWork_{ 0 };
-  double pace_ = 1;
+  double slowdown_ = 1;
   std::size_t otherRequests_ = 0;
   Instant statusAt_ = Instant::min();
 };
--- a/Libraries/LibPermit/PermitClient.h
+++ b/Libraries/LibPermit/PermitClient.h
@@ -66,7 +66,7 @@
   bool CanRequestPermit(const std::string& aService) const override;
   void RequestPermit(Instant aNow, const PermitRequest& aRequest) override;
   void Withdraw(AttemptNumber aNumber) override;
-  void OnUnanswered(Instant aNow, const std::string& aService) override;
+  void OnPermitTimeout(Instant aNow, const std::string& aService) override;
   void ReportSend(Instant aNow, const SendNotice& aNotice) override;
   void ReportSendEnd(const SendEnd& aEnd) override;
 
--- a/Libraries/LibPermit/PermitDispatcher.cpp
+++ b/Libraries/LibPermit/PermitDispatcher.cpp
@@ -178,14 +178,14 @@
   const auto send = std::move(permit->second);
   permits_.erase(permit);
   if (aEnd.leavingIncarnation_) {
-    actions_.NoteLeaving(send.server_, *aEnd.leavingIncarnation_);
+    actions_.RecordLeaving(send.server_, *aEnd.leavingIncarnation_);
   }
   auto& service = services_.at(send.service_);
   if (const auto server = service.servers_.find(send.server_); server != service.servers_.end()) {
     server->second.OnEnded(aNow, aCaller, send.sentAt_, send.inFlightAtStart_, aEnd);
     const auto work = server->second.NormalWorkTime();
     if (work > Duration(0)) {
-      service.meanWork_ = Blend(service.meanWork_, work, kServiceWeight);
+      service.meanWork_ = ExponentialAverage(service.meanWork_, work, kServiceWeight);
     }
   }
   ServeLane(aNow, service, send.server_);
--- a/Libraries/LibPermit/PermitDispatcher.h
+++ b/Libraries/LibPermit/PermitDispatcher.h
@@ -22,7 +22,7 @@
 
   virtual void Answer(CallerId aCaller, const MessageFromDispatcher& aMessage) = 0;
   // An instance reports that this incarnation of the server announced its shutdown.
-  virtual void NoteLeaving(const std::string& aServer, std::uint64_t aIncarnation) = 0;
+  virtual void RecordLeaving(const std::string& aServer, std::uint64_t aIncarnation) = 0;
 };
 
 // Issues permits for sends to the servers of the services that it is the dispatcher of. All sends
@@ -66,7 +66,7 @@
     Instant expiresAt_{ 0 };
   };
 
-  using Position = QueuePlace<PermitKey>;
+  using Position = QueuePosition<PermitKey>;
 
   // A queued permit request.
   struct QueuedRequest
--- a/Libraries/LibPlacement/HolderAssigner.cpp
+++ b/Libraries/LibPlacement/HolderAssigner.cpp
@@ -110,7 +110,7 @@
                   [&](const std::string& aHolder) { return stopped.contains(aHolder); });
     const bool areGone = std::all_of(
       server.formerHolders_.begin(), server.formerHolders_.end(), [&](const std::string& aHolder) {
-        return aDraft.membership_.IsGone(aDraft.now_, aHolder);
+        return aDraft.membership_.HasStopped(aDraft.now_, aHolder);
       });
     if (!areGone) {
       formerHoldersGoneSince_.erase(server.name_);
--- a/Tests/LibFleet/FleetMemberFixture.h
+++ b/Tests/LibFleet/FleetMemberFixture.h
@@ -64,7 +64,7 @@
     hasPolledWithLongWaits_ = hasPolledWithLongWaits_ || aMode == StorePollMode::LongWaits;
     pollFrom_ = aKnown;
   }
-  void SendCommand(const std::string&, const KeyOrder& aOrder) override
+  void SendCommand(const std::string&, const KeyCommand& aOrder) override
   {
     orders_.push_back(aOrder);
   }
@@ -87,7 +87,7 @@
     fetches_.push_back(aAddress);
   }
   void ReadConfigurationVersion() override { ++configurationReads_; }
-  void SendUsage(const std::string& aAddress, const UseReport& aReport) override
+  void SendUsage(const std::string& aAddress, const UsageReport& aReport) override
   {
     usages_.emplace_back(aAddress, aReport);
   }
@@ -108,7 +108,7 @@
   std::vector<Transaction> transactions_;
   StorePollMode pollMode_ = StorePollMode::LongWaits;
   TableVersions pollFrom_{};
-  std::vector<KeyOrder> orders_;
+  std::vector<KeyCommand> orders_;
   std::vector<std::string> reports_;
   InstanceReport lastReport_;
   bool hasSetPollMode_ = false;
--- a/Tests/LibFleet/TestConfigurationProof.cpp
+++ b/Tests/LibFleet/TestConfigurationProof.cpp
@@ -50,10 +50,10 @@
 
 TEST_F(ConfigurationFreshnessTest, ProofOfAnotherEpoch_IsIgnored)
 {
-  freshness_.OnKnown(VersionIn(1, 3));
-  freshness_.OnProof(seconds(9), VersionIn(0, 7));
+  freshness_.OnKnown(MakeVersion(1, 3));
+  freshness_.OnProof(seconds(9), MakeVersion(0, 7));
   EXPECT_EQ(freshness_.ProvenAt(), Instant::min());
-  freshness_.OnProof(seconds(9), VersionIn(2, 1));
+  freshness_.OnProof(seconds(9), MakeVersion(2, 1));
   EXPECT_EQ(freshness_.ProvenAt(), Instant::min());
 }
 
@@ -62,7 +62,7 @@
 {
   freshness_.OnKnown(5);
   freshness_.OnProof(seconds(9), 5);
-  freshness_.OnKnown(VersionIn(1, 4));
+  freshness_.OnKnown(MakeVersion(1, 4));
   EXPECT_FALSE(freshness_.CurrentProof(seconds(10)));
   EXPECT_EQ(freshness_.ProvenAt(), seconds(9));
 }
@@ -313,12 +313,12 @@
 {
   ShowTables();
   Advance(milliseconds(200));
-  const auto copied = VersionIn(1, 5);
-  Show(FleetTable::Configuration, VersionIn(1, 6), { { "config", copied, "1" } });
+  const auto copied = MakeVersion(1, 5);
+  Show(FleetTable::Configuration, MakeVersion(1, 6), { { "config", copied, "1" } });
   Advance(milliseconds(50));
   member_.OnConfigurationRead(now_, now_, copied);
   EXPECT_FALSE(member_.IsServing(now_));
-  Advance(kReturnAfterOutage);
+  Advance(kReregistrationTime);
   member_.OnConfigurationRead(now_, now_, copied);
   EXPECT_TRUE(member_.IsServing(now_));
 }
@@ -338,11 +338,11 @@
   ShowTables();
   ShowPlacer();
   Advance(milliseconds(100));
-  EXPECT_TRUE(member_.Gate().TryPass(now_, { "g", {}, 0, 10, 10 }, false));
+  EXPECT_TRUE(member_.Gate().TryAdmit(now_, { "g", {}, 0, 10, 10 }, false));
   Advance(milliseconds(300));
-  ASSERT_EQ(fleet_.uses_.size(), 1U);
-  EXPECT_EQ(fleet_.uses_[0].first, kOther);
-  EXPECT_EQ(fleet_.uses_[0].second, (UseReport{ kSelf, { { "g", 1, 0, 1 } } }));
+  ASSERT_EQ(fleet_.usages_.size(), 1U);
+  EXPECT_EQ(fleet_.usages_[0].first, kOther);
+  EXPECT_EQ(fleet_.usages_[0].second, (UsageReport{ kSelf, { { "g", 1, 0, 1 } } }));
 }
 
 TEST_F(MemberWithApiKeys, AdmittedShareIsZero_RejectsTheGroupsRequests)
@@ -352,7 +352,7 @@
   FleetUpdate update;
   update.parts_ = { { "g", 0, 0 } };
   member_.OnUpdate(now_, update);
-  EXPECT_FALSE(member_.Gate().TryPass(now_, { "g", {}, 0, 10, 10 }, false));
+  EXPECT_FALSE(member_.Gate().TryAdmit(now_, { "g", {}, 0, 10, 10 }, false));
 }
 
 TEST_F(MemberWithApiKeys, IsNotThePlacer_RejectsUsageReports)
@@ -365,7 +365,7 @@
 TEST(FleetUpdate, WithProofAndShares_RoundTrips)
 {
   FleetUpdate update;
-  update.proof_ = ConfigurationProof{ VersionIn(2, 77), milliseconds(321) };
+  update.proof_ = ConfigurationProof{ MakeVersion(2, 77), milliseconds(321) };
   update.parts_ = { { "g", 0.5, 0.25 } };
   const auto read = ParseUpdate(SerializeUpdate(update)).value();
   EXPECT_EQ(read.proof_, update.proof_);
--- a/Tests/LibFleet/TestFleetMember.cpp
+++ b/Tests/LibFleet/TestFleetMember.cpp
@@ -156,7 +156,7 @@
   ShowTables();
   Show(FleetTable::Fleet, 7, {});
   Advance(milliseconds(600));
-  member_.OnTransactEnded(now_, { StoreStatus::Unsure, {} });
+  member_.OnTransactEnded(now_, { StoreStatus::Indeterminate, {} });
   Advance(milliseconds(300));
   ASSERT_EQ(fleet_.transactions_.size(), 2U);
   const auto& write = fleet_.transactions_[1].writes_.front();
--- a/Tests/LibFleet/TestStoreReturn.cpp
+++ b/Tests/LibFleet/TestStoreReturn.cpp
@@ -15,7 +15,7 @@
 {
 protected:
   // A version of the epoch after the restore.
-  static constexpr RowVersion After(std::uint64_t aNumber) { return VersionIn(1, aNumber); }
+  static constexpr RowVersion After(std::uint64_t aNumber) { return MakeVersion(1, aNumber); }
 
   // The member places all keys, and its write is acknowledged as version 11.
   void PlaceKeys()
@@ -60,8 +60,8 @@
                    false,
                    After(5),
                    { { { "s1", After(6), "leaving" }, false } } });
-  EXPECT_FALSE(member_.Directory().Find("s1")->TakesWork());
-  EXPECT_TRUE(member_.Directory().Find("s2")->TakesWork());
+  EXPECT_FALSE(member_.Directory().Find("s1")->AcceptsWork());
+  EXPECT_TRUE(member_.Directory().Find("s2")->AcceptsWork());
   // The copy lacks this server, which has two seconds to write its record again.
   EXPECT_NE(member_.Directory().Find("s3"), nullptr);
   Advance(seconds(3));
@@ -75,7 +75,7 @@
                  { FleetTable::Servers, 90, false, 6, { { { "s1", 90, "leaving" }, false } } });
   Show(FleetTable::Servers, After(5), { { "s1", After(2), "ready" }, { "s2", After(3), "ready" } });
   Advance(seconds(2));
-  EXPECT_FALSE(member_.Directory().Find("s1")->TakesWork());
+  EXPECT_FALSE(member_.Directory().Find("s1")->AcceptsWork());
 }
 
 TEST_F(FleetMemberAfterStoreRestore, AnotherInstanceSendsAnUpdate_IsApplied)
@@ -88,7 +88,7 @@
   };
   member_.OnStoreLost(now_);
   member_.OnUpdate(now_, update);
-  EXPECT_FALSE(member_.Directory().Find("s1")->TakesWork());
+  EXPECT_FALSE(member_.Directory().Find("s1")->AcceptsWork());
 }
 
 TEST_F(FleetMemberAfterStoreRestore, OwnersWereLost_PlacerWritesThemAgainWithHigherFences)
--- a/Tests/LibGateway/RecordingActions.h
+++ b/Tests/LibGateway/RecordingActions.h
@@ -26,7 +26,7 @@
   {
     return connected_.contains(aAddress);
   }
-  void RecordLeaving(const std::string& aServer, std::uint64_t aLife) override
+  void RecordLeaving(const std::string& aServer, std::uint64_t aIncarnation) override
   {
     leaving_.emplace(aServer, aIncarnation);
   }
--- a/Tests/LibGateway/TestGatewayRouter.cpp
+++ b/Tests/LibGateway/TestGatewayRouter.cpp
@@ -105,7 +105,7 @@
            bool aIsOtherIncarnation = false)
   {
     router_.OnAttemptEnded(
-      now_, SendOf(aRequest).number_, { aEnd, aStatus, aIsOtherLife, std::nullopt });
+      now_, SendOf(aRequest).number_, { aEnd, aStatus, aIsOtherIncarnation, std::nullopt });
   }
 
   // The server refuses the request and requests a backoff.
--- a/Tests/LibGateway/TestPermitRequests.cpp
+++ b/Tests/LibGateway/TestPermitRequests.cpp
@@ -12,18 +12,18 @@
 class RecordingPermitSource : public PermitSource
 {
 public:
-  bool CanAsk(const std::string&) const override { return isAvailable_; }
-  void RequestPermit(Instant, const PermitAsk& aRequest) override
+  bool CanRequestPermit(const std::string&) const override { return isAvailable_; }
+  void RequestPermit(Instant, const PermitRequest& aRequest) override
   {
     permitRequests_.push_back(aRequest);
   }
   void Withdraw(AttemptNumber aNumber) override { withdrawn_.insert(aNumber); }
   void OnPermitTimeout(Instant, const std::string&) override { isAvailable_ = false; }
-  void TellSend(Instant, const SendNotice& aNotice) override { notices_.push_back(aNotice); }
-  void TellEnd(const SendEnd& aEnd) override { ends_.push_back(aEnd); }
+  void ReportSend(Instant, const SendNotice& aNotice) override { notices_.push_back(aNotice); }
+  void ReportSendEnd(const SendEnd& aEnd) override { ends_.push_back(aEnd); }
 
   bool isAvailable_ = true;
-  std::vector<PermitAsk> permitRequests_;
+  std::vector<PermitRequest> permitRequests_;
   std::set<AttemptNumber> withdrawn_;
   std::vector<SendNotice> notices_;
   std::vector<SendEnd> ends_;
@@ -276,7 +276,7 @@
 TEST_F(RouterWithADispatcher, DispatcherIsGone_PermitIsRequestedAgain)
 {
   Request("/plain/1");
-  router_.OnAskLost(now_, permits_.permitRequests_[0].number_);
+  router_.OnPermitRequestLost(now_, permits_.permitRequests_[0].number_);
   ASSERT_EQ(permits_.permitRequests_.size(), 2U);
   Permit("p1");
   EXPECT_EQ(actions_.sent_.size(), 1U);
--- a/Tests/LibGateway/TestServerDirectory.cpp
+++ b/Tests/LibGateway/TestServerDirectory.cpp
@@ -72,7 +72,7 @@
 {
   directory_.Put(kNow, { "s1", "rates", "10.0.0.1:80", "hall", 4, true, 3 });
   directory_.OnStoreRolledBack(kNow);
-  Put("s1", "10.0.0.1:80", VersionIn(2, 1));
+  Put("s1", "10.0.0.1:80", MakeVersion(2, 1));
   EXPECT_FALSE(directory_.Find("s1")->AcceptsWork());
   directory_.Expire(kNow + milliseconds(2200));
   EXPECT_FALSE(directory_.Find("s1")->AcceptsWork());
@@ -84,8 +84,8 @@
 {
   directory_.Put(kNow, { "s1", "rates", "10.0.0.1:80", "hall", 4, true, 3 });
   directory_.OnStoreRolledBack(kNow);
-  Put("s1", "10.0.0.1:80", VersionIn(2, 1));
-  directory_.Put(kNow, { "s1", "rates", "10.0.0.1:80", "hall", 4, true, VersionIn(2, 9) });
+  Put("s1", "10.0.0.1:80", MakeVersion(2, 1));
+  directory_.Put(kNow, { "s1", "rates", "10.0.0.1:80", "hall", 4, true, MakeVersion(2, 9) });
   EXPECT_FALSE(directory_.Expire(kNow + seconds(3)));
   EXPECT_FALSE(directory_.Find("s1")->AcceptsWork());
 }
@@ -141,7 +141,7 @@
   ASSERT_FALSE(IsListedAt("s1", seconds(1)));
   directory_.OnStoreRolledBack(kNow);
   // The same write as before, in the next epoch of the store.
-  Put("s1", "10.0.0.1:80", VersionIn(1, 1));
+  Put("s1", "10.0.0.1:80", MakeVersion(1, 1));
   directory_.Expire(kNow + seconds(3));
   EXPECT_FALSE(directory_.HasEnded("s3"));
   EXPECT_TRUE(directory_.HasEnded("s1"));
@@ -233,9 +233,9 @@
   EXPECT_FALSE(IsListedAt("s1", seconds(1)));
   Put("s1", "10.0.0.1:80", 12);
   EXPECT_FALSE(directory_.Find("s1")->AcceptsWork());
-  ServerRecord nextLife{ "s1", "rates", "10.0.0.1:80", "hall", 4, false, 13 };
-  nextLife.life_ = 200;
-  directory_.Put(kNow, nextLife);
+  ServerRecord nextIncarnation{ "s1", "rates", "10.0.0.1:80", "hall", 4, false, 13 };
+  nextIncarnation.incarnation_ = 200;
+  directory_.Put(kNow, nextIncarnation);
   EXPECT_TRUE(directory_.Find("s1")->AcceptsWork());
 }
 
--- a/Tests/LibPermit/DispatcherFixture.h
+++ b/Tests/LibPermit/DispatcherFixture.h
@@ -21,7 +21,7 @@
     answers_.emplace_back(aCaller, aMessage);
   }
 
-  void NoteLeaving(const std::string& aServer, std::uint64_t aIncarnation) override
+  void RecordLeaving(const std::string& aServer, std::uint64_t aIncarnation) override
   {
     leaving_.emplace(aServer, aIncarnation);
   }
--- a/Tests/LibPermit/TestDispatchUnderLoad.cpp
+++ b/Tests/LibPermit/TestDispatchUnderLoad.cpp
@@ -142,7 +142,7 @@
   void ChangeSpeed(std::size_t aServer)
   {
     std::bernoulli_distribution isSlow(kSlowShare);
-    servers_[aServer].pace_ = isSlow(random_) ? kSlowFactor : 1;
+    servers_[aServer].slowdown_ = isSlow(random_) ? kSlowFactor : 1;
     In(kSlowInterval, [this, aServer] { ChangeSpeed(aServer); });
   }
 
--- a/Tests/LibPermit/TestPermitClient.cpp
+++ b/Tests/LibPermit/TestPermitClient.cpp
@@ -137,7 +137,7 @@
 {
   LinkUp();
   Request(5);
-  client_.OnUnanswered(now_, "plain");
+  client_.OnPermitTimeout(now_, "plain");
   EXPECT_FALSE(client_.CanRequestPermit("plain"));
   Pass(milliseconds(200));
   EXPECT_NE(std::get_if<DispatcherProbe>(&recorded_.sent_.back().second), nullptr);
@@ -151,7 +151,7 @@
 {
   LinkUp();
   Request(5);
-  client_.OnUnanswered(now_, "plain");
+  client_.OnPermitTimeout(now_, "plain");
   Pass(milliseconds(100));
   client_.OnMessage(now_, recorded_.connected_[0], DispatcherSign{});
   EXPECT_TRUE(client_.CanRequestPermit("plain"));
--- a/Tests/Platform/Soak/FaultInjector.cpp
+++ b/Tests/Platform/Soak/FaultInjector.cpp
@@ -330,7 +330,7 @@
       aServer.backend_->RemoveRecord();
     }
   });
-  environment_.After(aDowntime, [this, &aServer] { BeginLife(aServer); });
+  environment_.After(aDowntime, [this, &aServer] { BeginIncarnation(aServer); });
 }
 
 void
@@ -341,7 +341,7 @@
 }
 
 void
-FaultInjector::BeginLife(SoakEnvironment::Server& aServer)
+FaultInjector::BeginIncarnation(SoakEnvironment::Server& aServer)
 {
   if (aServer.backend_->IsUp()) {
     return;
@@ -349,8 +349,8 @@
   const auto id = aServer.backend_->Id();
   aServer.backend_->RemoveRecord();
   aServer.link_->SetFault(LinkFault::None);
-  aServer.backend_->BeginLife(id.substr(0, id.find('-') + 1) +
-                              std::to_string(++aServer.incarnations_));
+  aServer.backend_->BeginIncarnation(id.substr(0, id.find('-') + 1) +
+                                     std::to_string(++aServer.incarnations_));
 }
 
 void
@@ -374,7 +374,7 @@
   }
   Crash(aServer);
   aServer.backend_->RemoveRecord();
-  environment_.After(kShutdownDelay, [this, &aServer] { BeginLife(aServer); });
+  environment_.After(kShutdownDelay, [this, &aServer] { BeginIncarnation(aServer); });
 }
 
 void
--- a/Tests/Platform/Soak/FaultInjector.h
+++ b/Tests/Platform/Soak/FaultInjector.h
@@ -130,7 +130,7 @@
   // Stops a server that has announced its shutdown, if it still runs as aId, and restarts it later.
   void FinishServerShutdown(SoakEnvironment::Server& aServer, const std::string& aId);
   // Restarts the server under the next id, unless it is running.
-  void BeginLife(SoakEnvironment::Server& aServer);
+  void BeginIncarnation(SoakEnvironment::Server& aServer);
   void HealStore();
   void Heal(SoakEnvironment::Instance& aInstance);
   void Heal(SoakEnvironment::Server& aServer);
--- a/Tests/Platform/TestPlatformCodec.cpp
+++ b/Tests/Platform/TestPlatformCodec.cpp
@@ -272,15 +272,15 @@
 
 TEST_F(CommandCodec, Answers_DetermineTheCommandStatus)
 {
-  EXPECT_EQ(Decode(200), OrderEnd::Done);
-  EXPECT_EQ(Decode(409), OrderEnd::HigherFence);
-  EXPECT_EQ(Decode(421, { { "X-Instance-Id", "i-2" } }), OrderEnd::OtherLife);
+  EXPECT_EQ(Decode(200), CommandStatus::Done);
+  EXPECT_EQ(Decode(409), CommandStatus::HigherFence);
+  EXPECT_EQ(Decode(421, { { "X-Instance-Id", "i-2" } }), CommandStatus::OtherIncarnation);
   // The expected incarnation is running, so it may hold the keys.
-  EXPECT_EQ(Decode(421, { { "X-Instance-Id", "i-1" } }), OrderEnd::Unanswered);
-  EXPECT_EQ(Decode(421), OrderEnd::Unanswered);
-  EXPECT_EQ(Decode(200, { { "X-Instance-Id", "i-2" } }), OrderEnd::OtherLife);
-  EXPECT_EQ(Decode(500), OrderEnd::Unanswered);
-  EXPECT_EQ(Decode(503, { { "X-Not-Executed", "1" } }), OrderEnd::NotSent);
+  EXPECT_EQ(Decode(421, { { "X-Instance-Id", "i-1" } }), CommandStatus::Unanswered);
+  EXPECT_EQ(Decode(421), CommandStatus::Unanswered);
+  EXPECT_EQ(Decode(200, { { "X-Instance-Id", "i-2" } }), CommandStatus::OtherIncarnation);
+  EXPECT_EQ(Decode(500), CommandStatus::Unanswered);
+  EXPECT_EQ(Decode(503, { { "X-Not-Executed", "1" } }), CommandStatus::NotSent);
 }
 
 TEST_F(CommandCodec, ServerAnnouncesLeaving_IsIgnoredFromOtherIncarnation)
--- a/Tests/Platform/TestPlatformDocuments.cpp
+++ b/Tests/Platform/TestPlatformDocuments.cpp
@@ -264,7 +264,7 @@
 
 TEST(StoreProtocol, LongPoll_UsesTheStoresOwnVersionNumbers)
 {
-  const auto request = EncodeLongPoll(FleetTable::Servers, VersionIn(3, 412), seconds(1));
+  const auto request = EncodeLongPoll(FleetTable::Servers, MakeVersion(3, 412), seconds(1));
   EXPECT_NE(request.target_.find("after=412&"), std::string::npos);
 }
 
