--- a/Libraries/LibScenario/EventQueue.h
+++ b/Libraries/LibScenario/EventQueue.h
@@ -9,13 +9,15 @@
 
 namespace latchslip {
 
-// The hand-turned clock of a scenario: actions in the order of their moments,
-// and of their making where moments are equal.
+// Event queue and simulated clock of a discrete-event simulation. Time advances only in
+// RunUntil. Actions run in order of their due time; actions with the same due time run in the
+// order in which they were scheduled, so a run is deterministic.
 class EventQueue
 {
 public:
   Instant Now() const { return now_; }
 
+  // Schedules an action at a time. A time in the past counts as now.
   void At(Instant aMoment, std::function<void()> aAction)
   {
     actions_.emplace(std::pair(std::max(aMoment, now_), ++sequence_), std::move(aAction));
@@ -26,7 +28,8 @@
     At(now_ + aDelay, std::move(aAction));
   }
 
-  // Carries out everything up to a moment and leaves the clock there.
+  // Runs all actions that are due up to and including aMoment, also those scheduled meanwhile, and
+  // sets the clock to aMoment.
   void RunUntil(Instant aMoment)
   {
     while (!actions_.empty() && actions_.begin()->first.first <= aMoment) {
--- a/Libraries/LibScenario/Invariants.cpp
+++ b/Libraries/LibScenario/Invariants.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr std::size_t kMostViolations = 20;
-// "A backend server that is leaving receives no new work after a few seconds."
+// A server that is leaving may receive new work for this long.
 constexpr Duration kLeavingBound = seconds(3);
 
 } // namespace
@@ -83,8 +83,8 @@
 void
 Invariants::CheckNotRun(Instant aNow, const std::string& aRequestId, const Request& aRequest)
 {
-  // With as many runs as there are sendings that were not told "not run", every
-  // "not run" can be true.
+  // Callers may send one id several times. The "not run" answers can all be true as long as there
+  // are no more executions than sends without such an answer.
   if (aRequest.executed_ > aRequest.sent_ - aRequest.notRun_) {
     Violate(aNow, "not-run: " + aRequestId + " ran though its caller was told it had not");
   }
--- a/Libraries/LibScenario/Invariants.h
+++ b/Libraries/LibScenario/Invariants.h
@@ -11,13 +11,14 @@
 
 namespace latchslip {
 
-// What must always hold, checked at every step of a scenario. All times are on
-// the scenario's own clock. A violation is kept as a sentence; the scenario
-// fails if there is any.
+// Safety invariants of the fleet, checked at each event of a simulation: one owner per key,
+// at-most-once execution of requests that are not repeatable, truthful outcomes, slot limits, no
+// lost or reverted configuration. The simulation reports its events here. All times are on the
+// simulated clock. A violation is stored as a line of text; a scenario with violations fails.
 class Invariants
 {
 public:
-  // A server was granted ranges until a moment, in place of what it had.
+  // A server accepted a grant of these ranges, valid until aUntil, which replaces its former one.
   void OnGranted(Instant aNow,
                  const std::string& aService,
                  const std::string& aServer,
@@ -25,8 +26,9 @@
                  const std::vector<HashRange>& aRanges);
   void OnServerLost(const std::string& aService, const std::string& aServer);
 
-  // A server that checks drops, without effect, work whose grant ran out while
-  // it ran; only servers that do not check must never run one key side by side.
+  // Reports work that started on a server. Servers that don't check grants (aChecksOrders is false)
+  // must never run work for the same key concurrently. Servers that do check may: they drop work
+  // without effect when its grant expires before the work ends.
   void OnWorkStarted(Instant aNow,
                      const std::string& aService,
                      const std::string& aServer,
@@ -42,23 +44,25 @@
                   const WorkAnswer& aAnswer,
                   const std::string& aExpectedBody);
 
-  // A revision that an operator was told is in force.
+  // The instance confirmed to an operator that this revision of the configuration is in force.
   void OnConfirmed(RowVersion aRevision, const std::string& aToken);
-  // What the table service holds now for the configuration.
+  // The table service committed this revision of the configuration.
   void OnStored(Instant aNow, RowVersion aRevision, const std::string& aToken);
-  // What an instance has in its view.
+  // An instance has this version of a row in its view; called after each tick of the instance.
   void OnView(Instant aNow,
               const std::string& aInstance,
               const std::string& aRowKey,
               RowVersion aVersion,
               const std::string& aToken);
+  // The table service committed this version of a row; aToken identifies the write.
   void OnRowStored(const std::string& aRowKey, RowVersion aVersion, const std::string& aToken);
 
   void OnSlotsExceeded(Instant aNow, const std::string& aServer);
-  // A server was told to leave; work may start there until the bound is over.
+  // A server began to leave; new work may start there for kLeavingBound only.
   void OnServerLeaving(Instant aNow, const std::string& aServer);
   void OnServerBack(const std::string& aServer) { leavingSince_.erase(aServer); }
-  // An instance was asked to stop with callers or work still in flight.
+  // A leaving instance reported that it may stop; aInFlight is its number of callers and of
+  // requests still in flight, which must be 0.
   void OnCut(Instant aNow, const std::string& aInstance, std::size_t aInFlight);
 
   const std::vector<std::string>& Violations() const { return violations_; }
@@ -75,7 +79,7 @@
     std::size_t sent_ = 0;
     std::size_t answered_ = 0;
     std::size_t executed_ = 0;
-    // Answers that said it certainly did not run.
+    // Number of answers with the outcome "not run".
     std::size_t notRun_ = 0;
   };
   struct Running
--- a/Libraries/LibScenario/Script.h
+++ b/Libraries/LibScenario/Script.h
@@ -9,16 +9,15 @@
 
 namespace latchslip {
 
-// The small language of scenarios: one statement a line, "#" begins a comment.
-// docs/SCENARIOS.md lists the statements.
-
-// Runs one scenario. The error tells the first statement that could not be
-// carried out, the first expectation that did not hold, or the first statement
-// after which an invariant was broken.
+// Interpreter of the scenario language, in which each line is one statement and "#" begins a
+// comment. docs/SCENARIOS.md lists the statements. Runs one scenario against a simulated fleet and
+// stops at the first statement that is invalid, whose expectation doesn't hold, or after which an
+// invariant is violated.
 class ScriptRunner
 {
 public:
-  // aSeed replaces the seed that the script names, when it is not 0.
+  // Runs a whole scenario. An aSeed other than 0 overrides the seed of the script. The error has
+  // the position of the statement that failed.
   static ScriptResult<void> Run(std::string_view aText, std::uint64_t aSeed);
 
 private:
@@ -28,6 +27,7 @@
   }
 
   ScriptResult<void> Carry(const ScriptStatement& aStatement);
+  // Each of these executes the statements of one kind and sets aIsKnown to whether aVerb is one.
   ScriptResult<void> CarrySetup(const std::string& aVerb, ScriptReader& aReader, bool& aIsKnown);
   ScriptResult<void> CarryFault(const std::string& aVerb, ScriptReader& aReader, bool& aIsKnown);
   ScriptResult<void> CarryAction(const std::string& aVerb, ScriptReader& aReader, bool& aIsKnown);
@@ -41,6 +41,7 @@
   ScriptResult<void> Want(ScriptReader& aReader);
   ScriptResult<void> Expect(ScriptReader& aReader);
   ScriptResult<void> ExpectOutcome(ScriptReader& aReader);
+  // Reads the name of a quantity, with its arguments, and returns its current value.
   ScriptResult<double> Quantity(ScriptReader& aReader);
   ScriptResult<void> RequireWorld(const ScriptWord& aWord);
 
--- a/Libraries/LibScenario/ScriptReader.h
+++ b/Libraries/LibScenario/ScriptReader.h
@@ -11,8 +11,7 @@
 
 namespace latchslip {
 
-// Reads the words of scenarios; every error says where it stands.
-
+// An error in a scenario, with its position in the text; line and column count from 1.
 struct ScriptError
 {
   std::size_t line_ = 0;
@@ -28,7 +27,7 @@
 template<typename T>
 using ScriptResult = Result<T, ScriptError>;
 
-// A word of a statement and where it stands.
+// A word of a statement and its position in the text; line and column count from 1.
 struct ScriptWord
 {
   std::string text_;
@@ -37,13 +36,15 @@
 };
 using ScriptStatement = std::vector<ScriptWord>;
 
+// Splits a scenario into statements and words; drops comments and blank lines.
 std::vector<ScriptStatement>
 SplitScript(std::string_view aText);
 
 ScriptError
 ErrorAt(const ScriptWord& aWord, const std::string& aProblem);
 
-// The words of one statement, taken from the left.
+// Reads the words of one statement from left to right. Each read fails with the position of the
+// word that doesn't fit. The aWhat arguments describe the expected word in error messages.
 class ScriptReader
 {
 public:
@@ -53,6 +54,7 @@
   }
 
   bool HasMore() const { return next_ < statement_.size(); }
+  // The word that was read last, or the first word if none was.
   const ScriptWord& Last() const { return statement_[next_ == 0 ? 0 : next_ - 1]; }
 
   ScriptResult<ScriptWord> Word(const std::string& aWhat)
@@ -69,6 +71,7 @@
     return word.text_;
   }
 
+  // Reads a keyword, which must be aText.
   ScriptResult<void> Literal(const std::string& aText)
   {
     BOOST_OUTCOME_TRY(const auto word, Word("\"" + aText + "\""));
@@ -78,7 +81,7 @@
     return outcome::success();
   }
 
-  // A number that may end in the given suffix, such as "%" or "/s".
+  // Reads a number with an optional suffix, such as "%" or "/s".
   ScriptResult<double> Number(const std::string& aWhat, std::string_view aSuffix = "")
   {
     BOOST_OUTCOME_TRY(const auto word, Word(aWhat));
@@ -94,6 +97,7 @@
     return number;
   }
 
+  // Reads a duration with its unit, such as 200ms or 2s.
   ScriptResult<Duration> Span(const std::string& aWhat)
   {
     BOOST_OUTCOME_TRY(const auto word, Word(aWhat));
@@ -111,6 +115,7 @@
     return Duration(static_cast<std::int64_t>(number * (isMillis ? 1e3 : 1e6)));
   }
 
+  // Reads one of two keywords; true for aYes.
   ScriptResult<bool> Choice(const std::string& aYes, const std::string& aNo)
   {
     BOOST_OUTCOME_TRY(const auto word, Word(aYes + " or " + aNo));
@@ -120,10 +125,12 @@
     return word.text_ == aYes;
   }
 
+  // Fails unless all words of the statement were read.
   ScriptResult<void> End() const
   {
     if (HasMore()) {
-      return ErrorAt(statement_[next_], "\"" + statement_[next_].text_ + "\" is too much here");
+      return ErrorAt(statement_[next_],
+                     "unexpected \"" + statement_[next_].text_ + "\" at the end of the statement");
     }
     return outcome::success();
   }
--- a/Libraries/LibScenario/World.cpp
+++ b/Libraries/LibScenario/World.cpp
@@ -194,8 +194,8 @@
   instance.core_.reset();
   frozen_.erase(aName);
   waitingForThaw_.erase(aName);
-  // Its connections break: servers go on with what they run, peers notice, and
-  // its callers are left without certainty.
+  // All its connections are reset: servers continue their running work as orphans, peers see the
+  // connection close, and the outcome of its callers' requests is unknown.
   for (auto& [name, server] : servers_) {
     if (!server->IsUp()) {
       continue;
@@ -367,7 +367,7 @@
     while (due >= 1) {
       due -= 1;
       const double share = static_cast<double>(random_() % 10000) / 10000;
-      // In turn, so that the time between two requests for a key is no chance.
+      // Round robin, so that the time between two requests for a key is not random.
       const auto key = share < load.hotShare_ ? 0 : nextRequest_ % load.keys_;
       const auto instance = PickInstance();
       if (!instance.empty()) {
@@ -380,8 +380,8 @@
 std::string
 World::PickInstance()
 {
-  // The balancer skips instances that take no connection or say that they
-  // leave; it does not know of frozen ones.
+  // The platform's load balancer skips instances that refuse connections or announce that they are
+  // leaving; it can't detect frozen ones.
   std::vector<std::string> takers;
   for (const auto& [name, instance] : instances_) {
     if (instance->core_ && !instance->isLeaving_) {
--- a/Libraries/LibScenario/World.h
+++ b/Libraries/LibScenario/World.h
@@ -17,9 +17,11 @@
 
 namespace latchslip {
 
-// The real decision code of several instances on fakes of the network, the
-// platform and the backend servers, under a hand-turned clock and a seed. Names
-// of instances, of servers and "store" say where a fault is.
+// Deterministic simulation of a fleet: runs the real decision code (InstanceCore) of several
+// instances against fakes of the network, the platform and the backend servers, on a simulated
+// clock and with random numbers from a seed. Faults are addressed by the name of an instance or of
+// a server, or by "store" for the table service. Used by the scenarios, the random fault test and
+// the benchmarks.
 class World
 {
 public:
@@ -39,7 +41,7 @@
     std::size_t keys_ = 1;
     bool isRepeatable_ = true;
     Duration deadline_ = seconds(2);
-    // Share of the requests that go to the first key.
+    // Share of the requests that use the first key, from 0 to 1.
     double hotShare_ = 0;
   };
   struct Counts
@@ -53,7 +55,7 @@
   {
     bool isOut_ = false;
     Duration delay_ = milliseconds(2);
-    // Transactions that take effect and whose answers are lost.
+    // Number of the next transactions that are committed but whose answers are lost.
     unsigned answersToLose_ = 0;
   };
 
@@ -66,31 +68,32 @@
   void AddService(const ServiceSettings& aSettings);
   void AddIntent(const SharingIntent& aIntent) { declaration_.intents_.push_back(aIntent); }
   void SetProfile(PlacementProfile aProfile) { declaration_.profile_ = aProfile; }
-  // Starts everything, confirms the declaration and waits until every server
-  // that is up has its grant. False when that took too long.
+  // Starts all instances and servers, confirms the declaration and runs until every server that is
+  // up has a grant. False if that takes more than 20 simulated seconds.
   bool Start();
 
   void Advance(Duration aSpan);
   Instant Now() const { return queue_.Now(); }
 
   void KillInstance(const std::string& aName);
-  // aSilently: the host is gone, so that nobody's connection breaks.
+  // aSilently simulates the loss of the host: connections hang instead of being reset.
   void KillServer(const std::string& aName, bool aSilently);
-  // Every connection to the server breaks; what it runs goes on.
+  // Resets all connections to the server; its running work continues.
   void BreakConnections(const std::string& aServer);
   void RestartInstance(const std::string& aName);
   void RestartServer(const std::string& aName);
-  // The server refuses all work as too much, or takes it again.
+  // Makes the server shed all new work, or accept work again.
   void SetShedding(const std::string& aServer, bool aSheds);
   void Freeze(const std::string& aName);
   void Thaw(const std::string& aName);
-  // Nothing passes between the two until they are healed; then it comes late.
+  // Partitions the network between two places. Messages are held until the partition is healed and
+  // are delivered then.
   void Cut(const std::string& aOne, const std::string& aOther);
   void Heal(const std::string& aOne, const std::string& aOther);
   void HealAll();
   StoreFaults& Store() { return storeFaults_; }
   void SetListLag(Duration aLag) { listLag_ = aLag; }
-  // The platform notices that an instance has gone; that shows after the lag.
+  // Removes an instance from the platform's list. Instances see the change after the list lag.
   void ListGone(const std::string& aName);
   void DrainInstance(const std::string& aName);
 
@@ -103,25 +106,27 @@
 
   void Plan(const std::string& aPlan, const std::string& aInstance, const Declaration& aWanted);
   void Confirm(const std::string& aPlan, const std::string& aInstance);
-  // 0 while it has no answer.
+  // HTTP status of the answer to a confirmation; 0 while there is none.
   unsigned StatusOfConfirm(const std::string& aPlan) const;
   const std::string& AnswerOfConfirm(const std::string& aPlan) const;
-  // When the answer of a confirmation came, after it was asked.
+  // Time from a confirmation's request to its answer.
   Duration TimeOfConfirm(const std::string& aPlan) const;
   Declaration& Wanted() { return declaration_; }
 
   const Counts& Total() const { return counts_; }
   std::optional<RequestOutcome> OutcomeOf(const std::string& aRequestId) const;
   Reason ReasonOf(const std::string& aRequestId) const;
-  // The longest time between two answers for one key of a service.
+  // The longest time between two consecutive answers for any one key of a service.
   Duration LongestGap(const std::string& aService) const;
-  // Starts measuring gaps anew.
+  // Resets the measurements of gaps, imbalance and shares.
   void ForgetGaps();
-  // Slices that were moved with the owner's release; those of lost servers not.
+  // Number of slices moved after their owner released them; reassignments of the slices of lost
+  // servers don't count.
   std::size_t SlicesMoved() const;
-  // Largest over mean of the work that active servers ended since ForgetGaps.
+  // Busiest server over the mean: service time of finished work since ForgetGaps, over the servers
+  // that are up. 1 if there was none.
   double Imbalance(const std::string& aService) const;
-  // The share of a service's executions since ForgetGaps that a group had.
+  // A group's share of a service's executions since ForgetGaps, from 0 to 1.
   double ShareOf(const std::string& aGroup, const std::string& aService) const;
   bool IsStopped(const std::string& aInstance) const;
   bool IsUp(const std::string& aInstance) const;
@@ -160,8 +165,8 @@
   void CheckViews(InstanceSide& aInstance);
   Duration NetworkDelay();
   bool IsCut(const std::string& aOne, const std::string& aOther) const;
-  // Carries out an action at a place after a network delay; later while the way
-  // is cut or the place is frozen, in order.
+  // Runs an action at a place after a network delay. Messages between two places keep their order.
+  // While the two are partitioned or the place is frozen, the action is held.
   void Carry(const std::string& aFrom, const std::string& aTo, std::function<void()> aAction);
   void Arrive(const std::string& aTo, std::function<void()> aAction);
   void ConnectPeers(InstanceSide& aOne);
--- a/Libraries/LibScenario/WorldNetwork.cpp
+++ b/Libraries/LibScenario/WorldNetwork.cpp
@@ -77,7 +77,7 @@
     heldUp_[{ aFrom, aTo }].push_back(std::move(aAction));
     return;
   }
-  // One way keeps its order, as TCP does.
+  // Messages in one direction keep their order, as on a TCP connection.
   auto& last = lastArrival_[{ aFrom, aTo }];
   last = std::max(last, Now() + NetworkDelay());
   queue_.At(last, [this, aFrom, aTo, action = std::move(aAction)]() mutable {
@@ -157,7 +157,7 @@
       ServeStore(name, incarnation, aTag, aCall);
     });
   });
-  // A call that is not answered in time counts as lost; a write may still happen.
+  // Timeout of the call. A write may still be committed later, so its result is indeterminate.
   queue_.After(kStoreTimeout, [this, name, incarnation, aTag, isRead = aCall.isRead_] {
     Arrive(name, [this, name, incarnation, aTag, isRead] {
       auto& instance = *instances_.at(name);
@@ -199,7 +199,7 @@
     }
     Carry(aOrder.server_, instance, [this, instance, incarnation, aTag, reply, sentAt] {
       auto& side = *instances_.at(instance);
-      // The HTTP client has given up on an answer that comes later than this.
+      // The HTTP client's timeout: later answers are dropped.
       if (side.incarnation_ == incarnation && Now() - sentAt <= kGrantTimeout) {
         side.core_->OnGrantReply(side.Clock(), aTag, reply);
       }
--- a/Libraries/LibScenario/WorldParts.h
+++ b/Libraries/LibScenario/WorldParts.h
@@ -4,8 +4,8 @@
 
 namespace latchslip {
 
-// One instance of a scenario: the real core, and an outbox that carries its
-// actions out on the fakes.
+// One simulated instance: the real InstanceCore, with an outbox that runs its actions against the
+// fakes and an event sink that counts its events.
 class World::InstanceSide
   : public Outbox
   , public EventSink
@@ -19,7 +19,7 @@
   {
   }
 
-  // The instance's own clock, which runs apart from all others.
+  // The instance's own clock. Clocks differ by a random offset, as monotonic clocks of machines do.
   Instant Clock() const { return world_.Now() + clockOffset_; }
 
   bool SendToPeer(const InstanceId& aTo, const PeerMessage& aMessage) override;
@@ -49,12 +49,13 @@
   Duration clockOffset_;
   std::uint64_t incarnation_ = 0;
   std::unique_ptr<InstanceCore> core_;
-  // The way to each server that work in flight takes, to be cancelled by.
+  // Server of each request in flight; used to cancel it.
   std::map<WorkId, std::string> serverOfWork_;
   bool isLeaving_ = false;
   bool isStopped_ = false;
 };
 
+// One simulated backend server. state_ is null while the server is down.
 struct World::Server
 {
   std::string name_;
@@ -63,7 +64,7 @@
   Duration clockOffset_{ 0 };
   std::uint64_t boot_ = 0;
   std::unique_ptr<ServerState> state_;
-  // Gone without a trace: connections hang instead of breaking.
+  // The host is lost: connections hang instead of being reset.
   bool isSilent_ = false;
   bool sheds_ = false;
   std::uint64_t nextWork_ = 0;
--- a/Tests/LibScenario/TestRandomWalk.cpp
+++ b/Tests/LibScenario/TestRandomWalk.cpp
@@ -9,11 +9,12 @@
 namespace {
 
 constexpr int kSteps = 30;
-// Enough for two faults at once, or the same fault twice.
+// Everything is healed after this many faults: enough for two different faults at once, or the same
+// one twice.
 constexpr std::size_t kMostFaults = 3;
 
-// A seeded walk over all faults. The invariants are checked at every step of it;
-// at the end everything is healed and every key must be served again.
+// Injects random faults of all kinds, from a seed. The invariants are checked after each step. At
+// the end all faults are healed, and every key must be served again.
 class FaultWalk : public testing::TestWithParam<std::uint64_t>
 {
 protected:
@@ -177,8 +178,7 @@
   EXPECT_LT(world_.LongestGap("bookings"), seconds(2)) << "seed " << GetParam();
 }
 
-// CI walks the first sixty seeds; LATCHSLIP_WALK_FIRST names another beginning
-// for a longer search.
+// CI runs the seeds 1 to 60. LATCHSLIP_WALK_FIRST sets another first seed, to search further.
 std::uint64_t
 FirstSeed()
 {
