--- a/Libraries/LibStandIn/Audit.cpp
+++ b/Libraries/LibStandIn/Audit.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-// Enough to see what went wrong without flooding the screen.
+// Bounds the output when a fault repeats for every request.
 constexpr std::size_t kMostViolations = 50;
 
 void
@@ -38,8 +38,8 @@
   }
 }
 
-// Servers that do not check grants keep no record of them; there, two servers
-// must not have run work for one key at the same time.
+// Checks that no two servers ran work for one key at the same time. This also covers servers that
+// don't check grants, which write no ownership records.
 void
 CheckConcurrentWork(const std::vector<const ServerRecords*>& aServers, AuditReport& aReport)
 {
@@ -157,7 +157,7 @@
       ++executions[execution.requestId_];
     }
   }
-  // A caller may have sent one id several times; all it was told must hold.
+  // A caller may have sent one id several times; each of the answers is checked.
   for (const auto& caller : aCallers) {
     ++report.requests_;
     const auto found = executions.find(caller.requestId_);
--- a/Libraries/LibStandIn/Audit.h
+++ b/Libraries/LibStandIn/Audit.h
@@ -8,8 +8,6 @@
 
 namespace latchslip {
 
-// Compares what callers were told with what servers wrote down. Pure.
-
 // One request as its caller saw it. Times are on the machine's monotonic clock.
 struct CallerRecord
 {
@@ -19,14 +17,16 @@
   bool isRepeatable_ = false;
   RequestOutcome outcome_ = RequestOutcome::Unknown;
   Reason reason_ = Reason::None;
-  // Whether an answer was whole and the one to this very request.
+  // Whether the answer was complete and belonged to this request.
   bool isOwnAnswer_ = true;
   Instant startedAt_{ 0 };
   Instant endedAt_{ 0 };
 };
 
+// One JSON document, without a line end.
 std::string
 SerializeCallerRecord(const CallerRecord& aRecord);
+// Parses one JSON document a line. The error names the field that is missing or invalid.
 FieldResult<std::vector<CallerRecord>>
 ParseCallerRecords(std::string_view aText);
 
@@ -37,23 +37,25 @@
   std::size_t notRun_ = 0;
   std::size_t unknown_ = 0;
   std::size_t executions_ = 0;
-  // Each names one broken promise.
+  // One line of text per violation, at most 50; each begins with the name of the invariant.
   std::vector<std::string> violations_;
 };
 
-// Checks: one owner of a key at any moment; a request that is not repeatable ran
-// at most once; one that was told not to have run did not; one that was told to
-// be answered ran; answers are whole and the caller's own; slots are kept.
+// Compares the outcomes that callers received with the records that servers wrote. Checks that a
+// key has one owner at any time; that a request that is not repeatable ran at most once; that
+// requests answered "not run" did not run and answered ones did; that answers are complete and
+// belong to their request; and that no server ran more requests at once than it has slots. Pure
+// function.
 AuditReport
 Audit(const std::vector<CallerRecord>& aCallers, const std::vector<ServerRecords>& aServers);
 
-// The longest time between two answers in a row, for each key, that began
-// within the span. Longest first.
+// The longest time between two consecutive answers for a key.
 struct KeyGap
 {
   KeyHash hash_ = 0;
   Duration gap_{ 0 };
 };
+// One entry for each key that had an answer, longest gap first.
 std::vector<KeyGap>
 LongestGaps(const std::vector<CallerRecord>& aCallers);
 
--- a/Libraries/LibStandIn/RecordFile.h
+++ b/Libraries/LibStandIn/RecordFile.h
@@ -9,9 +9,9 @@
 
 namespace latchslip {
 
-// What a stand-in server wrote down, one JSON document a line, so that the
-// records of a killed server can still be audited. Times are microseconds on
-// the monotonic clock of the machine, which its processes share.
+// Records of one stand-in server. The file has one JSON document a line, appended as events happen,
+// so that the records of a killed server can still be audited. Times are microseconds on the
+// machine's monotonic clock, which all its processes share.
 struct ServerRecords
 {
   std::string service_;
@@ -23,15 +23,18 @@
   std::size_t mostRunning_ = 0;
 };
 
+// The first line of the file: service, server, slots and whether the server checks grants.
 std::string
 SerializeHeader(const ServerRecords& aRecords);
 std::string
 SerializeExecution(const ExecutionRecord& aExecution, std::size_t aMostRunning);
-// A later line for the same beginning replaces the earlier one.
+// A line with the same start time as the preceding ownership line replaces that line, so that the
+// end of a renewed or revoked grant can be corrected.
 std::string
 SerializeOwnership(const OwnershipRecord& aOwnership);
 
-// A last line that was cut off by a kill is passed over.
+// Ignores a last line without a line end, which a killed server leaves. The error names the field
+// that is missing or invalid.
 FieldResult<ServerRecords>
 ParseRecords(std::string_view aText);
 
--- a/Libraries/LibStandIn/ServeStandIn.h
+++ b/Libraries/LibStandIn/ServeStandIn.h
@@ -7,8 +7,9 @@
 
 namespace latchslip {
 
-// Serves a stand-in at an address until it is told to stop; returns the exit code.
-// Bodies may be as large as forwarded images.
+// Serves HTTP requests of a stand-in at an address (IP:port) until SIGTERM or SIGINT. Returns the
+// exit code of the process: 0, or 2 if it can't listen at the address. Bodies may be up to 64 MiB,
+// which covers forwarded images. aProgram is the prefix of error messages.
 int
 ServeStandIn(const std::string& aProgram,
              const std::string& aAddress,
--- a/Libraries/LibStandIn/ServerState.cpp
+++ b/Libraries/LibStandIn/ServerState.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// For how long a leaving server may still get work that was on its way.
+// A leaving server may receive work that was already in flight for this long.
 constexpr Duration kLeavingGrace = seconds(3);
 
 } // namespace
@@ -101,7 +101,7 @@
   }
   const auto running = std::move(found->second);
   running_.erase(found);
-  // The fence may have risen since, but the key must still be this server's.
+  // The fence may be newer than the work's, but the server must still own the key.
   if (!Owns(aNow, running.work_.hash_)) {
     return false;
   }
--- a/Libraries/LibStandIn/ServerState.h
+++ b/Libraries/LibStandIn/ServerState.h
@@ -10,10 +10,7 @@
 
 namespace latchslip {
 
-// The rules of a small stand-in for a backend server, and the records that
-// audits read. Times are on the server's own clock. Pure.
-
-// A request that has run to its effect.
+// A request that ran to completion.
 struct ExecutionRecord
 {
   std::string requestId_;
@@ -24,7 +21,7 @@
   Instant endedAt_{ 0 };
 };
 
-// A span of time in which the server owned some ranges.
+// A period in which the server held a grant for these key ranges; until_ is exclusive.
 struct OwnershipRecord
 {
   Fence fence_ = 0;
@@ -33,6 +30,8 @@
   std::vector<HashRange> ranges_;
 };
 
+// One request that a server receives. validUntil_ is on the server's clock in microseconds; 0 means
+// that it doesn't expire.
 struct ServerWork
 {
   std::uint64_t id_ = 0;
@@ -46,37 +45,44 @@
 enum class StartVerdict
 {
   Started,
-  // The grant does not cover it.
+  // The key isn't covered by the server's current grant, or the fence is not the current one.
   Refused,
-  // No slot is free, or the server is leaving.
+  // No slot is free.
   Shed,
-  // It came later than it was valid.
+  // It arrived after its validUntil_.
   Expired,
 };
 
+// State machine of a stand-in backend server: accepts grants of key ranges, checks fences, limits
+// concurrent work to the slots, and records executions and ownership for audits. Does no I/O; all
+// times are on the server's own clock.
 class ServerState
 {
 public:
   ServerState(unsigned aSlots, bool aChecksOrders, std::uint64_t aBootId);
 
+  // Accepts a grant unless its fence or generation is older than the current one, or it is meant
+  // for another boot of the server. The reply counts running work that is orphaned or has an older
+  // fence (foreign), and running work for keys outside the new ranges (released).
   GrantReply OnGrant(Instant aNow, const GrantOrder& aOrder);
   StartVerdict OnWork(Instant aNow, const ServerWork& aWork);
-  // The work has come to its effect. False when the server owns the key no more
-  // and therefore drops it without effect.
+  // Completes the work and records its execution. False if the work isn't running, or if the server
+  // no longer owns the key and therefore drops the work without effect.
   bool Finish(Instant aNow, std::uint64_t aId);
-  // Takes back work that has not come to its effect.
+  // Cancels running work without effect. False if it isn't running.
   bool Cancel(std::uint64_t aId);
-  // Nobody waits for this work any more, but it goes on.
+  // The client of this work disconnected; the work continues and keeps its slot.
   void Orphan(std::uint64_t aId);
 
   bool Owns(Instant aNow, KeyHash aHash) const;
   void SetLeaving(Instant aNow) { leavingSince_ = aNow; }
   std::size_t Running() const { return running_.size(); }
   std::size_t MostRunning() const { return mostRunning_; }
+  // Number of requests that arrived while all slots were in use.
   std::uint64_t SlotsExceeded() const { return slotsExceeded_; }
   std::uint64_t StartedWhileLeaving() const { return startedWhileLeaving_; }
   const std::vector<ExecutionRecord>& Executions() const { return executions_; }
-  // Spans up to now; the last may still be growing.
+  // Periods of ownership so far; renewals extend the last one.
   const std::vector<OwnershipRecord>& Ownerships() const { return ownerships_; }
 
 private:
--- a/Libraries/LibStandIn/TableState.h
+++ b/Libraries/LibStandIn/TableState.h
@@ -9,13 +9,16 @@
 
 namespace latchslip {
 
-// The rows of a small stand-in for the platform's table service. Pure: faults
-// such as outages and lost answers are added by whoever uses it.
+// In-memory stand-in for the platform's table service: versioned rows, conditional multi-row
+// transactions (compare-and-set on row versions) and reads by version. Does no I/O; callers
+// simulate faults such as outages and lost answers.
 class TableState
 {
 public:
+  // Commits all writes if all conditions hold, and returns the new versions. Otherwise returns
+  // Conflict with the rows whose versions differ.
   StoreReply Apply(const Transaction& aTransaction);
-  // Every named row that is newer than its stamp.
+  // Returns each of the requested rows whose version is newer than in its stamp.
   StoreReply Read(const std::vector<RowStamp>& aStamps) const;
 
   std::uint64_t Writes() const { return writes_; }
--- a/Services/Latchslipd/main.cpp
+++ b/Services/Latchslipd/main.cpp
@@ -12,8 +12,9 @@
 
 } // namespace
 
-// The daemon of one entry instance: reads its settings, runs the instance until
-// it is told to leave, and exits when nothing is in flight.
+// Daemon of one entry instance. On SIGTERM or SIGINT it drains: the instance leaves the fleet, and
+// the process exits once no request is in flight. Exit codes: 2 for invalid settings, 3 if it can't
+// start.
 int
 main(int aCount, char** aArguments)
 {
--- a/Services/StandInPlatform/main.cpp
+++ b/Services/StandInPlatform/main.cpp
@@ -24,8 +24,9 @@
 
 namespace {
 
-// A stand-in for the platform of tests and of the run command: the table
-// service and the list of instances, with faults that can be switched.
+// Stand-in for the platform, for tests and the run command: the table service and the list of
+// instances over HTTP. POST /admin/fault injects faults of the table service (outage, hanging
+// calls, delay, lost answers); POST /admin/instances changes the list.
 class StandInPlatform : public HttpHandler
 {
 public:
@@ -63,6 +64,7 @@
   void OnGone(std::uint64_t) override {}
 
 private:
+  // Runs an action after a delay, or at once if the delay is 0.
   void After(Duration aDelay, std::function<void()> aAction)
   {
     if (aDelay == Duration{ 0 }) {
--- a/Services/StandInServer/main.cpp
+++ b/Services/StandInServer/main.cpp
@@ -35,8 +35,9 @@
   return duration_cast<Duration>(std::chrono::steady_clock::now().time_since_epoch());
 }
 
-// A stand-in for a backend server that owns keys: grants, slots, a cold start,
-// shedding, leaving and cancellation, and records for audits.
+// Stand-in for a backend server that owns keys: grants, a fixed number of slots, slow requests
+// after a cold start, load shedding, leaving and cancellation. Appends its executions and ownership
+// to a record file for audits.
 class StandInServer : public HttpHandler
 {
 public:
@@ -79,7 +80,7 @@
     }
   }
 
-  // Nobody waits for the answer any more; the work goes on.
+  // The client disconnected; the work continues and keeps its slot.
   void OnGone(std::uint64_t aId) override
   {
     const auto found = workOfRequest_.find(aId);
@@ -106,7 +107,7 @@
     const auto before = state_.Ownerships().size();
     const auto reply = state_.OnGrant(Now(), order.value());
     const auto& spans = state_.Ownerships();
-    // The span before may have been cut short by the new one.
+    // A new grant can shorten the preceding ownership period, so that line is written again.
     if (spans.size() > before && before > 0) {
       records_ << SerializeOwnership(spans[before - 1]) << '\n';
     }
@@ -138,7 +139,8 @@
     work.fence_ = ParseNumber(aRequest.Header(kFenceHeader), 0);
     work.validUntil_ =
       static_cast<std::int64_t>(ParseNumber(aRequest.Header(kValidUntilHeader), 0));
-    // Each instance numbers its work from one, so the fence makes it unique here.
+    // Each instance numbers its work from 1; the fence in the upper bits makes the id unique on
+    // this server.
     work.id_ += work.fence_ << 40U;
     const auto plainId = ParseNumber(aRequest.Header(kWorkHeader), aRequestNumber);
     auto named = work;
@@ -209,7 +211,7 @@
     aRespond(MakeHttpResponse(200, "{}"));
   }
 
-  // What the health page says is as old as the lag allows.
+  // Number of running requests for the health page, sampled once per health_lag_ms.
   std::size_t LaggingRunning()
   {
     if (Now() - healthAt_ > milliseconds(absl::GetFlag(FLAGS_health_lag_ms))) {
--- a/Tests/LibStandIn/TestAudit.cpp
+++ b/Tests/LibStandIn/TestAudit.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-// One booking that ran once on one server; the tests spoil it.
+// Valid records of one booking that ran once on one server. Each test changes them so that one
+// guarantee is violated, or not.
 class AuditOfOneBooking : public testing::Test
 {
 protected:
