--- a/Tests/LatchslipLoad/TestLoadRun.cpp
+++ b/Tests/LatchslipLoad/TestLoadRun.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-// Answers every request as an instance does that had it run.
+// Answers every request with the outcome "answered", as an instance does after executing it.
 class AnsweringHandler : public HttpHandler
 {
 public:
@@ -26,7 +26,7 @@
   void OnGone(std::uint64_t) override {}
 };
 
-// Four targets on loopback of which one has stopped listening.
+// Four targets on loopback, one of which has stopped listening.
 class LoadOnFourTargets : public testing::Test
 {
 protected:
--- a/Utilities/LatchslipLoad/LoadRun.cpp
+++ b/Utilities/LatchslipLoad/LoadRun.cpp
@@ -51,7 +51,7 @@
   }
 
 private:
-  // Sends what is due by now, so that a slow moment does not lower the rate.
+  // Sends all requests that are due by now, so that a stall of the process doesn't lower the rate.
   void Pace()
   {
     const auto elapsed = std::chrono::duration<double>(Now() - startedAt_).count();
@@ -152,15 +152,15 @@
            std::move(aDone));
   }
 
-  // Which target a request goes to, and how many it has not met yet.
+  // Target of the next attempt of a request, and how many targets are left, this one included.
   struct TargetChoice
   {
     std::size_t index_;
     std::size_t left_;
   };
 
-  // Plays the platform's balancer: a target that takes no connection got no
-  // byte, so the next is tried, until the request has met each target once.
+  // Simulates the platform's load balancer: if a target refuses the connection, no byte was sent
+  // and the request goes to the next target, at most once to each.
   void SendTo(HttpRequest aRequest,
               const CallerRecord& aRecord,
               const std::string& aExpected,
--- a/Utilities/LatchslipLoad/main.cpp
+++ b/Utilities/LatchslipLoad/main.cpp
@@ -180,8 +180,8 @@
   for (const auto& violation : report.violations_) {
     std::cout << "BROKEN " << violation << '\n';
   }
-  std::cout << (report.violations_.empty() ? "every promise checked holds\n"
-                                           : "a promise is broken\n");
+  std::cout << (report.violations_.empty() ? "all checked invariants hold\n"
+                                           : "an invariant is violated\n");
   return report.violations_.empty() ? 0 : kExitBroken;
 }
 
--- a/Utilities/Latchslipctl/main.cpp
+++ b/Utilities/Latchslipctl/main.cpp
@@ -34,17 +34,17 @@
 
 constexpr std::string_view kUsage =
   "latchslipctl COMMAND [flags]\n"
-  "  check FILE          check an intents file without asking anybody\n"
+  "  check FILE          check an intents file without contacting an instance\n"
   "  plan FILE           print what would change; --out=PLAN keeps the plan\n"
   "  confirm PLAN        put exactly that plan in force\n"
   "  declaration         print the declaration in force\n"
   "  status              ownership, shares, instances and their revision\n"
-  "  drain-server SERVICE SERVER   plan and confirm that it gives its keys away\n"
-  "  drain-instance      stop the instance at --operator_address, cutting nothing\n"
+  "  drain-server SERVICE SERVER   plan and confirm that its keys move to other servers\n"
+  "  drain-instance      stop the instance at --operator_address once its requests are done\n"
   "The token comes from LATCHSLIP_OPERATOR_TOKEN or --operator_token_file.\n"
   "Exit codes: 0 done, 2 wrong usage, 3 bad input, 4 conflict, 5 not reached or not in force.\n";
 
-// One exchange with the operators' listener.
+// Sends one request to the operators' listener and waits for the answer.
 HttpExchange
 Ask(const std::string& aMethod, const std::string& aTarget, const std::string& aBody)
 {
@@ -70,7 +70,7 @@
   return answer;
 }
 
-// The exit code for an answer, after telling of whatever went wrong.
+// Maps an answer to the exit code and prints the error, if any, to stderr.
 int
 Judge(const HttpExchange& aAnswer)
 {
