--- a/Benchmarks/AllocationCount.h
+++ b/Benchmarks/AllocationCount.h
@@ -4,7 +4,8 @@
 
 namespace latchslip {
 
-// Allocations and their bytes in this process so far; benchmarks take differences.
+// Heap allocations of this process so far and their bytes, counted in operator new. Benchmarks
+// report differences.
 struct AllocationCount
 {
   std::uint64_t count_ = 0;
--- a/Benchmarks/BenchDecisions.cpp
+++ b/Benchmarks/BenchDecisions.cpp
@@ -13,7 +13,7 @@
 
 constexpr std::size_t kSlicesPerServer = 16;
 
-// Finding the slice and the holder of a key, by the count of slices.
+// Looks up the slice and the holder of a key. Argument: number of slices.
 void
 BM_RouteLookup(benchmark::State& aState)
 {
@@ -32,7 +32,7 @@
 }
 BENCHMARK(BM_RouteLookup)->Arg(160)->Arg(1600)->Arg(16000)->Arg(160000);
 
-// Memory and wire bytes of a placement, by the count of servers.
+// Bytes of a placement in memory and on the wire, per slice. Argument: number of servers.
 void
 BM_PlacementSize(benchmark::State& aState)
 {
@@ -106,7 +106,7 @@
     for (ClaimId count = 0; count < batch; ++count) {
       book.Close(id - count, "answered 200");
     }
-    // The closing words ride on later transactions; here they are taken at once.
+    // The closing writes are batched with later transactions; here they are committed at once.
     now += seconds(1);
     if (book.NextCall(now)) {
       book.OnReply(now, reply);
@@ -169,7 +169,8 @@
 }
 BENCHMARK(BM_ForwardEncodeDecode)->Arg(64)->Arg(65536)->Arg(4194304)->Unit(benchmark::kMicrosecond);
 
-// One renewal of a grant: composing the order, its bytes, taking the reply.
+// One renewal of a grant: makes the command, serializes it and handles the reply. Argument: number
+// of key ranges.
 void
 BM_GrantRenewal(benchmark::State& aState)
 {
@@ -200,7 +201,7 @@
 }
 BENCHMARK(BM_GrantRenewal)->Arg(1)->Arg(16)->Arg(64)->Unit(benchmark::kMicrosecond);
 
-// Takes every action and does nothing, so that only the decisions cost.
+// An outbox without I/O, so that only the decisions are measured.
 class NullOutbox : public Outbox
 {
 public:
@@ -227,7 +228,7 @@
   void Record(Event, std::string_view) override {}
 };
 
-// An instance that is alone, holds every server and has all grants.
+// A fleet of one instance, which is the holder of all servers and has all grants.
 class LoneFleet
 {
 public:
@@ -252,7 +253,7 @@
     Renew();
   }
 
-  // One tick with all grants answered at once.
+  // One tick, after which all grant commands are accepted at once.
   void Renew()
   {
     now_ += milliseconds(150);
@@ -275,8 +276,8 @@
   InstanceCore core_;
 };
 
-// All decisions about one repeatable request at the instance that holds its
-// server: entry, admission, slots, dispatch and answer.
+// All decisions about one repeatable request at the holder of its server: entry, admission, slots,
+// dispatch and answer. Argument: number of servers.
 void
 BM_RequestDecisions(benchmark::State& aState)
 {
@@ -304,7 +305,7 @@
 }
 BENCHMARK(BM_RequestDecisions)->Arg(10)->Arg(100)->Arg(1000);
 
-// A tick of an idle instance with all its renewals, by the servers it holds.
+// One tick of an idle instance with all its renewals. Argument: number of servers it holds.
 void
 BM_IdleTick(benchmark::State& aState)
 {
@@ -315,7 +316,7 @@
 }
 BENCHMARK(BM_IdleTick)->Arg(4)->Arg(40)->Arg(400)->Unit(benchmark::kMicrosecond);
 
-// What installing one changed placement costs each instance.
+// Cost per instance of installing a changed placement. Argument: number of servers.
 void
 BM_InstallChange(benchmark::State& aState)
 {
--- a/Benchmarks/BenchFleet.cpp
+++ b/Benchmarks/BenchFleet.cpp
@@ -6,8 +6,7 @@
 
 namespace {
 
-// A fleet at rest or under a fault, on the fakes of the scenarios: counts that
-// are the same on every machine.
+// A simulated fleet. Its counters are deterministic and therefore the same on every machine.
 std::unique_ptr<World>
 MakeFleet(std::size_t aInstances, std::size_t aServers, bool aChecks)
 {
@@ -26,7 +25,8 @@
   return world;
 }
 
-// What an idle fleet costs the store and the peers, a second and an instance.
+// Store calls and peer messages of an idle fleet, per second and instance. Argument: number of
+// instances.
 void
 BM_IdleFleet(benchmark::State& aState)
 {
@@ -53,9 +53,8 @@
 }
 BENCHMARK(BM_IdleFleet)->Arg(4)->Arg(8)->Arg(16)->Unit(benchmark::kMillisecond)->Iterations(1);
 
-// A loss under load, from the last answer of a key to its first after it. The
-// second argument: 0 kills a server, 1 kills an instance; the third: whether the
-// servers check orders.
+// Recovery from a loss under load: longest time between two answers for a key. Arguments: number of
+// servers; 0 kills a server, 1 kills an instance; 1 if the servers check grants.
 void
 BM_LossRecovery(benchmark::State& aState)
 {
@@ -94,7 +93,7 @@
   ->Unit(benchmark::kMillisecond)
   ->Iterations(1);
 
-// A confirmation, until every instance has it in force.
+// Time of a confirmation until all instances have applied it. Argument: number of instances.
 void
 BM_Confirm(benchmark::State& aState)
 {
--- a/Benchmarks/BenchGateway.cpp
+++ b/Benchmarks/BenchGateway.cpp
@@ -1,4 +1,4 @@
-// The gateway's decisions, by the count of servers.
+// Benchmarks of the gateway's decisions. Argument: number of servers.
 
 #include "LibGateway/RequestDesk.h"
 #include "LibKeys/KeyBalancer.h"
@@ -59,7 +59,7 @@
   return servers;
 }
 
-// All decisions of one request that is sent and answered.
+// All decisions about a request that is sent and answered.
 void
 DecideRequests(benchmark::State& aState, bool aIsKeyed)
 {
@@ -107,7 +107,7 @@
 }
 BENCHMARK(BM_GatewayKeyedRequest)->Arg(10)->Arg(100)->Arg(1000);
 
-// Counts the permits that a dispatcher gives.
+// Counts the permits that a dispatcher issues.
 class CountedPermits : public DispatcherActions
 {
 public:
@@ -120,7 +120,7 @@
   std::size_t permits_ = 0;
 };
 
-// All that a dispatcher decides of one request: its ask and its end.
+// All decisions of a dispatcher about one request: the permit request and the end of the send.
 void
 BM_PermitDispatch(benchmark::State& aState)
 {
@@ -152,7 +152,7 @@
 }
 BENCHMARK(BM_PermitDispatch)->Arg(10)->Arg(100)->Arg(1000);
 
-// One round of evening out when a run of keys has become hot.
+// One round of rebalancing when a range of adjacent keys is hot.
 void
 BM_EvenOutKeys(benchmark::State& aState)
 {
--- a/Benchmarks/BenchPeerTransport.cpp
+++ b/Benchmarks/BenchPeerTransport.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-// A port of this process's own for each listener.
+// Returns a loopback address with a port that no other listener of this process uses.
 std::string
 FreshAddress()
 {
@@ -30,7 +30,7 @@
   return std::make_shared<const std::string>(static_cast<std::size_t>(aBytes), 'b');
 }
 
-// One end of the links that the product uses: answers what it is asked.
+// One end of the peer connections that the instances use; echoes the body of each request.
 class FramedEnd : public PeerHandler
 {
 public:
@@ -65,7 +65,7 @@
   std::uint64_t answers_ = 0;
 };
 
-// Frames over Asio, on the event loop that everything else runs on.
+// Length-prefixed frames over Asio, on the event loop that all other work uses too.
 void
 BM_TransportFramesOnAsio(benchmark::State& aState)
 {
@@ -113,8 +113,8 @@
   }
 };
 
-// Cap'n Proto RPC on a thread of its own, with a hand-over to and from the Asio
-// thread for each call.
+// Cap'n Proto RPC on a separate thread; each call crosses to that thread and back to the Asio
+// thread.
 void
 BM_TransportRpcOnOwnThread(benchmark::State& aState)
 {
--- a/Benchmarks/BenchPlacement.cpp
+++ b/Benchmarks/BenchPlacement.cpp
@@ -9,10 +9,10 @@
 namespace {
 
 constexpr std::size_t kSlicesPerServer = 16;
-// The most that a server may have over the mean after a shift.
+// Allowed load of the busiest server after a shift, as a multiple of the mean.
 constexpr double kWantedImbalance = 1.15;
 
-// A service whose servers are all granted and reported on.
+// A service all of whose servers have grants and load reports.
 class PlacedFleet
 {
 public:
@@ -82,7 +82,7 @@
   Placer placer_;
 };
 
-// A round in which nothing is to be changed, by the count of servers.
+// A placement round without changes. Argument: number of servers.
 void
 BM_PlacerIdleRound(benchmark::State& aState)
 {
@@ -93,8 +93,8 @@
 }
 BENCHMARK(BM_PlacerIdleRound)->Arg(10)->Arg(100)->Arg(1000)->Unit(benchmark::kMicrosecond);
 
-// The loss of one server: the cost, and how many slices it moves, by the count of
-// servers and the slices of each.
+// The placement round after the loss of one server, and the number of slices that it moves.
+// Arguments: number of servers; slices per server.
 void
 BM_PlacerServerLoss(benchmark::State& aState)
 {
@@ -134,8 +134,9 @@
   ->Args({ 10, 256 })
   ->Unit(benchmark::kMicrosecond);
 
-// A hot-key shift: rounds of moves until nothing more is worth one. Reports the
-// imbalance at the end and the share of slices moved over the share that had to.
+// Rebalancing after some slices become hot: rounds of moves until no further move is useful.
+// Reports the final imbalance, the share of the load that was moved, and the share that had to
+// move. Argument: number of servers.
 void
 BM_HotKeyShift(benchmark::State& aState)
 {
@@ -147,7 +148,7 @@
   for (auto _ : aState) {
     std::mt19937_64 random(7);
     PlacedFleet fleet(static_cast<std::size_t>(aState.range(0)));
-    // Some slices turn three times as busy as they were.
+    // One slice in 8, chosen at random, gets three times its former load.
     std::map<KeyHash, double> loads;
     for (const auto& slice : fleet.placement_.slices_) {
       loads[slice.start_] = random() % 8 == 0 ? 3.0 : 1.0;
@@ -181,7 +182,7 @@
       const auto before = fleet.placement_;
       fleet.Commit(std::move(*proposal));
       if (fleet.placement_.slices_.size() != sizeBefore) {
-        // A cut slice shares its load between the two parts.
+        // A slice that was split shares its load equally between the two parts.
         for (const auto& slice : fleet.placement_.slices_) {
           if (!loads.contains(slice.start_)) {
             auto whole = std::prev(loads.lower_bound(slice.start_));
--- a/Benchmarks/BenchSlotWays.cpp
+++ b/Benchmarks/BenchSlotWays.cpp
@@ -9,9 +9,10 @@
 
 namespace {
 
-// One instance queues for a server and the others forward to it. docs/DESIGN.md
-// has the figures of the two ways that were measured on the same load and removed
-// (slot credits lent out, and a limit of each instance's own).
+// Queueing model of the slots of one server: one instance has the queue and the others forward
+// their requests to it. docs/DESIGN.md compares it with two alternatives under the same load, which
+// were measured and removed: slots lent to the instances as credits, and a separate slot limit in
+// each instance.
 constexpr int kInstances = 8;
 constexpr Duration kHop = microseconds(500);
 constexpr Duration kServiceTime = milliseconds(2);
@@ -21,7 +22,7 @@
 {
   std::vector<double> latencies_;
   std::size_t exceeded_ = 0;
-  // Slots that stood free while a request waited somewhere, slot-time over time.
+  // Mean number of slots that were free while a request was waiting, averaged over the run.
   double idleWhileWaiting_ = 0;
   int connections_ = 0;
 };
@@ -75,7 +76,8 @@
       1.0 / static_cast<double>(kServiceTime.count()))(random_)));
   }
 
-  // The request is at the server; aDone is called when it has run there.
+  // Starts a request that has arrived at the server; calls aDone when it ends. False if all slots
+  // are in use.
   bool TryRun(std::function<void()> aDone)
   {
     Account();
--- a/Benchmarks/Echo.capnp
+++ b/Benchmarks/Echo.capnp
@@ -1,6 +1,6 @@
 @0xe5a1c0ffee123457;
 
-# The interface of the transport benchmark; no part of the product.
+# Interface for the transport benchmark; not part of the product.
 
 using Cxx = import "/capnp/c++.capnp";
 $Cxx.namespace("latchslip::wire");
--- a/Benchmarks/Main.cpp
+++ b/Benchmarks/Main.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Shows results as usual and keeps the counters for the table of bounds.
+// Prints results to the console and keeps the counters, which are then checked against the bounds.
 class KeepingReporter : public benchmark::ConsoleReporter
 {
 public:
@@ -27,8 +27,9 @@
   std::map<std::string, double> times_;
 };
 
-// One line of the table: BENCHMARK COUNTER LEAST MOST. Bounds are on counts, which
-// are the same on every machine; times are shown and never judged.
+// Checks the counters against the lines "BENCHMARK COUNTER MIN MAX" of a file. Only deterministic
+// counters have bounds, since they are the same on every machine; times are printed but not
+// checked. Returns the exit code: 1 if a bound is violated or a counter is missing.
 int
 CheckBounds(const std::string& aPath, const KeepingReporter& aReporter)
 {
@@ -68,7 +69,7 @@
 
 } // namespace
 
-// Takes the flags of Google Benchmark, and --bounds=FILE to judge the counters.
+// Accepts the flags of Google Benchmark, and --bounds=FILE to check the counters.
 int
 main(int aCount, char** aArguments)
 {
--- a/Benchmarks/Samples.h
+++ b/Benchmarks/Samples.h
@@ -9,7 +9,7 @@
 
 namespace latchslip {
 
-// Inputs of a given size for the benchmarks.
+// Benchmark inputs of a given size.
 
 inline Placement
 MakePlacement(std::size_t aServers, std::size_t aSlicesPerServer)
