--- a/Meta/check-mutants.sh
+++ b/Meta/check-mutants.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Shows that the scenarios and some tests can fail: removes one mechanism at a time from a
-# copy of the code and runs them. Exits non-zero when a mutant is not caught.
+# Mutation test: removes one mechanism at a time from a copy of the code and checks that the
+# scenarios or the named tests fail. Exits non-zero when a mutant is not caught.
 # Usage: Meta/check-mutants.sh [NAME...]
 set -euo pipefail
 cd "$(dirname "$0")/.."
@@ -10,7 +10,7 @@
 cmake -S "$copy" -B "$copy/Build" -G Ninja >/dev/null
 ninja -C "$copy/Build" test-scenarios >/dev/null
 
-# Runs each of the programs and keeps what they print.
+# Runs each of $programs and writes their output to $copy/log; fails if one of them fails.
 run_tests() {
   local program all_passed=0
   : >"$copy/log"
--- a/Meta/check-style.sh
+++ b/Meta/check-style.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# The formatter and the linter over all code of the project, generated code apart.
+# Runs clang-format and clang-tidy on all code of the project except generated code.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 mapfile -t files < <(git ls-files '*.h' '*.cpp' | grep -v /Generated/)
--- a/Meta/fleet.sh
+++ b/Meta/fleet.sh
@@ -1,6 +1,6 @@
-# Functions that start a small fleet on loopback: the platform stand-in, backend
-# server stand-ins and entry instances. Sourced by the run command and by the
-# process tests; only processes that it started itself are ever signalled.
+# Functions that start and stop a small fleet on loopback: a stand-in platform, stand-in backend
+# servers and entry instances. Sourced by the run command, the process tests and measure.sh. They
+# signal only processes that they started.
 
 fleet_init() { # DIR BUILD PORT
   fleet_dir=$1
@@ -26,7 +26,7 @@
   kill -"$2" "${fleet_pid[$1]}"
 }
 
-fleet_forget() { # NAME: it was killed or has left
+fleet_forget() { # NAME: reaps a process that was killed or has left
   wait "${fleet_pid[$1]}" 2>/dev/null || true
   unset "fleet_pid[$1]"
 }
@@ -85,8 +85,8 @@
   echo "$targets"
 }
 
-# Asks something until it succeeds; the bound is generous, because nothing is
-# judged by how long it took.
+# Repeats a command every 0.1 s until it succeeds; fails after SECONDS. Callers pass generous
+# bounds, since no test depends on how long it took.
 fleet_await() { # SECONDS COMMAND...
   local left=$(($1 * 10))
   shift
@@ -106,7 +106,7 @@
   "$fleet_build/Utilities/latchslipctl" --operator_address="$(fleet_operator_address "$number")" "$@"
 }
 
-fleet_admin() { # PATH BODY: the platform's switches
+fleet_admin() { # PATH BODY: posts to the stand-in platform's fault and list switches
   local address
   address=$(fleet_platform_address)
   exec 9<>"/dev/tcp/${address%:*}/${address#*:}"
@@ -116,14 +116,16 @@
   exec 9>&-
 }
 
-# Whether an instance has an owner with slices and a holder for every server.
+# Succeeds when the status of an instance shows at least SERVERS servers that are active with slices
+# and a holder.
 fleet_is_placed() { # INSTANCE SERVERS
   local status
   status=$(fleet_ctl "$1" status) || return 1
   [ "$(grep -c '    server .* active slices [1-9][0-9]* holder instance-' <<<"$status")" -ge "$2" ]
 }
 
-# An intents file for services given as NAME:FIRST:LAST:CHECKS, with two groups.
+# Writes an intents file with two groups for services given as NAME:FIRST:LAST:CHECKS (numbers of
+# their first and last server, and whether they check grants).
 fleet_write_intents() { # FILE SERVICE...
   local file=$1 service name first last checks number separator="" inner
   shift
--- a/Meta/generate-schema.sh
+++ b/Meta/generate-schema.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Makes the committed Cap'n Proto code anew after a change of the schema. The
-# build itself needs no generator.
+# Regenerates the committed Cap'n Proto code after a change of a schema. The build itself does not
+# run the generator.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 capnp compile --src-prefix=Libraries/LibNet -oc++:Libraries/LibNet/Generated Libraries/LibNet/Peer.capnp Libraries/LibNet/Permit.capnp
--- a/Meta/latchslip.sh
+++ b/Meta/latchslip.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# The two commands of the project: "run" does the main job, "test" runs every
-# test. Both install what is missing from Debian's packages, and build.
+# The commands of the project: "run" starts the demonstration fleet, "test" runs all tests, "build"
+# only builds. All of them install missing Debian packages and build first.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
--- a/Meta/measure.sh
+++ b/Meta/measure.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Measures one run on loopback: latency over a direct call to the same kind of
-# server, throughput, and what an idle and a loaded instance cost. Judges nothing.
+# Measures a fleet on loopback: latency compared with direct calls to the same kind of server,
+# throughput, and the CPU time, memory and control traffic of an idle and a loaded instance. Checks
+# no bounds.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 source Meta/fleet.sh
@@ -38,7 +39,7 @@
 echo "as fast as 32 callers can:"
 "$load" send --targets="$(fleet_caller_targets "$instances")" --requests=60000 --workers=32 --keys=20000 --prefix=fast- --streams=rates:booking-sites:repeatable
 
-echo "memory of an instance by idle connections of callers:"
+echo "memory of an instance by number of idle caller connections:"
 before=0
 for wanted in 0 200 400 800; do
   while [ "$before" -lt "$wanted" ]; do
--- a/Meta/process-tests.sh
+++ b/Meta/process-tests.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# The promises with real processes on loopback. One case a call, so that ctest
-# runs and names them; the verdict comes from the servers' records and from what
-# operators and callers were told, never from how long something took.
+# Checks the guarantees with real processes on loopback. Each call runs one case, so that ctest
+# lists them separately. Results are judged by the servers' records and by the answers that
+# operators and callers received, never by how long something took.
 # Usage: Meta/process-tests.sh CASE BUILD PORT
 set -euo pipefail
 cd "$(dirname "$0")/.."
@@ -12,8 +12,8 @@
 load="$fleet_build/Utilities/latchslip-load"
 instances=4
 
-# Rates on servers 1 to 4, bookings on 5 to 7; the last flag says whether the
-# servers of the first service check orders.
+# Starts a fleet with the service rates on servers 1 to 4 and bookings on 5 to 7. CHECKS (true or
+# false) says whether the servers of rates check grants.
 start_fleet() { # CHECKS
   local number
   fleet_start_platform "$instances" --list_lag_ms=300
@@ -36,7 +36,7 @@
   done
 }
 
-# Sends a handful of requests and wants every one of them answered.
+# Sends 40 requests and succeeds if all of them are answered.
 answers_once() {
   "$load" send --targets="$(fleet_caller_targets "$instances")" --requests=40 --workers=4 \
     --streams=rates:booking-sites:repeatable --prefix="try-$RANDOM-" \
@@ -109,7 +109,7 @@
     sleep 60
     fleet_admin /admin/fault '{"outage":false}'
     audit
-    # Repeatable work never needed the store: all of it was answered.
+    # Repeatable requests do not need the store, so all of them were answered.
     [ "$(grep '"repeatable":true' "$fleet_dir/callers.results" | grep -vc '"outcome":"answered"' || true)" -eq 0 ]
     fleet_await 30 answers_once
     ;;
@@ -141,7 +141,7 @@
     wait "$first" || first_code=$?
     wait "$second" || second_code=$?
     cat "$fleet_dir/first.out" "$fleet_dir/second.out"
-    # Exactly one is in force (exit 0) and the other is told of the conflict (4).
+    # Exactly one is applied (exit code 0) and the other reports the conflict (4).
     [ $((first_code + second_code)) -eq 4 ] && [ $((first_code * second_code)) -eq 0 ]
     portion=5
     [ "$second_code" -eq 0 ] && portion=7
@@ -157,7 +157,7 @@
     fleet_ctl 2 drain-instance
     wait "${fleet_pid[instance-2]}"
     unset "fleet_pid[instance-2]"
-    # The platform notices; until then the confirmation would wait for it.
+    # The platform removes the instance from its list; a confirmation would wait for it until then.
     fleet_admin /admin/instances '{"name":"instance-2","state":"gone"}'
     sleep 1
     fleet_ctl 1 drain-server rates server-2
--- a/Meta/refusals.sh
+++ b/Meta/refusals.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# Where requests are lost: reads logs of entry instances (files, or standard input) and
-# prints a row for each second, service and reason: refusals (E600), the middle of their
-# ages and of the time that their clients had left. docs/OPERATIONS.md shows its use.
+# Summarizes refused requests: reads logs of entry instances (files, or standard input) and prints
+# a row for each second, service and reason with the number of refusals (E600), the median of the
+# requests' ages and the median of the time left until their deadlines. docs/OPERATIONS.md shows its
+# use.
 set -euo pipefail
 
 awk '
--- a/Meta/run-main.sh
+++ b/Meta/run-main.sh
@@ -1,8 +1,7 @@
 #!/usr/bin/env bash
-# The main job on one machine: 8 entry instances, the platform stand-in, 10
-# servers of one service and 7 of another; one confirmed intent, 12,000 requests
-# of two groups, one killed instance and one killed server on the way. The
-# verdict comes from the servers' own records.
+# Demonstration on one machine: a stand-in platform, 8 entry instances, 10 servers of one service
+# and 7 of another. Confirms sharing intents, sends 12,000 requests of two groups, kills an instance
+# and a server meanwhile, and audits the result against the servers' own records.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 source Meta/fleet.sh
@@ -24,7 +23,7 @@
 fleet_await 30 fleet_is_placed 1 17
 sleep 1
 
-echo "== sending requests; instance-5 and server-3 are killed on the way"
+echo "== sending requests; instance-5 and server-3 are killed meanwhile"
 load="$fleet_build/Utilities/latchslip-load"
 "$load" send --targets="$(fleet_caller_targets "$instances")" --requests=12000 --rate=1000 \
   --streams=rates:booking-sites:repeatable,bookings:booking-sites:once,rates:agencies:repeatable \
@@ -38,5 +37,5 @@
 fleet_forget server-3
 wait "$load_pid"
 
-echo "== auditing what the callers were told against what the servers wrote down"
+echo "== auditing the answers to the callers against the servers' records"
 "$load" audit --records="$fleet_dir" --results="$fleet_dir/callers.results"
--- a/Tests/CountedEvents.h
+++ b/Tests/CountedEvents.h
@@ -6,7 +6,7 @@
 
 namespace latchslip {
 
-// Counts what is logged.
+// Counts recorded events by kind.
 class CountedEvents : public EventSink
 {
 public:
--- a/Tests/SilentEvents.h
+++ b/Tests/SilentEvents.h
@@ -4,7 +4,7 @@
 
 namespace latchslip {
 
-// For tests that look at decisions, not at the log.
+// Discards events, for tests that don't check them.
 class SilentEvents : public EventSink
 {
 public:
