--- a/Benchmarks/BenchFleet.cpp
+++ b/Benchmarks/BenchFleet.cpp
@@ -1,4 +1,4 @@
-#include "LibScenario/World.h"
+#include "LibScenario/SimulatedFleet.h"
 
 #include <benchmark/benchmark.h>
 
@@ -7,22 +7,22 @@
 namespace {
 
 // A simulated fleet. Its counters are deterministic and therefore the same on every machine.
-std::unique_ptr<World>
+std::unique_ptr<SimulatedFleet>
 MakeFleet(std::size_t aInstances, std::size_t aServers, bool aChecks)
 {
-  auto world = std::make_unique<World>(9, std::vector<std::string>{ "a", "b", "c" });
+  auto fleet = std::make_unique<SimulatedFleet>(9, std::vector<std::string>{ "a", "b", "c" });
   for (std::size_t number = 1; number <= aInstances; ++number) {
-    world->AddInstance("i" + std::to_string(number));
+    fleet->AddInstance("i" + std::to_string(number));
   }
-  world->AddService({ "rates", aServers, 4, aChecks, milliseconds(2) });
+  fleet->AddService({ "rates", aServers, 4, aChecks, milliseconds(2) });
   SharingIntent intent;
   intent.group_ = "web";
   intent.service_ = "rates";
   intent.portion_ = 1;
   intent.maxWaiting_ = 256;
-  world->AddIntent(intent);
-  world->Start();
-  return world;
+  fleet->AddIntent(intent);
+  fleet->Start();
+  return fleet;
 }
 
 // Store calls and peer messages of an idle fleet, per second and instance. Argument: number of
@@ -36,16 +36,16 @@
   double writes = 0;
   double messages = 0;
   for (auto _ : aState) {
-    auto world = MakeFleet(instances, 10, true);
-    world->Advance(seconds(5));
-    const auto readsBefore = world->Table().Reads();
-    const auto writesBefore = world->Table().Writes();
-    const auto messagesBefore = world->ControlMessages();
-    world->Advance(seconds(10));
+    auto fleet = MakeFleet(instances, 10, true);
+    fleet->Advance(seconds(5));
+    const auto readsBefore = fleet->Table().Reads();
+    const auto writesBefore = fleet->Table().Writes();
+    const auto messagesBefore = fleet->ControlMessages();
+    fleet->Advance(seconds(10));
     const auto perInstance = kSpan * static_cast<double>(instances);
-    reads = static_cast<double>(world->Table().Reads() - readsBefore) / perInstance;
-    writes = static_cast<double>(world->Table().Writes() - writesBefore) / perInstance;
-    messages = static_cast<double>(world->ControlMessages() - messagesBefore) / perInstance;
+    reads = static_cast<double>(fleet->Table().Reads() - readsBefore) / perInstance;
+    writes = static_cast<double>(fleet->Table().Writes() - writesBefore) / perInstance;
+    messages = static_cast<double>(fleet->ControlMessages() - messagesBefore) / perInstance;
   }
   aState.counters["store_reads"] = reads;
   aState.counters["store_writes"] = writes;
@@ -62,21 +62,21 @@
   double writes = 0;
   double violations = 0;
   for (auto _ : aState) {
-    auto world = MakeFleet(8, static_cast<std::size_t>(aState.range(0)), aState.range(2) != 0);
-    world->StartLoad({ "web", "rates", 2000, 200, true, seconds(2), 0 });
-    world->Advance(seconds(3));
-    world->ForgetGaps();
-    const auto before = world->Table().Writes();
+    auto fleet = MakeFleet(8, static_cast<std::size_t>(aState.range(0)), aState.range(2) != 0);
+    fleet->StartLoad({ "web", "rates", 2000, 200, true, seconds(2), 0 });
+    fleet->Advance(seconds(3));
+    fleet->ResetMeasurements();
+    const auto before = fleet->Table().Writes();
     if (aState.range(1) == 0) {
-      world->KillServer("rates-2", false);
+      fleet->KillServer("rates-2", false);
     } else {
-      world->KillInstance("i3");
-      world->ListGone("i3");
+      fleet->KillInstance("i3");
+      fleet->RemoveFromList("i3");
     }
-    world->Advance(seconds(5));
-    gap = static_cast<double>(world->LongestGap("rates").count()) / 1000;
-    writes = static_cast<double>(world->Table().Writes() - before);
-    violations = static_cast<double>(world->Violations().size());
+    fleet->Advance(seconds(5));
+    gap = static_cast<double>(fleet->LongestGap("rates").count()) / 1000;
+    writes = static_cast<double>(fleet->Table().Writes() - before);
+    violations = static_cast<double>(fleet->Violations().size());
   }
   aState.counters["gap_ms"] = gap;
   aState.counters["store_writes"] = writes;
@@ -100,15 +100,15 @@
   double span = 0;
   double writes = 0;
   for (auto _ : aState) {
-    auto world = MakeFleet(static_cast<std::size_t>(aState.range(0)), 10, true);
-    world->Advance(seconds(2));
-    world->Wanted().intents_[0].portion_ = 2;
-    world->Plan("p", "i1", world->Wanted());
-    const auto before = world->Table().Writes();
-    world->Confirm("p", "i1");
-    world->Advance(seconds(6));
-    span = static_cast<double>(world->TimeOfConfirm("p").count()) / 1000;
-    writes = static_cast<double>(world->Table().Writes() - before);
+    auto fleet = MakeFleet(static_cast<std::size_t>(aState.range(0)), 10, true);
+    fleet->Advance(seconds(2));
+    fleet->DesiredDeclaration().intents_[0].portion_ = 2;
+    fleet->Plan("p", "i1", fleet->DesiredDeclaration());
+    const auto before = fleet->Table().Writes();
+    fleet->Confirm("p", "i1");
+    fleet->Advance(seconds(6));
+    span = static_cast<double>(fleet->ConfirmationTime("p").count()) / 1000;
+    writes = static_cast<double>(fleet->Table().Writes() - before);
   }
   aState.counters["in_force_ms"] = span;
   aState.counters["store_writes"] = writes;
--- a/Benchmarks/BenchSlotWays.cpp
+++ b/Benchmarks/BenchSlotQueue.cpp
@@ -23,7 +23,7 @@
   std::vector<double> latencies_;
   std::size_t exceeded_ = 0;
   // Mean number of slots that were free while a request was waiting, averaged over the run.
-  double idleWhileWaiting_ = 0;
+  double idleSlotsWhileWaiting_ = 0;
   int connections_ = 0;
 };
 
@@ -41,7 +41,7 @@
   {
     Arrive();
     queue_.RunUntil(queue_.Now() + seconds(3600));
-    outcome_.idleWhileWaiting_ /= static_cast<double>((last_ - first_).count());
+    outcome_.idleSlotsWhileWaiting_ /= static_cast<double>((last_ - first_).count());
     return std::move(outcome_);
   }
 
@@ -54,19 +54,19 @@
 
   virtual void OnArrival(const Request& aRequest) = 0;
 
-  void Account()
+  void UpdateIdleTime()
   {
     const auto now = queue_.Now();
     if (waiting_ > 0 && running_ < slots_) {
-      outcome_.idleWhileWaiting_ +=
+      outcome_.idleSlotsWhileWaiting_ +=
         static_cast<double>(std::min(waiting_, slots_ - running_) * (now - accountedAt_).count());
     }
     accountedAt_ = now;
   }
 
-  void Wait(int aChange)
+  void ChangeWaiting(int aChange)
   {
-    Account();
+    UpdateIdleTime();
     waiting_ += aChange;
   }
 
@@ -80,23 +80,23 @@
   // are in use.
   bool TryRun(std::function<void()> aDone)
   {
-    Account();
+    UpdateIdleTime();
     if (running_ >= slots_) {
       ++outcome_.exceeded_;
       return false;
     }
     ++running_;
-    queue_.After(ServiceTime(), [this, done = std::move(aDone)] {
-      Account();
+    queue_.ScheduleAfter(ServiceTime(), [this, done = std::move(aDone)] {
+      UpdateIdleTime();
       --running_;
       done();
     });
     return true;
   }
 
-  void Answer(const Request& aRequest, Duration aWayBack)
+  void Answer(const Request& aRequest, Duration aReturnDelay)
   {
-    queue_.After(aWayBack, [this, aRequest] {
+    queue_.ScheduleAfter(aReturnDelay, [this, aRequest] {
       last_ = queue_.Now();
       outcome_.latencies_.push_back(
         static_cast<double>((queue_.Now() - aRequest.arrivedAt_).count()) / 1000);
@@ -118,7 +118,7 @@
     OnArrival({ static_cast<int>(random_() % kInstances), queue_.Now() });
     const Duration gap(
       static_cast<std::int64_t>(std::exponential_distribution<double>(1.0 / meanGap_)(random_)));
-    queue_.After(gap, [this] { Arrive(); });
+    queue_.ScheduleAfter(gap, [this] { Arrive(); });
   }
 
   double meanGap_;
@@ -142,35 +142,35 @@
 private:
   void OnArrival(const Request& aRequest) override
   {
-    const auto way = aRequest.instance_ == 0 ? Duration{ 0 } : kHop;
-    queue_.After(way, [this, aRequest, way] {
-      waiting_.push_back({ aRequest, way });
-      Wait(1);
-      Pump();
+    const auto delay = aRequest.instance_ == 0 ? Duration{ 0 } : kHop;
+    queue_.ScheduleAfter(delay, [this, aRequest, delay] {
+      waiting_.push_back({ aRequest, delay });
+      ChangeWaiting(1);
+      DispatchQueued();
     });
   }
 
-  void Pump()
+  void DispatchQueued()
   {
-    while (!waiting_.empty() && out_ < slots_) {
-      const auto [request, way] = waiting_.front();
+    while (!waiting_.empty() && dispatched_ < slots_) {
+      const auto [request, delay] = waiting_.front();
       waiting_.pop_front();
-      ++out_;
-      queue_.After(kHop, [this, request = request, way = way] {
-        Wait(-1);
-        TryRun([this, request, way] {
-          queue_.After(kHop, [this] {
-            --out_;
-            Pump();
+      ++dispatched_;
+      queue_.ScheduleAfter(kHop, [this, request = request, delay = delay] {
+        ChangeWaiting(-1);
+        TryRun([this, request, delay] {
+          queue_.ScheduleAfter(kHop, [this] {
+            --dispatched_;
+            DispatchQueued();
           });
-          Answer(request, kHop + way);
+          Answer(request, kHop + delay);
         });
       });
     }
   }
 
   std::deque<std::pair<Request, Duration>> waiting_;
-  int out_ = 0;
+  int dispatched_ = 0;
 };
 
 template<typename Model>
@@ -188,7 +188,7 @@
   aState.counters["p99_ms"] = latencies[latencies.size() * 99 / 100];
   aState.counters["exceeded_per_1000"] =
     1000.0 * static_cast<double>(outcome.exceeded_) / static_cast<double>(latencies.size());
-  aState.counters["idle_slots_while_waiting"] = outcome.idleWhileWaiting_;
+  aState.counters["idle_slots_while_waiting"] = outcome.idleSlotsWhileWaiting_;
   aState.counters["connections"] = outcome.connections_;
 }
 BENCHMARK_TEMPLATE(BM_SlotWay, OneQueue)
--- a/Libraries/LibScenario/EventQueue.h
+++ b/Libraries/LibScenario/EventQueue.h
@@ -18,26 +18,26 @@
   Instant Now() const { return now_; }
 
   // Schedules an action at a time. A time in the past counts as now.
-  void At(Instant aMoment, std::function<void()> aAction)
+  void ScheduleAt(Instant aTime, std::function<void()> aAction)
   {
-    actions_.emplace(std::pair(std::max(aMoment, now_), ++sequence_), std::move(aAction));
+    actions_.emplace(std::pair(std::max(aTime, now_), ++sequence_), std::move(aAction));
   }
 
-  void After(Duration aDelay, std::function<void()> aAction)
+  void ScheduleAfter(Duration aDelay, std::function<void()> aAction)
   {
-    At(now_ + aDelay, std::move(aAction));
+    ScheduleAt(now_ + aDelay, std::move(aAction));
   }
 
-  // Runs all actions that are due up to and including aMoment, also those scheduled meanwhile, and
-  // sets the clock to aMoment.
-  void RunUntil(Instant aMoment)
+  // Runs all actions that are due up to and including aTime, also those scheduled meanwhile, and
+  // sets the clock to aTime.
+  void RunUntil(Instant aTime)
   {
-    while (!actions_.empty() && actions_.begin()->first.first <= aMoment) {
+    while (!actions_.empty() && actions_.begin()->first.first <= aTime) {
       auto first = actions_.extract(actions_.begin());
       now_ = first.key().first;
       first.mapped()();
     }
-    now_ = aMoment;
+    now_ = aTime;
   }
 
 private:
--- a/Libraries/LibScenario/Invariants.cpp
+++ b/Libraries/LibScenario/Invariants.cpp
@@ -6,16 +6,16 @@
 
 namespace {
 
-constexpr std::size_t kMostViolations = 20;
+constexpr std::size_t kMaxViolations = 20;
 // A server that is leaving may receive new work for this long.
 constexpr Duration kLeavingBound = seconds(3);
 
 } // namespace
 
 void
-Invariants::Violate(Instant aNow, const std::string& aWhat)
+Invariants::AddViolation(Instant aNow, const std::string& aWhat)
 {
-  if (violations_.size() < kMostViolations) {
+  if (violations_.size() < kMaxViolations) {
     std::string sentence = "at ";
     sentence.append(std::to_string(aNow.count())).append(" us: ").append(aWhat);
     violations_.push_back(std::move(sentence));
@@ -38,7 +38,7 @@
     if (server != aServer && grant.until_ > aNow && ShareHash(grant.ranges_, aRanges)) {
       std::string what = "one-owner: ";
       what.append(server).append(" and ").append(aServer).append(" own the same keys");
-      Violate(aNow, what);
+      AddViolation(aNow, what);
     }
   }
 }
@@ -62,13 +62,14 @@
   auto& running = running_[aService];
   for (const auto& [id, other] : running) {
     if (!aChecksOrders && other.hash_ == aHash && other.server_ != aServer) {
-      Violate(aNow, "one-owner: " + other.server_ + " and " + aServer + " run work for one key");
+      AddViolation(aNow,
+                   "one-owner: " + other.server_ + " and " + aServer + " run work for one key");
     }
   }
   running[{ aServer, aWork }] = { aServer, aHash };
   const auto leaving = leavingSince_.find(aServer);
   if (leaving != leavingSince_.end() && aNow - leaving->second > kLeavingBound) {
-    Violate(aNow, "leaving: " + aServer + " got new work after the bound");
+    AddViolation(aNow, "leaving: " + aServer + " got new work after the bound");
   }
 }
 
@@ -86,7 +87,7 @@
   // Callers may send one id several times. The "not run" answers can all be true as long as there
   // are no more executions than sends without such an answer.
   if (aRequest.executed_ > aRequest.sent_ - aRequest.notRun_) {
-    Violate(aNow, "not-run: " + aRequestId + " ran though its caller was told it had not");
+    AddViolation(aNow, "not-run: " + aRequestId + " ran though its caller was told it had not");
   }
 }
 
@@ -97,7 +98,7 @@
   ++request.executed_;
   if (!request.isRepeatable_) {
     if (request.executed_ > 1) {
-      Violate(aNow, "at-most-once: " + aRequestId + " ran again");
+      AddViolation(aNow, "at-most-once: " + aRequestId + " ran again");
     }
     CheckNotRun(aNow, aRequestId, request);
   } else if (request.notRun_ == request.sent_) {
@@ -122,15 +123,15 @@
   auto& request = requests_[aRequestId];
   ++request.answered_;
   if (request.answered_ > request.sent_) {
-    Violate(aNow, "one-answer: " + aRequestId + " was answered more often than it was sent");
+    AddViolation(aNow, "one-answer: " + aRequestId + " was answered more often than it was sent");
   }
   switch (aAnswer.outcome_) {
     case RequestOutcome::Answered:
       if (!aAnswer.body_ || *aAnswer.body_ != aExpectedBody) {
-        Violate(aNow, "own-answer: " + aRequestId + " got a wrong or partial answer");
+        AddViolation(aNow, "own-answer: " + aRequestId + " got a wrong or partial answer");
       }
       if (request.executed_ == 0) {
-        Violate(aNow, "answered: " + aRequestId + " was answered but never ran");
+        AddViolation(aNow, "answered: " + aRequestId + " was answered but never ran");
       }
       break;
     case RequestOutcome::NotRun:
@@ -145,20 +146,20 @@
 }
 
 void
-Invariants::OnConfirmed(RowVersion aRevision, const std::string& aToken)
+Invariants::OnConfigurationConfirmed(RowVersion aRevision, const std::string& aToken)
 {
   confirmed_[aRevision] = aToken;
 }
 
 void
-Invariants::OnStored(Instant aNow, RowVersion aRevision, const std::string& aToken)
+Invariants::OnConfigurationStored(Instant aNow, RowVersion aRevision, const std::string& aToken)
 {
   if (!confirmed_.empty() && aRevision < confirmed_.rbegin()->first) {
-    Violate(aNow, "confirmed: the stored configuration is older than a confirmed one");
+    AddViolation(aNow, "confirmed: the stored configuration is older than a confirmed one");
   }
   const auto found = confirmed_.find(aRevision);
   if (found != confirmed_.end() && found->second != aToken) {
-    Violate(aNow, "confirmed: another configuration stands under a confirmed revision");
+    AddViolation(aNow, "confirmed: another configuration stands under a confirmed revision");
   }
 }
 
@@ -177,7 +178,7 @@
 {
   auto& known = views_[{ aInstance, aRowKey }];
   if (aVersion < known) {
-    Violate(aNow, "revert: " + aInstance + " went back to an older " + aRowKey);
+    AddViolation(aNow, "revert: " + aInstance + " went back to an older " + aRowKey);
   }
   if (aVersion == known) {
     return;
@@ -185,14 +186,15 @@
   known = aVersion;
   const auto stored = stored_.find({ aRowKey, aVersion });
   if (stored == stored_.end() || stored->second != aToken) {
-    Violate(aNow, "in-place: " + aInstance + " acts on a " + aRowKey + " that was never stored");
+    AddViolation(aNow,
+                 "in-place: " + aInstance + " acts on a " + aRowKey + " that was never stored");
   }
 }
 
 void
 Invariants::OnSlotsExceeded(Instant aNow, const std::string& aServer)
 {
-  Violate(aNow, "slots: " + aServer + " got more work at once than it has slots");
+  AddViolation(aNow, "slots: " + aServer + " got more work at once than it has slots");
 }
 
 void
@@ -202,12 +204,12 @@
 }
 
 void
-Invariants::OnCut(Instant aNow, const std::string& aInstance, std::size_t aInFlight)
+Invariants::OnInstanceStopped(Instant aNow, const std::string& aInstance, std::size_t aInFlight)
 {
   if (aInFlight > 0) {
-    Violate(aNow,
-            "cut: " + aInstance + " stopped with " + std::to_string(aInFlight) +
-              " requests in flight");
+    AddViolation(aNow,
+                 "cut: " + aInstance + " stopped with " + std::to_string(aInFlight) +
+                   " requests in flight");
   }
 }
 
--- a/Libraries/LibScenario/Invariants.h
+++ b/Libraries/LibScenario/Invariants.h
@@ -45,9 +45,9 @@
                   const std::string& aExpectedBody);
 
   // The instance confirmed to an operator that this revision of the configuration is in force.
-  void OnConfirmed(RowVersion aRevision, const std::string& aToken);
+  void OnConfigurationConfirmed(RowVersion aRevision, const std::string& aToken);
   // The table service committed this revision of the configuration.
-  void OnStored(Instant aNow, RowVersion aRevision, const std::string& aToken);
+  void OnConfigurationStored(Instant aNow, RowVersion aRevision, const std::string& aToken);
   // An instance has this version of a row in its view; called after each tick of the instance.
   void OnView(Instant aNow,
               const std::string& aInstance,
@@ -60,10 +60,10 @@
   void OnSlotsExceeded(Instant aNow, const std::string& aServer);
   // A server began to leave; new work may start there for kLeavingBound only.
   void OnServerLeaving(Instant aNow, const std::string& aServer);
-  void OnServerBack(const std::string& aServer) { leavingSince_.erase(aServer); }
+  void OnServerReturned(const std::string& aServer) { leavingSince_.erase(aServer); }
   // A leaving instance reported that it may stop; aInFlight is its number of callers and of
   // requests still in flight, which must be 0.
-  void OnCut(Instant aNow, const std::string& aInstance, std::size_t aInFlight);
+  void OnInstanceStopped(Instant aNow, const std::string& aInstance, std::size_t aInFlight);
 
   const std::vector<std::string>& Violations() const { return violations_; }
 
@@ -88,7 +88,7 @@
     KeyHash hash_ = 0;
   };
 
-  void Violate(Instant aNow, const std::string& aWhat);
+  void AddViolation(Instant aNow, const std::string& aWhat);
   void CheckNotRun(Instant aNow, const std::string& aRequestId, const Request& aRequest);
 
   std::map<std::string, std::map<std::string, Grant>> grants_;
--- a/Libraries/LibScenario/Script.cpp
+++ b/Libraries/LibScenario/Script.cpp
@@ -5,9 +5,9 @@
 namespace latchslip {
 
 ScriptResult<void>
-ScriptRunner::RequireWorld(const ScriptWord& aWord)
+ScriptRunner::RequireFleet(const ScriptWord& aWord)
 {
-  if (!world_) {
+  if (!fleet_) {
     return ErrorAt(aWord, "\"halls\" must come first");
   }
   return outcome::success();
@@ -16,19 +16,19 @@
 ScriptResult<void>
 ScriptRunner::AddService(ScriptReader& aReader)
 {
-  World::ServiceSettings settings;
-  BOOST_OUTCOME_TRY(settings.name_, aReader.Text("the name of a service"));
-  BOOST_OUTCOME_TRY(aReader.Literal("servers"));
-  BOOST_OUTCOME_TRY(const auto servers, aReader.Number("the count of servers"));
-  BOOST_OUTCOME_TRY(aReader.Literal("slots"));
-  BOOST_OUTCOME_TRY(const auto slots, aReader.Number("the count of slots"));
-  BOOST_OUTCOME_TRY(aReader.Literal("checks"));
-  BOOST_OUTCOME_TRY(settings.checksOrders_, aReader.Choice("yes", "no"));
-  BOOST_OUTCOME_TRY(aReader.Literal("time"));
-  BOOST_OUTCOME_TRY(settings.time_, aReader.Span("the service time"));
+  SimulatedFleet::ServiceSettings settings;
+  BOOST_OUTCOME_TRY(settings.name_, aReader.ReadText("the name of a service"));
+  BOOST_OUTCOME_TRY(aReader.ReadKeyword("servers"));
+  BOOST_OUTCOME_TRY(const auto servers, aReader.ReadNumber("the count of servers"));
+  BOOST_OUTCOME_TRY(aReader.ReadKeyword("slots"));
+  BOOST_OUTCOME_TRY(const auto slots, aReader.ReadNumber("the count of slots"));
+  BOOST_OUTCOME_TRY(aReader.ReadKeyword("checks"));
+  BOOST_OUTCOME_TRY(settings.checksOrders_, aReader.ReadChoice("yes", "no"));
+  BOOST_OUTCOME_TRY(aReader.ReadKeyword("time"));
+  BOOST_OUTCOME_TRY(settings.serviceTime_, aReader.ReadDuration("the service time"));
   settings.servers_ = static_cast<std::size_t>(servers);
   settings.slots_ = static_cast<unsigned>(slots);
-  world_->AddService(settings);
+  fleet_->AddService(settings);
   return outcome::success();
 }
 
@@ -36,80 +36,80 @@
 ScriptRunner::AddGroup(ScriptReader& aReader)
 {
   SharingIntent intent;
-  BOOST_OUTCOME_TRY(intent.group_, aReader.Text("the name of a group"));
-  BOOST_OUTCOME_TRY(aReader.Literal("on"));
-  BOOST_OUTCOME_TRY(intent.service_, aReader.Text("the name of a service"));
-  BOOST_OUTCOME_TRY(aReader.Literal("portion"));
-  BOOST_OUTCOME_TRY(intent.portion_, aReader.Number("the portion"));
-  BOOST_OUTCOME_TRY(aReader.Literal("class"));
-  BOOST_OUTCOME_TRY(const auto interactive, aReader.Choice("interactive", "deferrable"));
+  BOOST_OUTCOME_TRY(intent.group_, aReader.ReadText("the name of a group"));
+  BOOST_OUTCOME_TRY(aReader.ReadKeyword("on"));
+  BOOST_OUTCOME_TRY(intent.service_, aReader.ReadText("the name of a service"));
+  BOOST_OUTCOME_TRY(aReader.ReadKeyword("portion"));
+  BOOST_OUTCOME_TRY(intent.portion_, aReader.ReadNumber("the portion"));
+  BOOST_OUTCOME_TRY(aReader.ReadKeyword("class"));
+  BOOST_OUTCOME_TRY(const auto interactive, aReader.ReadChoice("interactive", "deferrable"));
   intent.latencyClass_ = interactive ? LatencyClass::Interactive : LatencyClass::Deferrable;
   intent.maxWaiting_ = 256;
   if (aReader.HasMore()) {
-    BOOST_OUTCOME_TRY(aReader.Literal("waiting"));
-    BOOST_OUTCOME_TRY(const auto waiting, aReader.Number("how many may wait"));
+    BOOST_OUTCOME_TRY(aReader.ReadKeyword("waiting"));
+    BOOST_OUTCOME_TRY(const auto waiting, aReader.ReadNumber("how many may wait"));
     intent.maxWaiting_ = static_cast<unsigned>(waiting);
   }
-  world_->AddIntent(intent);
+  fleet_->AddIntent(intent);
   return outcome::success();
 }
 
 ScriptResult<void>
 ScriptRunner::AddLoad(ScriptReader& aReader)
 {
-  World::LoadSettings load;
-  BOOST_OUTCOME_TRY(load.group_, aReader.Text("the name of a group"));
-  BOOST_OUTCOME_TRY(load.service_, aReader.Text("the name of a service"));
-  BOOST_OUTCOME_TRY(load.rate_, aReader.Number("the rate", "/s"));
-  BOOST_OUTCOME_TRY(aReader.Literal("keys"));
-  BOOST_OUTCOME_TRY(const auto keys, aReader.Number("the count of keys"));
-  BOOST_OUTCOME_TRY(load.isRepeatable_, aReader.Choice("repeatable", "once"));
+  SimulatedFleet::LoadSettings load;
+  BOOST_OUTCOME_TRY(load.group_, aReader.ReadText("the name of a group"));
+  BOOST_OUTCOME_TRY(load.service_, aReader.ReadText("the name of a service"));
+  BOOST_OUTCOME_TRY(load.rate_, aReader.ReadNumber("the rate", "/s"));
+  BOOST_OUTCOME_TRY(aReader.ReadKeyword("keys"));
+  BOOST_OUTCOME_TRY(const auto keys, aReader.ReadNumber("the count of keys"));
+  BOOST_OUTCOME_TRY(load.isRepeatable_, aReader.ReadChoice("repeatable", "once"));
   load.keys_ = static_cast<std::size_t>(keys);
   while (aReader.HasMore()) {
-    BOOST_OUTCOME_TRY(const auto isDeadline, aReader.Choice("deadline", "hot"));
+    BOOST_OUTCOME_TRY(const auto isDeadline, aReader.ReadChoice("deadline", "hot"));
     if (isDeadline) {
-      BOOST_OUTCOME_TRY(load.deadline_, aReader.Span("the deadline"));
+      BOOST_OUTCOME_TRY(load.deadline_, aReader.ReadDuration("the deadline"));
     } else {
-      BOOST_OUTCOME_TRY(const auto share, aReader.Number("the hot key's share", "%"));
+      BOOST_OUTCOME_TRY(const auto share, aReader.ReadNumber("the hot key's share", "%"));
       load.hotShare_ = share / 100;
     }
   }
-  world_->StartLoad(load);
+  fleet_->StartLoad(load);
   return outcome::success();
 }
 
 ScriptResult<void>
-ScriptRunner::SendOne(ScriptReader& aReader)
+ScriptRunner::SendRequest(ScriptReader& aReader)
 {
-  World::LoadSettings how;
-  BOOST_OUTCOME_TRY(const auto id, aReader.Text("the id of a request"));
-  BOOST_OUTCOME_TRY(aReader.Literal("at"));
-  BOOST_OUTCOME_TRY(const auto instance, aReader.Text("the name of an instance"));
-  BOOST_OUTCOME_TRY(how.group_, aReader.Text("the name of a group"));
-  BOOST_OUTCOME_TRY(how.service_, aReader.Text("the name of a service"));
-  BOOST_OUTCOME_TRY(const auto key, aReader.Text("a key"));
-  BOOST_OUTCOME_TRY(how.isRepeatable_, aReader.Choice("repeatable", "once"));
+  SimulatedFleet::LoadSettings load;
+  BOOST_OUTCOME_TRY(const auto id, aReader.ReadText("the id of a request"));
+  BOOST_OUTCOME_TRY(aReader.ReadKeyword("at"));
+  BOOST_OUTCOME_TRY(const auto instance, aReader.ReadText("the name of an instance"));
+  BOOST_OUTCOME_TRY(load.group_, aReader.ReadText("the name of a group"));
+  BOOST_OUTCOME_TRY(load.service_, aReader.ReadText("the name of a service"));
+  BOOST_OUTCOME_TRY(const auto key, aReader.ReadText("a key"));
+  BOOST_OUTCOME_TRY(load.isRepeatable_, aReader.ReadChoice("repeatable", "once"));
   if (aReader.HasMore()) {
-    BOOST_OUTCOME_TRY(aReader.Literal("deadline"));
-    BOOST_OUTCOME_TRY(how.deadline_, aReader.Span("the deadline"));
+    BOOST_OUTCOME_TRY(aReader.ReadKeyword("deadline"));
+    BOOST_OUTCOME_TRY(load.deadline_, aReader.ReadDuration("the deadline"));
   }
-  world_->Send(id, instance, how, key);
+  fleet_->Send(id, instance, load, key);
   return outcome::success();
 }
 
 ScriptResult<void>
-ScriptRunner::SetStore(ScriptReader& aReader)
+ScriptRunner::SetStoreFault(ScriptReader& aReader)
 {
-  BOOST_OUTCOME_TRY(const auto word, aReader.Word("out, up, slow or lose"));
-  auto& store = world_->Store();
+  BOOST_OUTCOME_TRY(const auto word, aReader.ReadWord("out, up, slow or lose"));
+  auto& store = fleet_->Store();
   if (word.text_ == "out") {
-    store.isOut_ = true;
+    store.isUnavailable_ = true;
   } else if (word.text_ == "up") {
-    store = World::StoreFaults{};
+    store = SimulatedFleet::StoreFaults{};
   } else if (word.text_ == "slow") {
-    BOOST_OUTCOME_TRY(store.delay_, aReader.Span("the delay"));
+    BOOST_OUTCOME_TRY(store.delay_, aReader.ReadDuration("the delay"));
   } else if (word.text_ == "lose") {
-    BOOST_OUTCOME_TRY(const auto count, aReader.Number("the count of answers"));
+    BOOST_OUTCOME_TRY(const auto count, aReader.ReadNumber("the count of answers"));
     store.answersToLose_ = static_cast<unsigned>(count);
   } else {
     return ErrorAt(word, "expected out, up, slow or lose and found \"" + word.text_ + "\"");
@@ -118,39 +118,39 @@
 }
 
 ScriptResult<void>
-ScriptRunner::SetList(ScriptReader& aReader)
+ScriptRunner::ChangeInstanceList(ScriptReader& aReader)
 {
-  BOOST_OUTCOME_TRY(const auto isLag, aReader.Choice("lag", "gone"));
+  BOOST_OUTCOME_TRY(const auto isLag, aReader.ReadChoice("lag", "gone"));
   if (isLag) {
-    BOOST_OUTCOME_TRY(const auto lag, aReader.Span("the lag"));
-    world_->SetListLag(lag);
+    BOOST_OUTCOME_TRY(const auto lag, aReader.ReadDuration("the lag"));
+    fleet_->SetListLag(lag);
   } else {
-    BOOST_OUTCOME_TRY(const auto name, aReader.Text("the name of an instance"));
-    world_->ListGone(name);
+    BOOST_OUTCOME_TRY(const auto name, aReader.ReadText("the name of an instance"));
+    fleet_->RemoveFromList(name);
   }
   return outcome::success();
 }
 
 ScriptResult<void>
-ScriptRunner::Drain(ScriptReader& aReader)
+ScriptRunner::ExecuteDrain(ScriptReader& aReader)
 {
-  BOOST_OUTCOME_TRY(const auto word, aReader.Word("an instance or a server"));
-  if (world_->Core(word.text_) != nullptr) {
-    world_->DrainInstance(word.text_);
+  BOOST_OUTCOME_TRY(const auto word, aReader.ReadWord("an instance or a server"));
+  if (fleet_->Core(word.text_) != nullptr) {
+    fleet_->DrainInstance(word.text_);
     return outcome::success();
   }
   return ErrorAt(word, "no instance \"" + word.text_ + "\" is up; servers drain by \"want\"");
 }
 
 ScriptResult<void>
-ScriptRunner::Want(ScriptReader& aReader)
+ScriptRunner::SetDesired(ScriptReader& aReader)
 {
-  BOOST_OUTCOME_TRY(const auto isPortion, aReader.Choice("portion", "draining"));
+  BOOST_OUTCOME_TRY(const auto isPortion, aReader.ReadChoice("portion", "draining"));
   if (isPortion) {
-    BOOST_OUTCOME_TRY(const auto group, aReader.Word("the name of a group"));
-    BOOST_OUTCOME_TRY(const auto service, aReader.Text("the name of a service"));
-    BOOST_OUTCOME_TRY(const auto portion, aReader.Number("the portion"));
-    for (auto& intent : world_->Wanted().intents_) {
+    BOOST_OUTCOME_TRY(const auto group, aReader.ReadWord("the name of a group"));
+    BOOST_OUTCOME_TRY(const auto service, aReader.ReadText("the name of a service"));
+    BOOST_OUTCOME_TRY(const auto portion, aReader.ReadNumber("the portion"));
+    for (auto& intent : fleet_->DesiredDeclaration().intents_) {
       if (intent.group_ == group.text_ && intent.service_ == service) {
         intent.portion_ = portion;
         return outcome::success();
@@ -158,9 +158,9 @@
     }
     return ErrorAt(group, "the group has no intent for this service");
   }
-  BOOST_OUTCOME_TRY(const auto server, aReader.Word("the name of a server"));
-  BOOST_OUTCOME_TRY(const auto drains, aReader.Choice("yes", "no"));
-  for (auto& service : world_->Wanted().services_) {
+  BOOST_OUTCOME_TRY(const auto server, aReader.ReadWord("the name of a server"));
+  BOOST_OUTCOME_TRY(const auto drains, aReader.ReadChoice("yes", "no"));
+  for (auto& service : fleet_->DesiredDeclaration().services_) {
     for (auto& declared : service.servers_) {
       if (declared.name_ == server.text_) {
         declared.draining_ = drains;
@@ -172,11 +172,11 @@
 }
 
 ScriptResult<double>
-ScriptRunner::Quantity(ScriptReader& aReader)
+ScriptRunner::ReadQuantity(ScriptReader& aReader)
 {
-  BOOST_OUTCOME_TRY(const auto word, aReader.Word("a quantity"));
+  BOOST_OUTCOME_TRY(const auto word, aReader.ReadWord("a quantity"));
   const auto& name = word.text_;
-  const auto& total = world_->Total();
+  const auto& total = fleet_->Total();
   const auto ended = std::max<std::size_t>(total.answered_ + total.notRun_ + total.unknown_, 1);
   if (name == "answered%") {
     return 100.0 * static_cast<double>(total.answered_) / static_cast<double>(ended);
@@ -191,27 +191,27 @@
     return static_cast<double>(total.unknown_);
   }
   if (name == "moved") {
-    return static_cast<double>(world_->SlicesMoved());
+    return static_cast<double>(fleet_->SlicesMoved());
   }
   if (name == "writes") {
-    return static_cast<double>(world_->Table().Writes());
+    return static_cast<double>(fleet_->Table().Writes());
   }
-  BOOST_OUTCOME_TRY(const auto subject, aReader.Text("what the quantity is of"));
+  BOOST_OUTCOME_TRY(const auto subject, aReader.ReadText("what the quantity is of"));
   if (name == "gap-ms") {
-    return ToMilliseconds(world_->LongestGap(subject));
+    return ToMilliseconds(fleet_->LongestGap(subject));
   }
   if (name == "imbalance") {
-    return world_->Imbalance(subject);
+    return fleet_->Imbalance(subject);
   }
   if (name == "share") {
-    BOOST_OUTCOME_TRY(const auto service, aReader.Text("the name of a service"));
-    return world_->ShareOf(subject, service);
+    BOOST_OUTCOME_TRY(const auto service, aReader.ReadText("the name of a service"));
+    return fleet_->ShareOf(subject, service);
   }
   if (name == "confirm") {
-    return world_->StatusOfConfirm(subject);
+    return fleet_->ConfirmationStatus(subject);
   }
   if (name == "confirm-ms") {
-    return ToMilliseconds(world_->TimeOfConfirm(subject));
+    return ToMilliseconds(fleet_->ConfirmationTime(subject));
   }
   if (name == "event") {
     const auto events = AllEvents();
@@ -219,16 +219,16 @@
       return aEvent.name_ == subject;
     });
     if (found == events.end()) {
-      return ErrorAt(aReader.Last(), "no event is named \"" + subject + "\"");
+      return ErrorAt(aReader.LastWord(), "no event is named \"" + subject + "\"");
     }
-    return static_cast<double>(world_->EventCount(found->event_));
+    return static_cast<double>(fleet_->EventCount(found->event_));
   }
   if (name == "stopped") {
-    return world_->IsStopped(subject) ? 1 : 0;
+    return fleet_->IsStopped(subject) ? 1 : 0;
   }
-  const auto* core = world_->Core(subject);
+  const auto* core = fleet_->Core(subject);
   if (core == nullptr) {
-    return ErrorAt(aReader.Last(),
+    return ErrorAt(aReader.LastWord(),
                    "no instance \"" + subject + "\" is up, or no quantity is named \"" + name +
                      "\"");
   }
@@ -244,26 +244,26 @@
 ScriptResult<void>
 ScriptRunner::ExpectOutcome(ScriptReader& aReader)
 {
-  BOOST_OUTCOME_TRY(const auto id, aReader.Word("the id of a request"));
-  BOOST_OUTCOME_TRY(const auto wanted, aReader.Word("an outcome"));
+  BOOST_OUTCOME_TRY(const auto id, aReader.ReadWord("the id of a request"));
+  BOOST_OUTCOME_TRY(const auto wanted, aReader.ReadWord("an outcome"));
   const auto outcome = kRequestOutcomeNames.ValueOf(wanted.text_);
   if (!outcome) {
     return ErrorAt(wanted, "no outcome is named \"" + wanted.text_ + "\"");
   }
-  const auto found = world_->OutcomeOf(id.text_);
+  const auto found = fleet_->OutcomeOf(id.text_);
   if (!found) {
     return ErrorAt(id, "the request \"" + id.text_ + "\" has no answer");
   }
   if (*found != *outcome) {
     return ErrorAt(wanted,
                    "the outcome is " + std::string(kRequestOutcomeNames.NameOf(*found)) + " for " +
-                     std::string(kReasonNames.NameOf(world_->ReasonOf(id.text_))));
+                     std::string(kReasonNames.NameOf(fleet_->ReasonOf(id.text_))));
   }
   if (!aReader.HasMore()) {
     return outcome::success();
   }
-  BOOST_OUTCOME_TRY(const auto reason, aReader.Word("a reason"));
-  const auto given = kReasonNames.NameOf(world_->ReasonOf(id.text_));
+  BOOST_OUTCOME_TRY(const auto reason, aReader.ReadWord("a reason"));
+  const auto given = kReasonNames.NameOf(fleet_->ReasonOf(id.text_));
   if (given != reason.text_) {
     return ErrorAt(reason, "the reason is " + std::string(given));
   }
@@ -271,11 +271,11 @@
 }
 
 ScriptResult<void>
-ScriptRunner::Expect(ScriptReader& aReader)
+ScriptRunner::ExpectQuantity(ScriptReader& aReader)
 {
-  BOOST_OUTCOME_TRY(const auto value, Quantity(aReader));
-  BOOST_OUTCOME_TRY(const auto sign, aReader.Word("<, <=, =, >= or >"));
-  BOOST_OUTCOME_TRY(const auto bound, aReader.Number("a number"));
+  BOOST_OUTCOME_TRY(const auto value, ReadQuantity(aReader));
+  BOOST_OUTCOME_TRY(const auto sign, aReader.ReadWord("<, <=, =, >= or >"));
+  BOOST_OUTCOME_TRY(const auto bound, aReader.ReadNumber("a number"));
   const bool holds = sign.text_ == "<"    ? value < bound
                      : sign.text_ == "<=" ? value <= bound
                      : sign.text_ == "="  ? value == bound
@@ -289,13 +289,13 @@
 }
 
 ScriptResult<void>
-ScriptRunner::CarrySetup(const std::string& aVerb, ScriptReader& aReader, bool& aIsKnown)
+ScriptRunner::ExecuteSetup(const std::string& aVerb, ScriptReader& aReader, bool& aIsKnown)
 {
   aIsKnown = true;
   if (aVerb == "instances") {
-    BOOST_OUTCOME_TRY(const auto count, aReader.Number("the count of instances"));
+    BOOST_OUTCOME_TRY(const auto count, aReader.ReadNumber("the count of instances"));
     for (int number = 1; number <= static_cast<int>(count); ++number) {
-      world_->AddInstance("i" + std::to_string(number));
+      fleet_->AddInstance("i" + std::to_string(number));
     }
     return outcome::success();
   }
@@ -306,28 +306,28 @@
     return AddGroup(aReader);
   }
   if (aVerb == "profile") {
-    BOOST_OUTCOME_TRY(const auto churn, aReader.Choice("churn-first", "unavailability-first"));
-    world_->SetProfile(churn ? PlacementProfile::ChurnFirst
+    BOOST_OUTCOME_TRY(const auto churn, aReader.ReadChoice("churn-first", "unavailability-first"));
+    fleet_->SetProfile(churn ? PlacementProfile::ChurnFirst
                              : PlacementProfile::UnavailabilityFirst);
     return outcome::success();
   }
   if (aVerb == "start") {
-    return world_->Start() ? ScriptResult<void>(outcome::success())
-                           : ErrorAt(aReader.Last(), "the fleet did not come up");
+    return fleet_->Start() ? ScriptResult<void>(outcome::success())
+                           : ErrorAt(aReader.LastWord(), "the fleet did not come up");
   }
   aIsKnown = false;
   return outcome::success();
 }
 
 ScriptResult<void>
-ScriptRunner::CarryFault(const std::string& aVerb, ScriptReader& aReader, bool& aIsKnown)
+ScriptRunner::ExecuteFault(const std::string& aVerb, ScriptReader& aReader, bool& aIsKnown)
 {
   aIsKnown = true;
   if (aVerb == "store") {
-    return SetStore(aReader);
+    return SetStoreFault(aReader);
   }
   if (aVerb == "list") {
-    return SetList(aReader);
+    return ChangeInstanceList(aReader);
   }
   const bool isFault = aVerb == "kill" || aVerb == "lose" || aVerb == "break" || aVerb == "shed" ||
                        aVerb == "restart" || aVerb == "freeze" || aVerb == "thaw" ||
@@ -336,135 +336,135 @@
     aIsKnown = false;
     return outcome::success();
   }
-  BOOST_OUTCOME_TRY(const auto word, aReader.Word("an instance, a server or store"));
+  BOOST_OUTCOME_TRY(const auto word, aReader.ReadWord("an instance, a server or store"));
   const auto& name = word.text_;
   if (aVerb == "heal" && name == "all") {
-    world_->HealAll();
+    fleet_->HealAll();
     return outcome::success();
   }
   if (aVerb == "cut" || aVerb == "heal") {
-    BOOST_OUTCOME_TRY(const auto other, aReader.Text("the other end"));
-    aVerb == "cut" ? world_->Cut(name, other) : world_->Heal(name, other);
+    BOOST_OUTCOME_TRY(const auto other, aReader.ReadText("the other end"));
+    aVerb == "cut" ? fleet_->Partition(name, other) : fleet_->Heal(name, other);
     return outcome::success();
   }
-  const auto instances = world_->InstanceNames();
+  const auto instances = fleet_->InstanceNames();
   const bool isInstance = std::find(instances.begin(), instances.end(), name) != instances.end();
   bool isServer = false;
-  for (const auto& service : world_->Wanted().services_) {
+  for (const auto& service : fleet_->DesiredDeclaration().services_) {
     isServer = isServer || service.FindServer(name) != nullptr;
   }
   if (!isInstance && !isServer) {
     return ErrorAt(word, "there is no instance or server \"" + name + "\"");
   }
   if (aVerb == "shed") {
-    BOOST_OUTCOME_TRY(const auto sheds, aReader.Choice("on", "off"));
+    BOOST_OUTCOME_TRY(const auto sheds, aReader.ReadChoice("on", "off"));
     if (!isServer) {
       return ErrorAt(word, "only servers shed");
     }
-    world_->SetShedding(name, sheds);
+    fleet_->SetShedding(name, sheds);
   } else if (aVerb == "freeze") {
-    world_->Freeze(name);
+    fleet_->Freeze(name);
   } else if (aVerb == "thaw") {
-    world_->Thaw(name);
+    fleet_->Thaw(name);
   } else if (aVerb == "break") {
-    world_->BreakConnections(name);
+    fleet_->BreakConnections(name);
   } else if (aVerb == "restart") {
-    isInstance ? world_->RestartInstance(name) : world_->RestartServer(name);
+    isInstance ? fleet_->RestartInstance(name) : fleet_->RestartServer(name);
   } else if (isInstance) {
-    world_->KillInstance(name);
+    fleet_->KillInstance(name);
   } else {
-    world_->KillServer(name, aVerb == "lose");
+    fleet_->KillServer(name, aVerb == "lose");
   }
   return outcome::success();
 }
 
 ScriptResult<void>
-ScriptRunner::CarryAction(const std::string& aVerb, ScriptReader& aReader, bool& aIsKnown)
+ScriptRunner::ExecuteAction(const std::string& aVerb, ScriptReader& aReader, bool& aIsKnown)
 {
   aIsKnown = true;
   if (aVerb == "load") {
     return AddLoad(aReader);
   }
   if (aVerb == "send") {
-    return SendOne(aReader);
+    return SendRequest(aReader);
   }
   if (aVerb == "quiet") {
-    world_->StopLoads();
+    fleet_->StopLoads();
     return outcome::success();
   }
   if (aVerb == "forget") {
-    world_->ForgetGaps();
+    fleet_->ResetMeasurements();
     return outcome::success();
   }
   if (aVerb == "advance") {
-    BOOST_OUTCOME_TRY(const auto span, aReader.Span("a time"));
-    world_->Advance(span);
+    BOOST_OUTCOME_TRY(const auto span, aReader.ReadDuration("a time"));
+    fleet_->Advance(span);
     return outcome::success();
   }
   if (aVerb == "drain") {
-    return Drain(aReader);
+    return ExecuteDrain(aReader);
   }
   if (aVerb == "want") {
-    return Want(aReader);
+    return SetDesired(aReader);
   }
   if (aVerb == "plan" || aVerb == "confirm") {
-    BOOST_OUTCOME_TRY(const auto plan, aReader.Text("the name of a plan"));
-    BOOST_OUTCOME_TRY(aReader.Literal("at"));
-    BOOST_OUTCOME_TRY(const auto instance, aReader.Word("the name of an instance"));
-    if (world_->Core(instance.text_) == nullptr) {
+    BOOST_OUTCOME_TRY(const auto plan, aReader.ReadText("the name of a plan"));
+    BOOST_OUTCOME_TRY(aReader.ReadKeyword("at"));
+    BOOST_OUTCOME_TRY(const auto instance, aReader.ReadWord("the name of an instance"));
+    if (fleet_->Core(instance.text_) == nullptr) {
       return ErrorAt(instance, "no instance \"" + instance.text_ + "\" is up");
     }
-    aVerb == "plan" ? world_->Plan(plan, instance.text_, world_->Wanted())
-                    : world_->Confirm(plan, instance.text_);
+    aVerb == "plan" ? fleet_->Plan(plan, instance.text_, fleet_->DesiredDeclaration())
+                    : fleet_->Confirm(plan, instance.text_);
     return outcome::success();
   }
   if (aVerb == "outcome") {
     return ExpectOutcome(aReader);
   }
   if (aVerb == "expect") {
-    return Expect(aReader);
+    return ExpectQuantity(aReader);
   }
   aIsKnown = false;
   return outcome::success();
 }
 
 ScriptResult<void>
-ScriptRunner::Carry(const ScriptStatement& aStatement)
+ScriptRunner::Execute(const ScriptStatement& aStatement)
 {
   ScriptReader reader(aStatement);
-  BOOST_OUTCOME_TRY(const auto verb, reader.Word("a statement"));
+  BOOST_OUTCOME_TRY(const auto verb, reader.ReadWord("a statement"));
   if (verb.text_ == "seed") {
-    BOOST_OUTCOME_TRY(const auto seed, reader.Number("the seed"));
+    BOOST_OUTCOME_TRY(const auto seed, reader.ReadNumber("the seed"));
     seed_ = seed_ == 0 ? static_cast<std::uint64_t>(seed) : seed_;
-    return reader.End();
+    return reader.ExpectEnd();
   }
   if (verb.text_ == "halls") {
     std::vector<std::string> halls;
     while (reader.HasMore()) {
-      BOOST_OUTCOME_TRY(auto hall, reader.Text("a hall"));
+      BOOST_OUTCOME_TRY(auto hall, reader.ReadText("a hall"));
       halls.push_back(std::move(hall));
     }
     if (halls.empty()) {
       return ErrorAt(verb, "at least one hall must be named");
     }
-    world_ = std::make_unique<World>(seed_, std::move(halls));
+    fleet_ = std::make_unique<SimulatedFleet>(seed_, std::move(halls));
     return outcome::success();
   }
-  BOOST_OUTCOME_TRY(RequireWorld(verb));
+  BOOST_OUTCOME_TRY(RequireFleet(verb));
   bool isKnown = false;
-  BOOST_OUTCOME_TRY(CarrySetup(verb.text_, reader, isKnown));
+  BOOST_OUTCOME_TRY(ExecuteSetup(verb.text_, reader, isKnown));
   if (!isKnown) {
-    BOOST_OUTCOME_TRY(CarryFault(verb.text_, reader, isKnown));
+    BOOST_OUTCOME_TRY(ExecuteFault(verb.text_, reader, isKnown));
   }
   if (!isKnown) {
-    BOOST_OUTCOME_TRY(CarryAction(verb.text_, reader, isKnown));
+    BOOST_OUTCOME_TRY(ExecuteAction(verb.text_, reader, isKnown));
   }
   if (!isKnown) {
     return ErrorAt(verb, "no statement is named \"" + verb.text_ + "\"");
   }
-  BOOST_OUTCOME_TRY(reader.End());
-  if (!world_->Violations().empty()) {
-    return ErrorAt(verb, "broken: " + world_->Violations().front());
+  BOOST_OUTCOME_TRY(reader.ExpectEnd());
+  if (!fleet_->Violations().empty()) {
+    return ErrorAt(verb, "broken: " + fleet_->Violations().front());
   }
   return outcome::success();
 }
@@ -474,7 +474,7 @@
 {
   ScriptRunner runner(aSeed);
   for (const auto& statement : SplitScript(aText)) {
-    BOOST_OUTCOME_TRY(runner.Carry(statement));
+    BOOST_OUTCOME_TRY(runner.Execute(statement));
   }
   return outcome::success();
 }
--- a/Libraries/LibScenario/Script.h
+++ b/Libraries/LibScenario/Script.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "LibScenario/ScriptReader.h"
-#include "LibScenario/World.h"
+#include "LibScenario/SimulatedFleet.h"
 
 #include <memory>
 #include <string>
@@ -26,27 +26,27 @@
   {
   }
 
-  ScriptResult<void> Carry(const ScriptStatement& aStatement);
+  ScriptResult<void> Execute(const ScriptStatement& aStatement);
   // Each of these executes the statements of one kind and sets aIsKnown to whether aVerb is one.
-  ScriptResult<void> CarrySetup(const std::string& aVerb, ScriptReader& aReader, bool& aIsKnown);
-  ScriptResult<void> CarryFault(const std::string& aVerb, ScriptReader& aReader, bool& aIsKnown);
-  ScriptResult<void> CarryAction(const std::string& aVerb, ScriptReader& aReader, bool& aIsKnown);
+  ScriptResult<void> ExecuteSetup(const std::string& aVerb, ScriptReader& aReader, bool& aIsKnown);
+  ScriptResult<void> ExecuteFault(const std::string& aVerb, ScriptReader& aReader, bool& aIsKnown);
+  ScriptResult<void> ExecuteAction(const std::string& aVerb, ScriptReader& aReader, bool& aIsKnown);
   ScriptResult<void> AddService(ScriptReader& aReader);
   ScriptResult<void> AddGroup(ScriptReader& aReader);
   ScriptResult<void> AddLoad(ScriptReader& aReader);
-  ScriptResult<void> SendOne(ScriptReader& aReader);
-  ScriptResult<void> SetStore(ScriptReader& aReader);
-  ScriptResult<void> SetList(ScriptReader& aReader);
-  ScriptResult<void> Drain(ScriptReader& aReader);
-  ScriptResult<void> Want(ScriptReader& aReader);
-  ScriptResult<void> Expect(ScriptReader& aReader);
+  ScriptResult<void> SendRequest(ScriptReader& aReader);
+  ScriptResult<void> SetStoreFault(ScriptReader& aReader);
+  ScriptResult<void> ChangeInstanceList(ScriptReader& aReader);
+  ScriptResult<void> ExecuteDrain(ScriptReader& aReader);
+  ScriptResult<void> SetDesired(ScriptReader& aReader);
+  ScriptResult<void> ExpectQuantity(ScriptReader& aReader);
   ScriptResult<void> ExpectOutcome(ScriptReader& aReader);
   // Reads the name of a quantity, with its arguments, and returns its current value.
-  ScriptResult<double> Quantity(ScriptReader& aReader);
-  ScriptResult<void> RequireWorld(const ScriptWord& aWord);
+  ScriptResult<double> ReadQuantity(ScriptReader& aReader);
+  ScriptResult<void> RequireFleet(const ScriptWord& aWord);
 
   std::uint64_t seed_;
-  std::unique_ptr<World> world_;
+  std::unique_ptr<SimulatedFleet> fleet_;
 };
 
 } // namespace latchslip
--- a/Libraries/LibScenario/ScriptReader.h
+++ b/Libraries/LibScenario/ScriptReader.h
@@ -55,9 +55,9 @@
 
   bool HasMore() const { return next_ < statement_.size(); }
   // The word that was read last, or the first word if none was.
-  const ScriptWord& Last() const { return statement_[next_ == 0 ? 0 : next_ - 1]; }
+  const ScriptWord& LastWord() const { return statement_[next_ == 0 ? 0 : next_ - 1]; }
 
-  ScriptResult<ScriptWord> Word(const std::string& aWhat)
+  ScriptResult<ScriptWord> ReadWord(const std::string& aWhat)
   {
     if (!HasMore()) {
       return ErrorAt(statement_.back(), "the statement ends where " + aWhat + " is expected");
@@ -65,16 +65,16 @@
     return statement_[next_++];
   }
 
-  ScriptResult<std::string> Text(const std::string& aWhat)
+  ScriptResult<std::string> ReadText(const std::string& aWhat)
   {
-    BOOST_OUTCOME_TRY(const auto word, Word(aWhat));
+    BOOST_OUTCOME_TRY(const auto word, ReadWord(aWhat));
     return word.text_;
   }
 
   // Reads a keyword, which must be aText.
-  ScriptResult<void> Literal(const std::string& aText)
+  ScriptResult<void> ReadKeyword(const std::string& aText)
   {
-    BOOST_OUTCOME_TRY(const auto word, Word("\"" + aText + "\""));
+    BOOST_OUTCOME_TRY(const auto word, ReadWord("\"" + aText + "\""));
     if (word.text_ != aText) {
       return ErrorAt(word, "expected \"" + aText + "\" and found \"" + word.text_ + "\"");
     }
@@ -82,9 +82,9 @@
   }
 
   // Reads a number with an optional suffix, such as "%" or "/s".
-  ScriptResult<double> Number(const std::string& aWhat, std::string_view aSuffix = "")
+  ScriptResult<double> ReadNumber(const std::string& aWhat, std::string_view aSuffix = "")
   {
-    BOOST_OUTCOME_TRY(const auto word, Word(aWhat));
+    BOOST_OUTCOME_TRY(const auto word, ReadWord(aWhat));
     std::string_view text = word.text_;
     if (!aSuffix.empty() && text.ends_with(aSuffix)) {
       text.remove_suffix(aSuffix.size());
@@ -98,9 +98,9 @@
   }
 
   // Reads a duration with its unit, such as 200ms or 2s.
-  ScriptResult<Duration> Span(const std::string& aWhat)
+  ScriptResult<Duration> ReadDuration(const std::string& aWhat)
   {
-    BOOST_OUTCOME_TRY(const auto word, Word(aWhat));
+    BOOST_OUTCOME_TRY(const auto word, ReadWord(aWhat));
     std::string_view text = word.text_;
     const bool isMillis = text.ends_with("ms");
     const bool isSeconds = !isMillis && text.ends_with("s");
@@ -115,18 +115,19 @@
     return Duration(static_cast<std::int64_t>(number * (isMillis ? 1e3 : 1e6)));
   }
 
-  // Reads one of two keywords; true for aYes.
-  ScriptResult<bool> Choice(const std::string& aYes, const std::string& aNo)
+  // Reads one of two keywords; true for aFirst.
+  ScriptResult<bool> ReadChoice(const std::string& aFirst, const std::string& aSecond)
   {
-    BOOST_OUTCOME_TRY(const auto word, Word(aYes + " or " + aNo));
-    if (word.text_ != aYes && word.text_ != aNo) {
-      return ErrorAt(word, "expected " + aYes + " or " + aNo + " and found \"" + word.text_ + "\"");
+    BOOST_OUTCOME_TRY(const auto word, ReadWord(aFirst + " or " + aSecond));
+    if (word.text_ != aFirst && word.text_ != aSecond) {
+      return ErrorAt(word,
+                     "expected " + aFirst + " or " + aSecond + " and found \"" + word.text_ + "\"");
     }
-    return word.text_ == aYes;
+    return word.text_ == aFirst;
   }
 
   // Fails unless all words of the statement were read.
-  ScriptResult<void> End() const
+  ScriptResult<void> ExpectEnd() const
   {
     if (HasMore()) {
       return ErrorAt(statement_[next_],
--- a/Libraries/LibScenario/World.cpp
+++ b/Libraries/LibScenario/SimulatedFleet.cpp
@@ -1,6 +1,6 @@
-#include "LibScenario/World.h"
+#include "LibScenario/SimulatedFleet.h"
 
-#include "LibScenario/WorldParts.h"
+#include "LibScenario/SimulatedFleetParts.h"
 
 #include <algorithm>
 
@@ -8,31 +8,31 @@
 
 namespace {
 
-constexpr Duration kTick = milliseconds(10);
-constexpr Duration kListPoll = milliseconds(500);
-constexpr Duration kStartLimit = seconds(20);
-constexpr Duration kMostClockOffset = seconds(100000);
+constexpr Duration kTickInterval = milliseconds(10);
+constexpr Duration kListPollInterval = milliseconds(500);
+constexpr Duration kStartTimeout = seconds(20);
+constexpr Duration kMaxClockOffset = seconds(100000);
 
 } // namespace
 
-World::World(std::uint64_t aSeed, std::vector<std::string> aHalls)
+SimulatedFleet::SimulatedFleet(std::uint64_t aSeed, std::vector<std::string> aHalls)
   : random_(aSeed)
   , halls_(std::move(aHalls))
 {
 }
 
-World::~World() = default;
+SimulatedFleet::~SimulatedFleet() = default;
 
 void
-World::AddInstance(const std::string& aName)
+SimulatedFleet::AddInstance(const std::string& aName)
 {
-  const Duration offset(random_() % static_cast<std::uint64_t>(kMostClockOffset.count()));
+  const Duration offset(random_() % static_cast<std::uint64_t>(kMaxClockOffset.count()));
   const auto& hall = halls_[instances_.size() % halls_.size()];
-  instances_.emplace(aName, std::make_unique<InstanceSide>(*this, aName, hall, offset));
+  instances_.emplace(aName, std::make_unique<SimulatedInstance>(*this, aName, hall, offset));
 }
 
 void
-World::AddService(const ServiceSettings& aSettings)
+SimulatedFleet::AddService(const ServiceSettings& aSettings)
 {
   ServiceDeclaration service;
   service.name_ = aSettings.name_;
@@ -45,7 +45,7 @@
     server->settings_ = aSettings;
     server->hall_ = halls_[number % halls_.size()];
     server->clockOffset_ =
-      Duration(random_() % static_cast<std::uint64_t>(kMostClockOffset.count()));
+      Duration(random_() % static_cast<std::uint64_t>(kMaxClockOffset.count()));
     service.servers_.push_back(
       { server->name_, "127.0.0.1:" + std::to_string(9000 + number), server->hall_, false });
     servers_[server->name_] = std::move(server);
@@ -54,7 +54,7 @@
 }
 
 void
-World::Boot(InstanceSide& aInstance)
+SimulatedFleet::StartInstance(SimulatedInstance& aInstance)
 {
   aInstance.incarnation_ = ++nextBoot_;
   aInstance.isLeaving_ = false;
@@ -70,22 +70,22 @@
 }
 
 bool
-World::Start()
+SimulatedFleet::Start()
 {
   for (auto& [name, server] : servers_) {
     RestartServer(name);
   }
   for (auto& [name, instance] : instances_) {
-    Boot(*instance);
+    StartInstance(*instance);
   }
-  DeliverLists();
+  SendInstanceLists();
   for (auto& [name, instance] : instances_) {
     ConnectPeers(*instance);
   }
   Advance(milliseconds(100));
   Plan("start", instances_.begin()->first, declaration_);
   Confirm("start", instances_.begin()->first);
-  const auto limit = Now() + kStartLimit;
+  const auto limit = Now() + kStartTimeout;
   const auto isReady = [&] {
     std::size_t granted = 0;
     for (const auto& [name, instance] : instances_) {
@@ -95,7 +95,7 @@
     }
     const auto up = std::count_if(
       servers_.begin(), servers_.end(), [](const auto& aServer) { return aServer.second->IsUp(); });
-    return granted >= static_cast<std::size_t>(up) && StatusOfConfirm("start") == 200;
+    return granted >= static_cast<std::size_t>(up) && ConfirmationStatus("start") == 200;
   };
   while (!isReady() && Now() < limit) {
     Advance(milliseconds(50));
@@ -104,11 +104,11 @@
 }
 
 void
-World::Advance(Duration aSpan)
+SimulatedFleet::Advance(Duration aSpan)
 {
   const auto end = Now() + aSpan;
   while (Now() < end) {
-    const auto step = std::min(kTick, end - Now());
+    const auto step = std::min(kTickInterval, end - Now());
     RunLoads(step);
     queue_.RunUntil(Now() + step);
     TickAll();
@@ -116,31 +116,31 @@
 }
 
 void
-World::TickAll()
+SimulatedFleet::TickAll()
 {
-  if (Now().count() % kListPoll.count() < kTick.count()) {
-    DeliverLists();
+  if (Now().count() % kListPollInterval.count() < kTickInterval.count()) {
+    SendInstanceLists();
   }
   for (auto& [name, instance] : instances_) {
     if (!instance->core_ || frozen_.contains(name)) {
       continue;
     }
-    instance->core_->Tick(instance->Clock());
+    instance->core_->Tick(instance->LocalTime());
     CheckViews(*instance);
     if (instance->isLeaving_ && instance->core_->MayStop()) {
-      invariants_.OnCut(Now(),
-                        name,
-                        instance->core_->Callers().Pending() +
-                          instance->core_->Dispatch().HeldCount());
+      invariants_.OnInstanceStopped(Now(),
+                                    name,
+                                    instance->core_->Callers().Pending() +
+                                      instance->core_->Dispatch().HeldCount());
       instance->core_.reset();
       instance->isStopped_ = true;
-      ListGone(name);
+      RemoveFromList(name);
     }
   }
 }
 
 void
-World::CheckViews(InstanceSide& aInstance)
+SimulatedFleet::CheckViews(SimulatedInstance& aInstance)
 {
   const auto& view = aInstance.core_->CurrentView();
   const auto& self = aInstance.core_->Members().Self();
@@ -160,7 +160,7 @@
 }
 
 void
-World::DeliverLists()
+SimulatedFleet::SendInstanceLists()
 {
   std::vector<ListedInstance> list;
   for (const auto& [name, instance] : instances_) {
@@ -168,23 +168,23 @@
       list.push_back({ name, "127.0.0.1:7000", instance->hall_, instance->isLeaving_ });
     }
   }
-  queue_.After(listLag_, [this, list] {
+  queue_.ScheduleAfter(listLag_, [this, list] {
     for (auto& [name, instance] : instances_) {
       if (instance->core_ && !frozen_.contains(name)) {
-        instance->core_->OnInstanceList(instance->Clock(), list);
+        instance->core_->OnInstanceList(instance->LocalTime(), list);
       }
     }
   });
 }
 
 void
-World::ListGone(const std::string& aName)
+SimulatedFleet::RemoveFromList(const std::string& aName)
 {
   unlisted_.insert(aName);
 }
 
 void
-World::KillInstance(const std::string& aName)
+SimulatedFleet::KillInstance(const std::string& aName)
 {
   auto& instance = *instances_.at(aName);
   if (!instance.core_) {
@@ -193,7 +193,7 @@
   const auto id = instance.core_->Members().Self();
   instance.core_.reset();
   frozen_.erase(aName);
-  waitingForThaw_.erase(aName);
+  pausedActions_.erase(aName);
   // All its connections are reset: servers continue their running work as orphans, peers see the
   // connection close, and the outcome of its callers' requests is unknown.
   for (auto& [name, server] : servers_) {
@@ -201,17 +201,17 @@
       continue;
     }
     for (const auto& [work, serverName] : instance.serverOfWork_) {
-      const auto running = server->workByOrder_.find(work);
-      if (serverName == name && running != server->workByOrder_.end()) {
-        server->state_->Orphan(running->second);
+      const auto running = server->workByCommand_.find(work);
+      if (serverName == name && running != server->workByCommand_.end()) {
+        server->state_->MarkOrphaned(running->second);
       }
     }
   }
   for (auto& [name, other] : instances_) {
-    if (other->core_ && !IsCut(name, aName)) {
-      Carry(aName, name, [this, name = name, id] {
+    if (other->core_ && !IsPartitioned(name, aName)) {
+      Deliver(aName, name, [this, name = name, id] {
         auto& peer = *instances_.at(name);
-        peer.core_->OnPeerDown(peer.Clock(), id);
+        peer.core_->OnPeerDown(peer.LocalTime(), id);
       });
     }
   }
@@ -227,14 +227,14 @@
 }
 
 void
-World::KillServer(const std::string& aName, bool aSilently)
+SimulatedFleet::KillServer(const std::string& aName, bool aSilently)
 {
   auto& server = *servers_.at(aName);
   server.state_.reset();
   server.isSilent_ = aSilently;
-  server.workByOrder_.clear();
+  server.workByCommand_.clear();
   frozen_.erase(aName);
-  waitingForThaw_.erase(aName);
+  pausedActions_.erase(aName);
   invariants_.OnServerLost(server.settings_.name_, aName);
   if (aSilently) {
     return;
@@ -249,7 +249,7 @@
 }
 
 void
-World::BreakConnections(const std::string& aServer)
+SimulatedFleet::BreakConnections(const std::string& aServer)
 {
   auto* server = FindServer(aServer);
   if (server == nullptr) {
@@ -260,9 +260,9 @@
       if (serverName != aServer) {
         continue;
       }
-      const auto running = server->workByOrder_.find(work);
-      if (running != server->workByOrder_.end()) {
-        server->state_->Orphan(running->second);
+      const auto running = server->workByCommand_.find(work);
+      if (running != server->workByCommand_.end()) {
+        server->state_->MarkOrphaned(running->second);
       }
       ReplyWork(aServer, name, instance->incarnation_, work, WorkReply{});
     }
@@ -270,17 +270,17 @@
 }
 
 void
-World::RestartInstance(const std::string& aName)
+SimulatedFleet::RestartInstance(const std::string& aName)
 {
   KillInstance(aName);
   auto& instance = *instances_.at(aName);
-  Boot(instance);
-  DeliverLists();
+  StartInstance(instance);
+  SendInstanceLists();
   ConnectPeers(instance);
 }
 
 void
-World::RestartServer(const std::string& aName)
+SimulatedFleet::RestartServer(const std::string& aName)
 {
   auto& server = *servers_.at(aName);
   if (server.IsUp()) {
@@ -293,74 +293,74 @@
 }
 
 void
-World::SetShedding(const std::string& aServer, bool aSheds)
+SimulatedFleet::SetShedding(const std::string& aServer, bool aIsShedding)
 {
-  servers_.at(aServer)->sheds_ = aSheds;
+  servers_.at(aServer)->isShedding_ = aIsShedding;
 }
 
 void
-World::Freeze(const std::string& aName)
+SimulatedFleet::Freeze(const std::string& aName)
 {
   frozen_.insert(aName);
 }
 
 void
-World::Thaw(const std::string& aName)
+SimulatedFleet::Thaw(const std::string& aName)
 {
   if (frozen_.erase(aName) == 0) {
     return;
   }
-  auto waiting = std::move(waitingForThaw_[aName]);
-  waitingForThaw_.erase(aName);
+  auto waiting = std::move(pausedActions_[aName]);
+  pausedActions_.erase(aName);
   for (auto& action : waiting) {
     action();
   }
 }
 
 void
-World::Cut(const std::string& aOne, const std::string& aOther)
+SimulatedFleet::Partition(const std::string& aOne, const std::string& aOther)
 {
-  cuts_.insert(std::minmax(aOne, aOther));
+  partitions_.insert(std::minmax(aOne, aOther));
 }
 
 void
-World::Heal(const std::string& aOne, const std::string& aOther)
+SimulatedFleet::Heal(const std::string& aOne, const std::string& aOther)
 {
-  cuts_.erase(std::minmax(aOne, aOther));
+  partitions_.erase(std::minmax(aOne, aOther));
   for (const auto& way : { std::pair(aOne, aOther), std::pair(aOther, aOne) }) {
-    auto held = std::move(heldUp_[way]);
-    heldUp_.erase(way);
+    auto held = std::move(heldMessages_[way]);
+    heldMessages_.erase(way);
     for (auto& action : held) {
-      Carry(way.first, way.second, std::move(action));
+      Deliver(way.first, way.second, std::move(action));
     }
   }
 }
 
 void
-World::HealAll()
+SimulatedFleet::HealAll()
 {
-  const auto cuts = cuts_;
+  const auto cuts = partitions_;
   for (const auto& [one, other] : cuts) {
     Heal(one, other);
   }
 }
 
 void
-World::DrainInstance(const std::string& aName)
+SimulatedFleet::DrainInstance(const std::string& aName)
 {
   auto& instance = *instances_.at(aName);
   instance.isLeaving_ = true;
-  instance.core_->BeginLeaving(instance.Clock());
+  instance.core_->BeginLeaving(instance.LocalTime());
 }
 
 void
-World::StartLoad(const LoadSettings& aSettings)
+SimulatedFleet::StartLoad(const LoadSettings& aSettings)
 {
   loads_.emplace_back(aSettings, 0);
 }
 
 void
-World::RunLoads(Duration aSpan)
+SimulatedFleet::RunLoads(Duration aSpan)
 {
   for (auto& [load, due] : loads_) {
     due += load.rate_ * std::chrono::duration<double>(aSpan).count();
@@ -378,59 +378,61 @@
 }
 
 std::string
-World::PickInstance()
+SimulatedFleet::PickInstance()
 {
   // The platform's load balancer skips instances that refuse connections or announce that they are
   // leaving; it can't detect frozen ones.
-  std::vector<std::string> takers;
+  std::vector<std::string> candidates;
   for (const auto& [name, instance] : instances_) {
     if (instance->core_ && !instance->isLeaving_) {
-      takers.push_back(name);
+      candidates.push_back(name);
     }
   }
-  return takers.empty() ? std::string() : takers[random_() % takers.size()];
+  return candidates.empty() ? std::string() : candidates[random_() % candidates.size()];
 }
 
 void
-World::Send(const std::string& aRequestId,
-            const std::string& aInstance,
-            const LoadSettings& aHow,
-            const std::string& aKey)
+SimulatedFleet::Send(const std::string& aRequestId,
+                     const std::string& aInstance,
+                     const LoadSettings& aLoad,
+                     const std::string& aKey)
 {
   const auto caller = ++nextCaller_;
-  callers_[caller] = { aRequestId, aHow.service_, aKey, aInstance, Now() };
-  invariants_.OnSent(aRequestId, aHow.isRepeatable_);
+  callers_[caller] = { aRequestId, aLoad.service_, aKey, aInstance, Now() };
+  invariants_.OnSent(aRequestId, aLoad.isRepeatable_);
   ++counts_.sent_;
   auto& instance = *instances_.at(aInstance);
   if (!instance.core_) {
     OnCallerAnswer(instance, caller, MakeNotRun(Reason::HolderUnreachable, Duration{ 0 }));
     return;
   }
-  Carry("callers", aInstance, [this, caller, aInstance, aHow, aRequestId, aKey] {
+  Deliver("callers", aInstance, [this, caller, aInstance, aLoad, aRequestId, aKey] {
     auto& side = *instances_.at(aInstance);
     WorkRequest request;
-    request.service_ = aHow.service_;
-    request.group_ = aHow.group_;
+    request.service_ = aLoad.service_;
+    request.group_ = aLoad.group_;
     request.key_ = aKey;
     request.requestId_ = aRequestId;
-    request.isRepeatable_ = aHow.isRepeatable_;
-    request.deadline_ = side.Clock() + aHow.deadline_;
+    request.isRepeatable_ = aLoad.isRepeatable_;
+    request.deadline_ = side.LocalTime() + aLoad.deadline_;
     request.body_ = std::make_shared<const std::string>(aRequestId);
-    side.core_->OnCaller(side.Clock(), caller, request);
+    side.core_->OnCaller(side.LocalTime(), caller, request);
   });
 }
 
 void
-World::Plan(const std::string& aPlan, const std::string& aInstance, const Declaration& aWanted)
+SimulatedFleet::Plan(const std::string& aPlan,
+                     const std::string& aInstance,
+                     const Declaration& aDeclaration)
 {
   auto& instance = *instances_.at(aInstance);
   const auto id = ++nextCaller_;
   planOfOperator_[id] = "plan " + aPlan;
-  instance.core_->OnPlan(instance.Clock(), id, SerializeDeclaration(aWanted));
+  instance.core_->OnPlan(instance.LocalTime(), id, SerializeDeclaration(aDeclaration));
 }
 
 void
-World::Confirm(const std::string& aPlan, const std::string& aInstance)
+SimulatedFleet::Confirm(const std::string& aPlan, const std::string& aInstance)
 {
   auto& instance = *instances_.at(aInstance);
   const auto id = ++nextCaller_;
@@ -438,45 +440,45 @@
   confirmation.status_ = 0;
   confirmation.askedAt_ = Now();
   planOfOperator_[id] = "confirm " + aPlan;
-  instance.core_->OnConfirm(instance.Clock(), id, confirmation.plan_);
+  instance.core_->OnConfirm(instance.LocalTime(), id, confirmation.plan_);
 }
 
 unsigned
-World::StatusOfConfirm(const std::string& aPlan) const
+SimulatedFleet::ConfirmationStatus(const std::string& aPlan) const
 {
   const auto found = confirmations_.find(aPlan);
   return found == confirmations_.end() ? 0 : found->second.status_;
 }
 
 const std::string&
-World::AnswerOfConfirm(const std::string& aPlan) const
+SimulatedFleet::ConfirmationAnswer(const std::string& aPlan) const
 {
   return confirmations_.at(aPlan).answer_;
 }
 
 Duration
-World::TimeOfConfirm(const std::string& aPlan) const
+SimulatedFleet::ConfirmationTime(const std::string& aPlan) const
 {
   const auto& confirmation = confirmations_.at(aPlan);
   return confirmation.answeredAt_ - confirmation.askedAt_;
 }
 
 std::optional<RequestOutcome>
-World::OutcomeOf(const std::string& aRequestId) const
+SimulatedFleet::OutcomeOf(const std::string& aRequestId) const
 {
   const auto found = outcomes_.find(aRequestId);
   return found == outcomes_.end() ? std::nullopt : std::optional(found->second.first);
 }
 
 Reason
-World::ReasonOf(const std::string& aRequestId) const
+SimulatedFleet::ReasonOf(const std::string& aRequestId) const
 {
   const auto found = outcomes_.find(aRequestId);
   return found == outcomes_.end() ? Reason::None : found->second.second;
 }
 
 Duration
-World::LongestGap(const std::string& aService) const
+SimulatedFleet::LongestGap(const std::string& aService) const
 {
   Duration longest{ 0 };
   const auto found = gaps_.find(aService);
@@ -489,7 +491,7 @@
 }
 
 void
-World::ForgetGaps()
+SimulatedFleet::ResetMeasurements()
 {
   for (auto& [service, keys] : gaps_) {
     for (auto& [key, gap] : keys) {
@@ -501,13 +503,13 @@
 }
 
 std::size_t
-World::SlicesMoved() const
+SimulatedFleet::SlicesMoved() const
 {
   return EventCount(Event::SliceMoved);
 }
 
 double
-World::Imbalance(const std::string& aService) const
+SimulatedFleet::Imbalance(const std::string& aService) const
 {
   double most = 0;
   double sum = 0;
@@ -526,7 +528,7 @@
 }
 
 double
-World::ShareOf(const std::string& aGroup, const std::string& aService) const
+SimulatedFleet::ShareOf(const std::string& aGroup, const std::string& aService) const
 {
   std::size_t total = 0;
   for (const auto& [key, count] : executedByGroup_) {
@@ -539,26 +541,26 @@
 }
 
 bool
-World::IsStopped(const std::string& aInstance) const
+SimulatedFleet::IsStopped(const std::string& aInstance) const
 {
   return instances_.at(aInstance)->isStopped_;
 }
 
 bool
-World::IsUp(const std::string& aInstance) const
+SimulatedFleet::IsUp(const std::string& aInstance) const
 {
   return instances_.at(aInstance)->core_ != nullptr;
 }
 
 InstanceCore*
-World::Core(const std::string& aInstance)
+SimulatedFleet::Core(const std::string& aInstance)
 {
   const auto found = instances_.find(aInstance);
   return found == instances_.end() ? nullptr : found->second->core_.get();
 }
 
 std::vector<std::string>
-World::InstanceNames() const
+SimulatedFleet::InstanceNames() const
 {
   std::vector<std::string> names;
   for (const auto& [name, instance] : instances_) {
@@ -568,7 +570,7 @@
 }
 
 std::vector<std::string>
-World::ServerNames(const std::string& aService) const
+SimulatedFleet::ServerNames(const std::string& aService) const
 {
   std::vector<std::string> names;
   for (const auto& [name, server] : servers_) {
@@ -580,7 +582,7 @@
 }
 
 std::size_t
-World::EventCount(Event aEvent) const
+SimulatedFleet::EventCount(Event aEvent) const
 {
   const auto found = eventCounts_.find(aEvent);
   return found == eventCounts_.end() ? 0 : found->second;
--- a/Libraries/LibScenario/World.h
+++ b/Libraries/LibScenario/SimulatedFleet.h
@@ -22,7 +22,7 @@
 // clock and with random numbers from a seed. Faults are addressed by the name of an instance or of
 // a server, or by "store" for the table service. Used by the scenarios, the random fault test and
 // the benchmarks.
-class World
+class SimulatedFleet
 {
 public:
   struct ServiceSettings
@@ -31,7 +31,7 @@
     std::size_t servers_ = 1;
     unsigned slots_ = 4;
     bool checksOrders_ = true;
-    Duration time_ = milliseconds(2);
+    Duration serviceTime_ = milliseconds(2);
   };
   struct LoadSettings
   {
@@ -44,7 +44,7 @@
     // Share of the requests that use the first key, from 0 to 1.
     double hotShare_ = 0;
   };
-  struct Counts
+  struct RequestCounts
   {
     std::size_t sent_ = 0;
     std::size_t answered_ = 0;
@@ -53,16 +53,16 @@
   };
   struct StoreFaults
   {
-    bool isOut_ = false;
+    bool isUnavailable_ = false;
     Duration delay_ = milliseconds(2);
     // Number of the next transactions that are committed but whose answers are lost.
     unsigned answersToLose_ = 0;
   };
 
-  World(std::uint64_t aSeed, std::vector<std::string> aHalls);
-  ~World();
-  World(const World&) = delete;
-  World& operator=(const World&) = delete;
+  SimulatedFleet(std::uint64_t aSeed, std::vector<std::string> aHalls);
+  ~SimulatedFleet();
+  SimulatedFleet(const SimulatedFleet&) = delete;
+  SimulatedFleet& operator=(const SimulatedFleet&) = delete;
 
   void AddInstance(const std::string& aName);
   void AddService(const ServiceSettings& aSettings);
@@ -83,50 +83,52 @@
   void RestartInstance(const std::string& aName);
   void RestartServer(const std::string& aName);
   // Makes the server shed all new work, or accept work again.
-  void SetShedding(const std::string& aServer, bool aSheds);
+  void SetShedding(const std::string& aServer, bool aIsShedding);
   void Freeze(const std::string& aName);
   void Thaw(const std::string& aName);
   // Partitions the network between two places. Messages are held until the partition is healed and
   // are delivered then.
-  void Cut(const std::string& aOne, const std::string& aOther);
+  void Partition(const std::string& aOne, const std::string& aOther);
   void Heal(const std::string& aOne, const std::string& aOther);
   void HealAll();
   StoreFaults& Store() { return storeFaults_; }
   void SetListLag(Duration aLag) { listLag_ = aLag; }
   // Removes an instance from the platform's list. Instances see the change after the list lag.
-  void ListGone(const std::string& aName);
+  void RemoveFromList(const std::string& aName);
   void DrainInstance(const std::string& aName);
 
   void StartLoad(const LoadSettings& aSettings);
   void StopLoads() { loads_.clear(); }
   void Send(const std::string& aRequestId,
             const std::string& aInstance,
-            const LoadSettings& aHow,
+            const LoadSettings& aLoad,
             const std::string& aKey);
 
-  void Plan(const std::string& aPlan, const std::string& aInstance, const Declaration& aWanted);
+  void Plan(const std::string& aPlan,
+            const std::string& aInstance,
+            const Declaration& aDeclaration);
   void Confirm(const std::string& aPlan, const std::string& aInstance);
   // HTTP status of the answer to a confirmation; 0 while there is none.
-  unsigned StatusOfConfirm(const std::string& aPlan) const;
-  const std::string& AnswerOfConfirm(const std::string& aPlan) const;
+  unsigned ConfirmationStatus(const std::string& aPlan) const;
+  const std::string& ConfirmationAnswer(const std::string& aPlan) const;
   // Time from a confirmation's request to its answer.
-  Duration TimeOfConfirm(const std::string& aPlan) const;
-  Declaration& Wanted() { return declaration_; }
+  Duration ConfirmationTime(const std::string& aPlan) const;
+  Declaration& DesiredDeclaration() { return declaration_; }
 
-  const Counts& Total() const { return counts_; }
+  const RequestCounts& Total() const { return counts_; }
   std::optional<RequestOutcome> OutcomeOf(const std::string& aRequestId) const;
   Reason ReasonOf(const std::string& aRequestId) const;
   // The longest time between two consecutive answers for any one key of a service.
   Duration LongestGap(const std::string& aService) const;
   // Resets the measurements of gaps, imbalance and shares.
-  void ForgetGaps();
+  void ResetMeasurements();
   // Number of slices moved after their owner released them; reassignments of the slices of lost
   // servers don't count.
   std::size_t SlicesMoved() const;
-  // Busiest server over the mean: service time of finished work since ForgetGaps, over the servers
-  // that are up. 1 if there was none.
+  // Busiest server over the mean: service time of finished work since ResetMeasurements, over the
+  // servers that are up. 1 if there was none.
   double Imbalance(const std::string& aService) const;
-  // A group's share of a service's executions since ForgetGaps, from 0 to 1.
+  // A group's share of a service's executions since ResetMeasurements, from 0 to 1.
   double ShareOf(const std::string& aGroup, const std::string& aService) const;
   bool IsStopped(const std::string& aInstance) const;
   bool IsUp(const std::string& aInstance) const;
@@ -139,7 +141,7 @@
   std::uint64_t ControlMessages() const { return controlMessages_; }
 
 private:
-  class InstanceSide;
+  class SimulatedInstance;
   struct Server;
   struct Caller
   {
@@ -158,30 +160,30 @@
     Instant answeredAt_{ 0 };
   };
 
-  void Boot(InstanceSide& aInstance);
+  void StartInstance(SimulatedInstance& aInstance);
   void TickAll();
   void RunLoads(Duration aSpan);
-  void DeliverLists();
-  void CheckViews(InstanceSide& aInstance);
+  void SendInstanceLists();
+  void CheckViews(SimulatedInstance& aInstance);
   Duration NetworkDelay();
-  bool IsCut(const std::string& aOne, const std::string& aOther) const;
+  bool IsPartitioned(const std::string& aOne, const std::string& aOther) const;
   // Runs an action at a place after a network delay. Messages between two places keep their order.
   // While the two are partitioned or the place is frozen, the action is held.
-  void Carry(const std::string& aFrom, const std::string& aTo, std::function<void()> aAction);
-  void Arrive(const std::string& aTo, std::function<void()> aAction);
-  void ConnectPeers(InstanceSide& aOne);
-  void CallStore(InstanceSide& aFrom, CallTag aTag, const StoreCall& aCall);
+  void Deliver(const std::string& aFrom, const std::string& aTo, std::function<void()> aAction);
+  void RunAtDestination(const std::string& aTo, std::function<void()> aAction);
+  void ConnectPeers(SimulatedInstance& aOne);
+  void CallStore(SimulatedInstance& aFrom, CallTag aTag, const StoreCall& aCall);
   void ServeStore(const std::string& aInstance,
                   std::uint64_t aIncarnation,
                   CallTag aTag,
                   const StoreCall& aCall);
   void RecordStored(const Transaction& aTransaction);
-  void SendGrant(InstanceSide& aFrom, CallTag aTag, const GrantOrder& aOrder);
+  void SendGrant(SimulatedInstance& aFrom, CallTag aTag, const GrantOrder& aOrder);
   void RefuseConnection(const std::string& aServer,
                         const std::string& aInstance,
                         std::uint64_t aIncarnation,
                         CallTag aTag);
-  void SendWork(InstanceSide& aFrom, const WorkOrder& aOrder);
+  void SendWork(SimulatedInstance& aFrom, const WorkOrder& aOrder);
   void ServeWork(const std::string& aInstance, std::uint64_t aIncarnation, const WorkOrder& aOrder);
   void EndWork(Server& aServer,
                const std::string& aInstance,
@@ -194,8 +196,8 @@
                  std::uint64_t aIncarnation,
                  WorkId aId,
                  const WorkReply& aReply);
-  void CancelWork(InstanceSide& aFrom, WorkId aId);
-  void OnCallerAnswer(InstanceSide& aFrom, CallerId aCaller, const WorkAnswer& aAnswer);
+  void CancelWork(SimulatedInstance& aFrom, WorkId aId);
+  void OnCallerAnswer(SimulatedInstance& aFrom, CallerId aCaller, const WorkAnswer& aAnswer);
   void OnOperatorAnswer(OperatorId aOperator, const OperatorAnswer& aAnswer);
   Server* FindServer(const std::string& aName);
   std::string ExpectedBody(const std::string& aRequestId, const std::string& aKey) const;
@@ -208,12 +210,12 @@
   Invariants invariants_;
   TableState table_;
   StoreFaults storeFaults_;
-  std::map<std::string, std::unique_ptr<InstanceSide>> instances_;
+  std::map<std::string, std::unique_ptr<SimulatedInstance>> instances_;
   std::map<std::string, std::unique_ptr<Server>> servers_;
-  std::set<std::pair<std::string, std::string>> cuts_;
+  std::set<std::pair<std::string, std::string>> partitions_;
   std::set<std::string> frozen_;
-  std::map<std::pair<std::string, std::string>, std::deque<std::function<void()>>> heldUp_;
-  std::map<std::string, std::deque<std::function<void()>>> waitingForThaw_;
+  std::map<std::pair<std::string, std::string>, std::deque<std::function<void()>>> heldMessages_;
+  std::map<std::string, std::deque<std::function<void()>>> pausedActions_;
   std::map<std::pair<std::string, std::string>, Instant> lastArrival_;
   std::set<std::string> unlisted_;
   Duration listLag_ = milliseconds(500);
@@ -230,7 +232,7 @@
   std::map<std::pair<std::string, std::string>, std::size_t> executedByGroup_;
   std::map<Event, std::size_t> eventCounts_;
   std::uint64_t controlMessages_ = 0;
-  Counts counts_;
+  RequestCounts counts_;
 };
 
 } // namespace latchslip
--- a/Libraries/LibScenario/WorldParts.h
+++ b/Libraries/LibScenario/SimulatedFleetParts.h
@@ -1,18 +1,21 @@
 #pragma once
 
-#include "LibScenario/World.h"
+#include "LibScenario/SimulatedFleet.h"
 
 namespace latchslip {
 
 // One simulated instance: the real InstanceCore, with an outbox that runs its actions against the
 // fakes and an event sink that counts its events.
-class World::InstanceSide
+class SimulatedFleet::SimulatedInstance
   : public Outbox
   , public EventSink
 {
 public:
-  InstanceSide(World& aWorld, std::string aName, std::string aHall, Duration aClockOffset)
-    : world_(aWorld)
+  SimulatedInstance(SimulatedFleet& aFleet,
+                    std::string aName,
+                    std::string aHall,
+                    Duration aClockOffset)
+    : fleet_(aFleet)
     , name_(std::move(aName))
     , hall_(std::move(aHall))
     , clockOffset_(aClockOffset)
@@ -20,30 +23,30 @@
   }
 
   // The instance's own clock. Clocks differ by a random offset, as monotonic clocks of machines do.
-  Instant Clock() const { return world_.Now() + clockOffset_; }
+  Instant LocalTime() const { return fleet_.Now() + clockOffset_; }
 
   bool SendToPeer(const InstanceId& aTo, const PeerMessage& aMessage) override;
   void CallStore(CallTag aTag, const StoreCall& aCall) override
   {
-    world_.CallStore(*this, aTag, aCall);
+    fleet_.CallStore(*this, aTag, aCall);
   }
   void SendGrant(CallTag aTag, const std::string&, const GrantOrder& aOrder) override
   {
-    world_.SendGrant(*this, aTag, aOrder);
+    fleet_.SendGrant(*this, aTag, aOrder);
   }
-  void SendWork(const WorkOrder& aOrder) override { world_.SendWork(*this, aOrder); }
-  void CancelWork(WorkId aId) override { world_.CancelWork(*this, aId); }
+  void SendWork(const WorkOrder& aOrder) override { fleet_.SendWork(*this, aOrder); }
+  void CancelWork(WorkId aId) override { fleet_.CancelWork(*this, aId); }
   void AnswerCaller(CallerId aCaller, const WorkAnswer& aAnswer) override
   {
-    world_.OnCallerAnswer(*this, aCaller, aAnswer);
+    fleet_.OnCallerAnswer(*this, aCaller, aAnswer);
   }
   void AnswerOperator(OperatorId aOperator, const OperatorAnswer& aAnswer) override
   {
-    world_.OnOperatorAnswer(aOperator, aAnswer);
+    fleet_.OnOperatorAnswer(aOperator, aAnswer);
   }
   void Record(Event aEvent, std::string_view aDetail) override;
 
-  World& world_;
+  SimulatedFleet& fleet_;
   std::string name_;
   std::string hall_;
   Duration clockOffset_;
@@ -56,7 +59,7 @@
 };
 
 // One simulated backend server. state_ is null while the server is down.
-struct World::Server
+struct SimulatedFleet::Server
 {
   std::string name_;
   ServiceSettings settings_;
@@ -66,12 +69,12 @@
   std::unique_ptr<ServerState> state_;
   // The host is lost: connections hang instead of being reset.
   bool isSilent_ = false;
-  bool sheds_ = false;
+  bool isShedding_ = false;
   std::uint64_t nextWork_ = 0;
-  std::map<WorkId, std::uint64_t> workByOrder_;
+  std::map<WorkId, std::uint64_t> workByCommand_;
 
   bool IsUp() const { return state_ != nullptr; }
-  Instant ToClock(Instant aNow) const { return aNow + clockOffset_; }
+  Instant ToLocalTime(Instant aNow) const { return aNow + clockOffset_; }
 };
 
 } // namespace latchslip
--- a/Libraries/LibScenario/WorldNetwork.cpp
+++ b/Libraries/LibScenario/SimulatedNetwork.cpp
@@ -1,6 +1,6 @@
-#include "LibScenario/World.h"
+#include "LibScenario/SimulatedFleet.h"
 
-#include "LibScenario/WorldParts.h"
+#include "LibScenario/SimulatedFleetParts.h"
 
 #include <boost/json.hpp>
 
@@ -8,59 +8,60 @@
 
 namespace {
 
-constexpr std::uint64_t kLeastDelayMicros = 200;
+constexpr std::uint64_t kMinDelayMicros = 200;
 constexpr std::uint64_t kDelaySpreadMicros = 800;
 constexpr Duration kGrantTimeout = milliseconds(450);
 constexpr Duration kStoreTimeout = seconds(2);
-constexpr Duration kWorkSlack = seconds(1);
+constexpr Duration kWorkTimeoutSlack = seconds(1);
 
 } // namespace
 
 bool
-World::InstanceSide::SendToPeer(const InstanceId& aTo, const PeerMessage& aMessage)
+SimulatedFleet::SimulatedInstance::SendToPeer(const InstanceId& aTo, const PeerMessage& aMessage)
 {
   const std::string name(NameOfInstance(aTo));
-  const auto found = world_.instances_.find(name);
-  const bool hasLink = found != world_.instances_.end() && found->second->core_ &&
+  const auto found = fleet_.instances_.find(name);
+  const bool hasLink = found != fleet_.instances_.end() && found->second->core_ &&
                        found->second->core_->Members().Self() == aTo;
   if (!hasLink) {
     return false;
   }
-  ++world_.controlMessages_;
+  ++fleet_.controlMessages_;
   const auto from = core_->Members().Self();
-  world_.Carry(name_, name, [&world = world_, name, from, aTo, aMessage] {
+  fleet_.Deliver(name_, name, [&world = fleet_, name, from, aTo, aMessage] {
     auto& peer = *world.instances_.at(name);
     if (peer.core_->Members().Self() == aTo) {
-      peer.core_->OnPeerMessage(peer.Clock(), from, aMessage);
+      peer.core_->OnPeerMessage(peer.LocalTime(), from, aMessage);
     }
   });
   return true;
 }
 
 void
-World::InstanceSide::Record(Event aEvent, std::string_view)
+SimulatedFleet::SimulatedInstance::Record(Event aEvent, std::string_view)
 {
-  ++world_.eventCounts_[aEvent];
+  ++fleet_.eventCounts_[aEvent];
 }
 
 Duration
-World::NetworkDelay()
+SimulatedFleet::NetworkDelay()
 {
-  return Duration(kLeastDelayMicros + random_() % kDelaySpreadMicros);
+  return Duration(kMinDelayMicros + random_() % kDelaySpreadMicros);
 }
 
 bool
-World::IsCut(const std::string& aOne, const std::string& aOther) const
+SimulatedFleet::IsPartitioned(const std::string& aOne, const std::string& aOther) const
 {
-  return cuts_.contains(std::minmax(aOne, aOther));
+  return partitions_.contains(std::minmax(aOne, aOther));
 }
 
 void
-World::Arrive(const std::string& aTo, std::function<void()> aAction)
+SimulatedFleet::RunAtDestination(const std::string& aTo, std::function<void()> aAction)
 {
   if (frozen_.contains(aTo)) {
-    waitingForThaw_[aTo].push_back(
-      [this, aTo, action = std::move(aAction)]() mutable { Arrive(aTo, std::move(action)); });
+    pausedActions_[aTo].push_back([this, aTo, action = std::move(aAction)]() mutable {
+      RunAtDestination(aTo, std::move(action));
+    });
     return;
   }
   const auto instance = instances_.find(aTo);
@@ -71,26 +72,28 @@
 }
 
 void
-World::Carry(const std::string& aFrom, const std::string& aTo, std::function<void()> aAction)
+SimulatedFleet::Deliver(const std::string& aFrom,
+                        const std::string& aTo,
+                        std::function<void()> aAction)
 {
-  if (IsCut(aFrom, aTo)) {
-    heldUp_[{ aFrom, aTo }].push_back(std::move(aAction));
+  if (IsPartitioned(aFrom, aTo)) {
+    heldMessages_[{ aFrom, aTo }].push_back(std::move(aAction));
     return;
   }
   // Messages in one direction keep their order, as on a TCP connection.
   auto& last = lastArrival_[{ aFrom, aTo }];
   last = std::max(last, Now() + NetworkDelay());
-  queue_.At(last, [this, aFrom, aTo, action = std::move(aAction)]() mutable {
-    if (IsCut(aFrom, aTo)) {
-      heldUp_[{ aFrom, aTo }].push_back(std::move(action));
+  queue_.ScheduleAt(last, [this, aFrom, aTo, action = std::move(aAction)]() mutable {
+    if (IsPartitioned(aFrom, aTo)) {
+      heldMessages_[{ aFrom, aTo }].push_back(std::move(action));
       return;
     }
-    Arrive(aTo, std::move(action));
+    RunAtDestination(aTo, std::move(action));
   });
 }
 
 void
-World::ConnectPeers(InstanceSide& aOne)
+SimulatedFleet::ConnectPeers(SimulatedInstance& aOne)
 {
   for (auto& [name, other] : instances_) {
     if (name == aOne.name_ || !other->core_) {
@@ -99,22 +102,22 @@
     for (const auto& [from, to] :
          { std::pair(&aOne, other.get()), std::pair(other.get(), &aOne) }) {
       const auto peer = to->core_->Members().Self();
-      Carry(to->name_, from->name_, [from = from, peer, hall = to->hall_] {
-        from->core_->OnPeerUp(from->Clock(), peer, hall);
+      Deliver(to->name_, from->name_, [from = from, peer, hall = to->hall_] {
+        from->core_->OnPeerUp(from->LocalTime(), peer, hall);
       });
     }
   }
 }
 
 void
-World::RecordStored(const Transaction& aTransaction)
+SimulatedFleet::RecordStored(const Transaction& aTransaction)
 {
   for (const auto& write : aTransaction.writes_) {
     const auto& row = table_.Rows().at(write.key_);
     if (write.key_ == kConfigurationKey) {
       const auto token = TokenOfConfigurationRow(write.value_);
       invariants_.OnRowStored(write.key_, row.version_, token);
-      invariants_.OnStored(Now(), row.version_, token);
+      invariants_.OnConfigurationStored(Now(), row.version_, token);
     } else if (write.key_.starts_with(kPlacementPrefix)) {
       invariants_.OnRowStored(
         write.key_, row.version_, ParsePlacement(write.value_).value().token_);
@@ -123,13 +126,13 @@
 }
 
 void
-World::ServeStore(const std::string& aInstance,
-                  std::uint64_t aIncarnation,
-                  CallTag aTag,
-                  const StoreCall& aCall)
+SimulatedFleet::ServeStore(const std::string& aInstance,
+                           std::uint64_t aIncarnation,
+                           CallTag aTag,
+                           const StoreCall& aCall)
 {
   StoreReply reply;
-  if (!storeFaults_.isOut_) {
+  if (!storeFaults_.isUnavailable_) {
     reply = aCall.isRead_ ? table_.Read(aCall.stamps_) : table_.Apply(aCall.transaction_);
     if (!aCall.isRead_ && reply.status_ == StoreStatus::Done) {
       RecordStored(aCall.transaction_);
@@ -139,56 +142,56 @@
       reply = { StoreStatus::Unsure, {} };
     }
   }
-  Carry("store", aInstance, [this, aInstance, aIncarnation, aTag, reply] {
+  Deliver("store", aInstance, [this, aInstance, aIncarnation, aTag, reply] {
     auto& instance = *instances_.at(aInstance);
     if (instance.incarnation_ == aIncarnation) {
-      instance.core_->OnStoreReply(instance.Clock(), aTag, reply);
+      instance.core_->OnStoreReply(instance.LocalTime(), aTag, reply);
     }
   });
 }
 
 void
-World::CallStore(InstanceSide& aFrom, CallTag aTag, const StoreCall& aCall)
+SimulatedFleet::CallStore(SimulatedInstance& aFrom, CallTag aTag, const StoreCall& aCall)
 {
   const auto name = aFrom.name_;
   const auto incarnation = aFrom.incarnation_;
-  Carry(name, "store", [this, name, incarnation, aTag, aCall] {
-    queue_.After(storeFaults_.delay_, [this, name, incarnation, aTag, aCall] {
+  Deliver(name, "store", [this, name, incarnation, aTag, aCall] {
+    queue_.ScheduleAfter(storeFaults_.delay_, [this, name, incarnation, aTag, aCall] {
       ServeStore(name, incarnation, aTag, aCall);
     });
   });
   // Timeout of the call. A write may still be committed later, so its result is indeterminate.
-  queue_.After(kStoreTimeout, [this, name, incarnation, aTag, isRead = aCall.isRead_] {
-    Arrive(name, [this, name, incarnation, aTag, isRead] {
+  queue_.ScheduleAfter(kStoreTimeout, [this, name, incarnation, aTag, isRead = aCall.isRead_] {
+    RunAtDestination(name, [this, name, incarnation, aTag, isRead] {
       auto& instance = *instances_.at(name);
       if (instance.incarnation_ == incarnation) {
         const auto status = isRead ? StoreStatus::Unavailable : StoreStatus::Unsure;
-        instance.core_->OnStoreReply(instance.Clock(), aTag, { status, {} });
+        instance.core_->OnStoreReply(instance.LocalTime(), aTag, { status, {} });
       }
     });
   });
 }
 
-World::Server*
-World::FindServer(const std::string& aName)
+SimulatedFleet::Server*
+SimulatedFleet::FindServer(const std::string& aName)
 {
   const auto found = servers_.find(aName);
   return found == servers_.end() || !found->second->IsUp() ? nullptr : found->second.get();
 }
 
 void
-World::SendGrant(InstanceSide& aFrom, CallTag aTag, const GrantOrder& aOrder)
+SimulatedFleet::SendGrant(SimulatedInstance& aFrom, CallTag aTag, const GrantOrder& aOrder)
 {
   const auto instance = aFrom.name_;
   const auto incarnation = aFrom.incarnation_;
   const auto sentAt = Now();
-  Carry(instance, aOrder.server_, [this, instance, incarnation, aTag, aOrder, sentAt] {
+  Deliver(instance, aOrder.server_, [this, instance, incarnation, aTag, aOrder, sentAt] {
     auto* server = FindServer(aOrder.server_);
     if (server == nullptr) {
       RefuseConnection(aOrder.server_, instance, incarnation, aTag);
       return;
     }
-    const auto reply = server->state_->OnGrant(server->ToClock(Now()), aOrder);
+    const auto reply = server->state_->OnGrant(server->ToLocalTime(Now()), aOrder);
     if (reply.accepted_ && server->settings_.checksOrders_) {
       const Instant until(aOrder.validUntil_);
       invariants_.OnGranted(Now(),
@@ -197,50 +200,50 @@
                             until - server->clockOffset_,
                             aOrder.ranges_);
     }
-    Carry(aOrder.server_, instance, [this, instance, incarnation, aTag, reply, sentAt] {
+    Deliver(aOrder.server_, instance, [this, instance, incarnation, aTag, reply, sentAt] {
       auto& side = *instances_.at(instance);
       // The HTTP client's timeout: later answers are dropped.
       if (side.incarnation_ == incarnation && Now() - sentAt <= kGrantTimeout) {
-        side.core_->OnGrantReply(side.Clock(), aTag, reply);
+        side.core_->OnGrantReply(side.LocalTime(), aTag, reply);
       }
     });
   });
 }
 
 void
-World::RefuseConnection(const std::string& aServer,
-                        const std::string& aInstance,
-                        std::uint64_t aIncarnation,
-                        CallTag aTag)
+SimulatedFleet::RefuseConnection(const std::string& aServer,
+                                 const std::string& aInstance,
+                                 std::uint64_t aIncarnation,
+                                 CallTag aTag)
 {
   if (servers_.at(aServer)->isSilent_) {
     return;
   }
-  Carry(aServer, aInstance, [this, aInstance, aIncarnation, aTag] {
+  Deliver(aServer, aInstance, [this, aInstance, aIncarnation, aTag] {
     auto& side = *instances_.at(aInstance);
     if (side.incarnation_ == aIncarnation) {
-      side.core_->OnConnectionRefused(side.Clock(), aTag);
+      side.core_->OnConnectionRefused(side.LocalTime(), aTag);
     }
   });
 }
 
 void
-World::ReplyWork(const std::string& aServer,
-                 const std::string& aInstance,
-                 std::uint64_t aIncarnation,
-                 WorkId aId,
-                 const WorkReply& aReply)
+SimulatedFleet::ReplyWork(const std::string& aServer,
+                          const std::string& aInstance,
+                          std::uint64_t aIncarnation,
+                          WorkId aId,
+                          const WorkReply& aReply)
 {
-  Carry(aServer, aInstance, [this, aInstance, aIncarnation, aId, aReply] {
+  Deliver(aServer, aInstance, [this, aInstance, aIncarnation, aId, aReply] {
     auto& instance = *instances_.at(aInstance);
     if (instance.incarnation_ == aIncarnation && instance.serverOfWork_.erase(aId) != 0) {
-      instance.core_->OnWorkReply(instance.Clock(), aId, aReply);
+      instance.core_->OnWorkReply(instance.LocalTime(), aId, aReply);
     }
   });
 }
 
 void
-World::SendWork(InstanceSide& aFrom, const WorkOrder& aOrder)
+SimulatedFleet::SendWork(SimulatedInstance& aFrom, const WorkOrder& aOrder)
 {
   const auto instance = aFrom.name_;
   const auto incarnation = aFrom.incarnation_;
@@ -252,28 +255,30 @@
     ReplyWork(aOrder.server_, instance, incarnation, aOrder.id_, refused);
     return;
   }
-  Carry(instance, aOrder.server_, [this, instance, incarnation, aOrder] {
+  Deliver(instance, aOrder.server_, [this, instance, incarnation, aOrder] {
     ServeWork(instance, incarnation, aOrder);
   });
-  const auto timeout = aOrder.request_.deadline_ - aFrom.Clock() + kWorkSlack;
-  queue_.After(timeout, [this, instance, incarnation, id = aOrder.id_] {
-    Arrive(instance, [this, instance, incarnation, id] {
+  const auto timeout = aOrder.request_.deadline_ - aFrom.LocalTime() + kWorkTimeoutSlack;
+  queue_.ScheduleAfter(timeout, [this, instance, incarnation, id = aOrder.id_] {
+    RunAtDestination(instance, [this, instance, incarnation, id] {
       auto& side = *instances_.at(instance);
       if (side.incarnation_ == incarnation && side.serverOfWork_.erase(id) != 0) {
-        side.core_->OnWorkReply(side.Clock(), id, WorkReply{});
+        side.core_->OnWorkReply(side.LocalTime(), id, WorkReply{});
       }
     });
   });
 }
 
 void
-World::ServeWork(const std::string& aInstance, std::uint64_t aIncarnation, const WorkOrder& aOrder)
+SimulatedFleet::ServeWork(const std::string& aInstance,
+                          std::uint64_t aIncarnation,
+                          const WorkOrder& aOrder)
 {
   auto* server = FindServer(aOrder.server_);
   if (server == nullptr) {
     return;
   }
-  if (server->sheds_) {
+  if (server->isShedding_) {
     WorkReply shed;
     shed.end_ = WorkEnd::Shed;
     ReplyWork(aOrder.server_, aInstance, aIncarnation, aOrder.id_, shed);
@@ -288,36 +293,37 @@
   work.validUntil_ = aOrder.validUntil_;
   const auto exceeded = server->state_->SlotsExceeded();
   WorkReply reply;
-  switch (server->state_->OnWork(server->ToClock(Now()), work)) {
-    case StartVerdict::Refused:
+  switch (server->state_->OnWork(server->ToLocalTime(Now()), work)) {
+    case StartResult::Refused:
       reply.end_ = WorkEnd::Refused;
       break;
-    case StartVerdict::Shed:
+    case StartResult::Shed:
       reply.end_ = WorkEnd::Shed;
       break;
-    case StartVerdict::Expired:
+    case StartResult::Expired:
       reply.end_ = WorkEnd::Expired;
       break;
-    case StartVerdict::Started:
+    case StartResult::Started:
       invariants_.OnWorkStarted(Now(),
                                 server->settings_.name_,
                                 server->name_,
                                 server->settings_.checksOrders_,
                                 aOrder.hash_,
                                 work.id_);
-      server->workByOrder_[aOrder.id_] = work.id_;
-      queue_.After(server->settings_.time_,
-                   [this,
-                    name = server->name_,
-                    boot = server->boot_,
-                    aInstance,
-                    aIncarnation,
-                    aOrder,
-                    id = work.id_] {
-                     Arrive(name, [this, name, boot, aInstance, aIncarnation, aOrder, id] {
-                       EndWork(*servers_.at(name), aInstance, aIncarnation, aOrder, boot, id);
-                     });
-                   });
+      server->workByCommand_[aOrder.id_] = work.id_;
+      queue_.ScheduleAfter(
+        server->settings_.serviceTime_,
+        [this,
+         name = server->name_,
+         boot = server->boot_,
+         aInstance,
+         aIncarnation,
+         aOrder,
+         id = work.id_] {
+          RunAtDestination(name, [this, name, boot, aInstance, aIncarnation, aOrder, id] {
+            EndWork(*servers_.at(name), aInstance, aIncarnation, aOrder, boot, id);
+          });
+        });
       return;
   }
   if (server->state_->SlotsExceeded() != exceeded) {
@@ -327,26 +333,26 @@
 }
 
 void
-World::EndWork(Server& aServer,
-               const std::string& aInstance,
-               std::uint64_t aIncarnation,
-               const WorkOrder& aOrder,
-               std::uint64_t aBoot,
-               std::uint64_t aWork)
+SimulatedFleet::EndWork(Server& aServer,
+                        const std::string& aInstance,
+                        std::uint64_t aIncarnation,
+                        const WorkOrder& aOrder,
+                        std::uint64_t aBoot,
+                        std::uint64_t aWork)
 {
   if (!aServer.IsUp() || aServer.boot_ != aBoot) {
     return;
   }
-  const bool isRunning = aServer.workByOrder_.erase(aOrder.id_) != 0;
+  const bool isRunning = aServer.workByCommand_.erase(aOrder.id_) != 0;
   invariants_.OnWorkEnded(aServer.settings_.name_, aServer.name_, aWork);
   if (!isRunning) {
     return;
   }
   WorkReply reply;
   reply.end_ = WorkEnd::Refused;
-  if (aServer.state_->Finish(aServer.ToClock(Now()), aWork)) {
+  if (aServer.state_->Finish(aServer.ToLocalTime(Now()), aWork)) {
     invariants_.OnExecuted(Now(), aOrder.request_.requestId_);
-    busy_[aServer.name_] += aServer.settings_.time_;
+    busy_[aServer.name_] += aServer.settings_.serviceTime_;
     ++executedByGroup_[{ aServer.settings_.name_, aOrder.request_.group_ }];
     reply.end_ = WorkEnd::Answered;
     reply.status_ = 200;
@@ -357,7 +363,7 @@
 }
 
 void
-World::CancelWork(InstanceSide& aFrom, WorkId aId)
+SimulatedFleet::CancelWork(SimulatedInstance& aFrom, WorkId aId)
 {
   const auto found = aFrom.serverOfWork_.find(aId);
   if (found == aFrom.serverOfWork_.end()) {
@@ -366,17 +372,17 @@
   const auto instance = aFrom.name_;
   const auto incarnation = aFrom.incarnation_;
   const auto name = found->second;
-  Carry(instance, name, [this, instance, incarnation, name, aId] {
+  Deliver(instance, name, [this, instance, incarnation, name, aId] {
     auto* server = FindServer(name);
     if (server == nullptr) {
       return;
     }
-    const auto running = server->workByOrder_.find(aId);
-    if (running == server->workByOrder_.end() || !server->state_->Cancel(running->second)) {
+    const auto running = server->workByCommand_.find(aId);
+    if (running == server->workByCommand_.end() || !server->state_->Cancel(running->second)) {
       return;
     }
     invariants_.OnWorkEnded(server->settings_.name_, name, running->second);
-    server->workByOrder_.erase(running);
+    server->workByCommand_.erase(running);
     WorkReply reply;
     reply.end_ = WorkEnd::Cancelled;
     ReplyWork(name, instance, incarnation, aId, reply);
@@ -384,13 +390,13 @@
 }
 
 std::string
-World::ExpectedBody(const std::string& aRequestId, const std::string& aKey) const
+SimulatedFleet::ExpectedBody(const std::string& aRequestId, const std::string& aKey) const
 {
   return "answer to " + aRequestId + " for " + aKey;
 }
 
 void
-World::OnCallerAnswer(InstanceSide&, CallerId aCaller, const WorkAnswer& aAnswer)
+SimulatedFleet::OnCallerAnswer(SimulatedInstance&, CallerId aCaller, const WorkAnswer& aAnswer)
 {
   const auto found = callers_.find(aCaller);
   if (found == callers_.end()) {
@@ -422,7 +428,7 @@
 }
 
 void
-World::OnOperatorAnswer(OperatorId aOperator, const OperatorAnswer& aAnswer)
+SimulatedFleet::OnOperatorAnswer(OperatorId aOperator, const OperatorAnswer& aAnswer)
 {
   const auto found = planOfOperator_.find(aOperator);
   if (found == planOfOperator_.end()) {
@@ -442,7 +448,7 @@
     const auto revision = body.at("revision").to_number<RowVersion>();
     const auto& row = table_.Rows().at(std::string(kConfigurationKey));
     if (row.version_ == revision) {
-      invariants_.OnConfirmed(revision, TokenOfConfigurationRow(row.value_));
+      invariants_.OnConfigurationConfirmed(revision, TokenOfConfigurationRow(row.value_));
     }
   }
 }
--- a/Libraries/LibStandIn/Audit.cpp
+++ b/Libraries/LibStandIn/Audit.cpp
@@ -11,12 +11,12 @@
 namespace {
 
 // Bounds the output when a fault repeats for every request.
-constexpr std::size_t kMostViolations = 50;
+constexpr std::size_t kMaxViolations = 50;
 
 void
-Note(AuditReport& aReport, std::string aViolation)
+AddViolation(AuditReport& aReport, std::string aViolation)
 {
-  if (aReport.violations_.size() < kMostViolations) {
+  if (aReport.violations_.size() < kMaxViolations) {
     aReport.violations_.push_back(std::move(aViolation));
   }
 }
@@ -29,10 +29,10 @@
       const auto from = std::max(left.from_, right.from_);
       const auto until = std::min(left.until_, right.until_);
       if (from < until && ShareHash(left.ranges_, right.ranges_)) {
-        Note(aReport,
-             "one-owner: " + aLeft.server_ + " and " + aRight.server_ +
-               " owned the same keys for " + std::to_string((until - from).count()) + " us from " +
-               std::to_string(from.count()));
+        AddViolation(aReport,
+                     "one-owner: " + aLeft.server_ + " and " + aRight.server_ +
+                       " owned the same keys for " + std::to_string((until - from).count()) +
+                       " us from " + std::to_string(from.count()));
       }
     }
   }
@@ -63,9 +63,9 @@
       const auto& before = list[index - 1];
       const auto& after = list[index];
       if (before.server_ != after.server_ && after.from_ < before.until_) {
-        Note(aReport,
-             "one-owner: " + before.server_->server_ + " and " + after.server_->server_ +
-               " ran work for one key at the same time, hash " + std::to_string(hash));
+        AddViolation(aReport,
+                     "one-owner: " + before.server_->server_ + " and " + after.server_->server_ +
+                       " ran work for one key at the same time, hash " + std::to_string(hash));
       }
     }
   }
@@ -78,10 +78,10 @@
   for (const auto& server : aServers) {
     services[server.service_].push_back(&server);
     aReport.executions_ += server.executions_.size();
-    if (server.mostRunning_ > server.slots_) {
-      Note(aReport,
-           "slots: " + server.server_ + " ran " + std::to_string(server.mostRunning_) +
-             " at once with " + std::to_string(server.slots_) + " slots");
+    if (server.maxRunning_ > server.slots_) {
+      AddViolation(aReport,
+                   "slots: " + server.server_ + " ran " + std::to_string(server.maxRunning_) +
+                     " at once with " + std::to_string(server.slots_) + " slots");
     }
   }
   for (const auto& [service, servers] : services) {
@@ -106,7 +106,7 @@
                          { "repeatable", aRecord.isRepeatable_ },
                          { "outcome", kRequestOutcomeNames.NameOf(aRecord.outcome_) },
                          { "reason", kReasonNames.NameOf(aRecord.reason_) },
-                         { "own", aRecord.isOwnAnswer_ },
+                         { "own", aRecord.isMatchingAnswer_ },
                          { "started", std::to_string(aRecord.startedAt_.count()) },
                          { "ended", std::to_string(aRecord.endedAt_.count()) } });
 }
@@ -128,7 +128,7 @@
     BOOST_OUTCOME_TRY(record.isRepeatable_, reader.FlagOr("repeatable", false));
     BOOST_OUTCOME_TRY(const auto outcome, reader.Text("outcome"));
     BOOST_OUTCOME_TRY(const auto reason, reader.Text("reason"));
-    BOOST_OUTCOME_TRY(record.isOwnAnswer_, reader.FlagOr("own", true));
+    BOOST_OUTCOME_TRY(record.isMatchingAnswer_, reader.FlagOr("own", true));
     BOOST_OUTCOME_TRY(const auto started, reader.Text("started"));
     BOOST_OUTCOME_TRY(const auto ended, reader.Text("ended"));
     const auto known = kRequestOutcomeNames.ValueOf(outcome);
@@ -163,23 +163,24 @@
     const auto found = executions.find(caller.requestId_);
     const std::size_t count = found == executions.end() ? 0 : found->second;
     if (!caller.isRepeatable_ && count > 1) {
-      Note(report,
-           "at-most-once: " + caller.requestId_ + " ran " + std::to_string(count) + " times");
+      AddViolation(
+        report, "at-most-once: " + caller.requestId_ + " ran " + std::to_string(count) + " times");
     }
-    if (!caller.isOwnAnswer_) {
-      Note(report, "own-answer: " + caller.requestId_ + " got a wrong or partial answer");
+    if (!caller.isMatchingAnswer_) {
+      AddViolation(report, "own-answer: " + caller.requestId_ + " got a wrong or partial answer");
     }
     switch (caller.outcome_) {
       case RequestOutcome::Answered:
         ++report.answered_;
         if (count == 0) {
-          Note(report, "answered: " + caller.requestId_ + " was answered but never ran");
+          AddViolation(report, "answered: " + caller.requestId_ + " was answered but never ran");
         }
         break;
       case RequestOutcome::NotRun:
         ++report.notRun_;
         if (count != 0) {
-          Note(report, "not-run: " + caller.requestId_ + " was told not to have run but ran");
+          AddViolation(report,
+                       "not-run: " + caller.requestId_ + " was told not to have run but ran");
         }
         break;
       case RequestOutcome::Unknown:
--- a/Libraries/LibStandIn/Audit.h
+++ b/Libraries/LibStandIn/Audit.h
@@ -18,7 +18,7 @@
   RequestOutcome outcome_ = RequestOutcome::Unknown;
   Reason reason_ = Reason::None;
   // Whether the answer was complete and belonged to this request.
-  bool isOwnAnswer_ = true;
+  bool isMatchingAnswer_ = true;
   Instant startedAt_{ 0 };
   Instant endedAt_{ 0 };
 };
--- a/Libraries/LibStandIn/RecordFile.cpp
+++ b/Libraries/LibStandIn/RecordFile.cpp
@@ -67,7 +67,7 @@
     BOOST_OUTCOME_TRY(auto record, ReadExecution(reader));
     BOOST_OUTCOME_TRY(const auto most, ReadNumber(reader, "most_running"));
     aRecords.executions_.push_back(std::move(record));
-    aRecords.mostRunning_ = most;
+    aRecords.maxRunning_ = most;
   } else {
     BOOST_OUTCOME_TRY(auto record, ReadOwnership(reader));
     auto& known = aRecords.ownerships_;
@@ -93,14 +93,14 @@
 }
 
 std::string
-SerializeExecution(const ExecutionRecord& aExecution, std::size_t aMostRunning)
+SerializeExecution(const ExecutionRecord& aExecution, std::size_t aMaxRunning)
 {
   boost::json::object line{ { "kind", "execution" },
                             { "hash", std::to_string(aExecution.hash_) },
                             { "fence", std::to_string(aExecution.fence_) },
                             { "started", std::to_string(aExecution.startedAt_.count()) },
                             { "ended", std::to_string(aExecution.endedAt_.count()) },
-                            { "most_running", std::to_string(aMostRunning) } };
+                            { "most_running", std::to_string(aMaxRunning) } };
   if (!aExecution.requestId_.empty()) {
     line["request"] = aExecution.requestId_;
   }
@@ -126,7 +126,7 @@
 }
 
 FieldResult<ServerRecords>
-ParseRecords(std::string_view aText)
+ParseServerRecords(std::string_view aText)
 {
   ServerRecords records;
   std::size_t start = 0;
--- a/Libraries/LibStandIn/RecordFile.h
+++ b/Libraries/LibStandIn/RecordFile.h
@@ -20,14 +20,14 @@
   bool checksOrders_ = true;
   std::vector<ExecutionRecord> executions_;
   std::vector<OwnershipRecord> ownerships_;
-  std::size_t mostRunning_ = 0;
+  std::size_t maxRunning_ = 0;
 };
 
 // The first line of the file: service, server, slots and whether the server checks grants.
 std::string
 SerializeHeader(const ServerRecords& aRecords);
 std::string
-SerializeExecution(const ExecutionRecord& aExecution, std::size_t aMostRunning);
+SerializeExecution(const ExecutionRecord& aExecution, std::size_t aMaxRunning);
 // A line with the same start time as the preceding ownership line replaces that line, so that the
 // end of a renewed or revoked grant can be corrected.
 std::string
@@ -36,6 +36,6 @@
 // Ignores a last line without a line end, which a killed server leaves. The error names the field
 // that is missing or invalid.
 FieldResult<ServerRecords>
-ParseRecords(std::string_view aText);
+ParseServerRecords(std::string_view aText);
 
 } // namespace latchslip
--- a/Libraries/LibStandIn/ServeStandIn.cpp
+++ b/Libraries/LibStandIn/ServeStandIn.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr int kExitBadSettings = 2;
-constexpr std::size_t kBodyBytes = 64UL * 1024 * 1024;
+constexpr std::size_t kMaxBodyBytes = 64UL * 1024 * 1024;
 
 } // namespace
 
@@ -20,7 +20,7 @@
              HttpHandler& aHandler)
 {
   HttpLimits limits;
-  limits.bodyBytes_ = kBodyBytes;
+  limits.bodyBytes_ = kMaxBodyBytes;
   const auto server = HttpServer::Create(aContext, aAddress, limits, aHandler);
   if (!server) {
     std::cerr << aProgram << ": " << server.error().Describe() << '\n';
--- a/Libraries/LibStandIn/ServerState.cpp
+++ b/Libraries/LibStandIn/ServerState.cpp
@@ -24,8 +24,8 @@
   const Instant until(aOrder.validUntil_);
   if (!ownerships_.empty()) {
     auto& last = ownerships_.back();
-    const bool goesOn = last.ranges_ == aOrder.ranges_ && last.until_ >= aNow;
-    if (goesOn && aOrder.validUntil_ != 0) {
+    const bool isRenewal = last.ranges_ == aOrder.ranges_ && last.until_ >= aNow;
+    if (isRenewal && aOrder.validUntil_ != 0) {
       last.until_ = std::max(last.until_, until);
       return;
     }
@@ -58,7 +58,7 @@
   reply.fence_ = fence_;
   reply.generation_ = generation_;
   for (const auto& [id, running] : running_) {
-    const bool isForeign = running.isOrphan_ || running.work_.fence_ < aOrder.fence_;
+    const bool isForeign = running.isOrphaned_ || running.work_.fence_ < aOrder.fence_;
     reply.foreignRunning_ += isForeign ? 1 : 0;
     reply.releasedRunning_ += CoversHash(aOrder.ranges_, running.work_.hash_) ? 0 : 1;
   }
@@ -71,25 +71,25 @@
   return !checksOrders_ || (aNow.count() < validUntil_ && CoversHash(ranges_, aHash));
 }
 
-StartVerdict
+StartResult
 ServerState::OnWork(Instant aNow, const ServerWork& aWork)
 {
   if (checksOrders_ && (aWork.fence_ != fence_ || !Owns(aNow, aWork.hash_))) {
-    return StartVerdict::Refused;
+    return StartResult::Refused;
   }
   if (aWork.validUntil_ != 0 && aNow.count() >= aWork.validUntil_) {
-    return StartVerdict::Expired;
+    return StartResult::Expired;
   }
   if (running_.size() >= slots_) {
     ++slotsExceeded_;
-    return StartVerdict::Shed;
+    return StartResult::Shed;
   }
   if (leavingSince_ != Instant{ 0 } && aNow - leavingSince_ > kLeavingGrace) {
     ++startedWhileLeaving_;
   }
   running_[aWork.id_] = { aWork, aNow };
-  mostRunning_ = std::max(mostRunning_, running_.size());
-  return StartVerdict::Started;
+  maxRunning_ = std::max(maxRunning_, running_.size());
+  return StartResult::Started;
 }
 
 bool
@@ -121,11 +121,11 @@
 }
 
 void
-ServerState::Orphan(std::uint64_t aId)
+ServerState::MarkOrphaned(std::uint64_t aId)
 {
   const auto found = running_.find(aId);
   if (found != running_.end()) {
-    found->second.isOrphan_ = true;
+    found->second.isOrphaned_ = true;
   }
 }
 
--- a/Libraries/LibStandIn/ServerState.h
+++ b/Libraries/LibStandIn/ServerState.h
@@ -42,7 +42,7 @@
   std::int64_t validUntil_ = 0;
 };
 
-enum class StartVerdict
+enum class StartResult
 {
   Started,
   // The key isn't covered by the server's current grant, or the fence is not the current one.
@@ -65,19 +65,19 @@
   // for another boot of the server. The reply counts running work that is orphaned or has an older
   // fence (foreign), and running work for keys outside the new ranges (released).
   GrantReply OnGrant(Instant aNow, const GrantOrder& aOrder);
-  StartVerdict OnWork(Instant aNow, const ServerWork& aWork);
+  StartResult OnWork(Instant aNow, const ServerWork& aWork);
   // Completes the work and records its execution. False if the work isn't running, or if the server
   // no longer owns the key and therefore drops the work without effect.
   bool Finish(Instant aNow, std::uint64_t aId);
   // Cancels running work without effect. False if it isn't running.
   bool Cancel(std::uint64_t aId);
   // The client of this work disconnected; the work continues and keeps its slot.
-  void Orphan(std::uint64_t aId);
+  void MarkOrphaned(std::uint64_t aId);
 
   bool Owns(Instant aNow, KeyHash aHash) const;
   void SetLeaving(Instant aNow) { leavingSince_ = aNow; }
   std::size_t Running() const { return running_.size(); }
-  std::size_t MostRunning() const { return mostRunning_; }
+  std::size_t MaxRunning() const { return maxRunning_; }
   // Number of requests that arrived while all slots were in use.
   std::uint64_t SlotsExceeded() const { return slotsExceeded_; }
   std::uint64_t StartedWhileLeaving() const { return startedWhileLeaving_; }
@@ -90,7 +90,7 @@
   {
     ServerWork work_;
     Instant startedAt_{ 0 };
-    bool isOrphan_ = false;
+    bool isOrphaned_ = false;
   };
 
   void RecordOwnership(Instant aNow, const GrantOrder& aOrder);
@@ -103,7 +103,7 @@
   std::int64_t validUntil_ = 0;
   std::vector<HashRange> ranges_;
   Instant leavingSince_{ 0 };
-  std::size_t mostRunning_ = 0;
+  std::size_t maxRunning_ = 0;
   std::uint64_t slotsExceeded_ = 0;
   std::uint64_t startedWhileLeaving_ = 0;
   std::map<std::uint64_t, RunningWork> running_;
--- a/Services/StandInPlatform/main.cpp
+++ b/Services/StandInPlatform/main.cpp
@@ -50,12 +50,12 @@
                                   ",\"rows\":" + std::to_string(table_.Rows().size()) + "}"));
     } else if (route == "GET /v1/instances") {
       aRespond(MakeHttpResponse(200, SerializeInstanceList(list_)));
-    } else if (hangs_) {
-      hanging_.push_back(std::move(aRespond));
-    } else if (isOut_) {
+    } else if (isHanging_) {
+      hangingRequests_.push_back(std::move(aRespond));
+    } else if (isUnavailable_) {
       aRespond(MakeHttpResponse(503, R"({"error":"outage"})"));
     } else {
-      After(delay_, [this, route, aRequest, respond = std::move(aRespond)] {
+      RunAfter(delay_, [this, route, aRequest, respond = std::move(aRespond)] {
         Serve(route, *aRequest.body_, respond);
       });
     }
@@ -65,7 +65,7 @@
 
 private:
   // Runs an action after a delay, or at once if the delay is 0.
-  void After(Duration aDelay, std::function<void()> aAction)
+  void RunAfter(Duration aDelay, std::function<void()> aAction)
   {
     if (aDelay == Duration{ 0 }) {
       aAction();
@@ -112,15 +112,15 @@
     BOOST_OUTCOME_TRY(const auto value, ParseJson(aBody, "fault"));
     BOOST_OUTCOME_TRY(const auto reader, JsonReader::Create(value, ""));
     BOOST_OUTCOME_TRY(reader.AllowOnly({ "outage", "hang", "delay_ms", "lose_answers" }));
-    BOOST_OUTCOME_TRY(isOut_, reader.FlagOr("outage", isOut_));
-    BOOST_OUTCOME_TRY(hangs_, reader.FlagOr("hang", hangs_));
+    BOOST_OUTCOME_TRY(isUnavailable_, reader.FlagOr("outage", isUnavailable_));
+    BOOST_OUTCOME_TRY(isHanging_, reader.FlagOr("hang", isHanging_));
     const auto known = static_cast<double>(delay_.count()) / 1000;
     BOOST_OUTCOME_TRY(const auto delay, reader.NumberOr("delay_ms", known, 0, 600000));
     BOOST_OUTCOME_TRY(const auto lose, reader.NumberOr("lose_answers", answersToLose_, 0, 1e6));
     delay_ = Duration(static_cast<std::int64_t>(delay * 1000));
     answersToLose_ = static_cast<int>(lose);
-    if (!hangs_) {
-      hanging_.clear();
+    if (!isHanging_) {
+      hangingRequests_.clear();
     }
     return outcome::success();
   }
@@ -143,7 +143,7 @@
       return FieldError{ "state", "must be live, leaving or gone" };
     }
     const Duration lag = milliseconds(absl::GetFlag(FLAGS_list_lag_ms));
-    After(lag, [this, name, state, address, hall] {
+    RunAfter(lag, [this, name, state, address, hall] {
       std::erase_if(list_, [&](const auto& aListed) {
         return aListed.name_ == name && (state == "gone" || !address.empty());
       });
@@ -166,11 +166,11 @@
   boost::asio::io_context& context_;
   std::vector<ListedInstance> list_;
   TableState table_;
-  bool isOut_ = false;
-  bool hangs_ = false;
+  bool isUnavailable_ = false;
+  bool isHanging_ = false;
   Duration delay_{ 0 };
   int answersToLose_ = 0;
-  std::vector<HttpResponder> hanging_;
+  std::vector<HttpResponder> hangingRequests_;
 };
 
 FieldResult<std::vector<ListedInstance>>
@@ -178,13 +178,13 @@
 {
   std::vector<ListedInstance> list;
   for (const auto entry : absl::StrSplit(aText, ',', absl::SkipEmpty())) {
-    const std::vector<std::string> named = absl::StrSplit(entry, '=');
+    const std::vector<std::string> parts = absl::StrSplit(entry, '=');
     const std::vector<std::string> placed =
-      named.size() == 2 ? absl::StrSplit(named[1], '@') : std::vector<std::string>{};
+      parts.size() == 2 ? absl::StrSplit(parts[1], '@') : std::vector<std::string>{};
     if (placed.size() != 2) {
       return FieldError{ "--instances", "has an entry that is not name=peer-address@hall" };
     }
-    list.push_back({ named[0], placed[0], placed[1], false });
+    list.push_back({ parts[0], placed[0], placed[1], false });
   }
   return list;
 }
--- a/Services/StandInServer/main.cpp
+++ b/Services/StandInServer/main.cpp
@@ -27,7 +27,7 @@
 
 namespace {
 
-constexpr int kColdFactor = 3;
+constexpr int kColdStartFactor = 3;
 
 Instant
 Now()
@@ -74,7 +74,7 @@
       state_.SetLeaving(Now());
       aRespond(MakeHttpResponse(200, "{}"));
     } else if (verb == "health") {
-      aRespond(MakeHttpResponse(200, "{\"running\":" + std::to_string(LaggingRunning()) + "}"));
+      aRespond(MakeHttpResponse(200, "{\"running\":" + std::to_string(SampledRunning()) + "}"));
     } else {
       aRespond(MakeHttpResponse(404, "{}"));
     }
@@ -85,7 +85,7 @@
   {
     const auto found = workOfRequest_.find(aId);
     if (found != workOfRequest_.end()) {
-      state_.Orphan(found->second);
+      state_.MarkOrphaned(found->second);
     }
   }
 
@@ -117,11 +117,11 @@
     aRespond(MakeHttpResponse(200, SerializeGrantReply(reply)));
   }
 
-  static HttpResponse NotRun(const ServerWork& aWork, std::string_view aWhy, unsigned aStatus)
+  static HttpResponse NotRun(const ServerWork& aWork, std::string_view aReason, unsigned aStatus)
   {
     auto response = MakeHttpResponse(aStatus, "{}");
     response.headers_.emplace_back(kWorkHeader, std::to_string(aWork.id_));
-    response.headers_.emplace_back(kNotRunHeader, aWhy);
+    response.headers_.emplace_back(kNotRunHeader, aReason);
     response.headers_.emplace_back(kRetryAfterHeader, "50");
     return response;
   }
@@ -142,20 +142,20 @@
     // Each instance numbers its work from 1; the fence in the upper bits makes the id unique on
     // this server.
     work.id_ += work.fence_ << 40U;
-    const auto plainId = ParseNumber(aRequest.Header(kWorkHeader), aRequestNumber);
-    auto named = work;
-    named.id_ = plainId;
+    const auto workId = ParseNumber(aRequest.Header(kWorkHeader), aRequestNumber);
+    auto clientWork = work;
+    clientWork.id_ = workId;
     switch (state_.OnWork(Now(), work)) {
-      case StartVerdict::Refused:
-        aRespond(NotRun(named, "refused", 409));
+      case StartResult::Refused:
+        aRespond(NotRun(clientWork, "refused", 409));
         return;
-      case StartVerdict::Shed:
-        aRespond(NotRun(named, "shed", 503));
+      case StartResult::Shed:
+        aRespond(NotRun(clientWork, "shed", 503));
         return;
-      case StartVerdict::Expired:
-        aRespond(NotRun(named, "expired", 408));
+      case StartResult::Expired:
+        aRespond(NotRun(clientWork, "expired", 408));
         return;
-      case StartVerdict::Started:
+      case StartResult::Started:
         break;
     }
     const auto content = "key=" + aKey + " request=" + work.requestId_ +
@@ -164,9 +164,9 @@
     auto timer = std::make_shared<boost::asio::steady_timer>(context_, ServiceTime());
     running_[work.id_] = { timer, std::move(aRespond), aRequestNumber };
     workOfRequest_[aRequestNumber] = work.id_;
-    timer->async_wait([this, work, named, content](boost::system::error_code aError) {
+    timer->async_wait([this, work, clientWork, content](boost::system::error_code aError) {
       if (!aError) {
-        End(work, named, content);
+        OnWorkDone(work, clientWork, content);
       }
     });
   }
@@ -175,35 +175,37 @@
   {
     const Duration usual(absl::GetFlag(FLAGS_service_time_us));
     const bool isCold = Now() - startedAt_ < milliseconds(absl::GetFlag(FLAGS_cold_start_ms));
-    return isCold ? usual * kColdFactor : usual;
+    return isCold ? usual * kColdStartFactor : usual;
   }
 
-  void End(const ServerWork& aWork, const ServerWork& aNamed, const std::string& aContent)
+  void OnWorkDone(const ServerWork& aWork,
+                  const ServerWork& aClientWork,
+                  const std::string& aContent)
   {
     const auto running = std::move(running_.at(aWork.id_));
     running_.erase(aWork.id_);
     workOfRequest_.erase(running.request_);
     if (!state_.Finish(Now(), aWork.id_)) {
-      running.respond_(NotRun(aNamed, "refused", 409));
+      running.respond_(NotRun(aClientWork, "refused", 409));
       return;
     }
-    records_ << SerializeExecution(state_.Executions().back(), state_.MostRunning()) << std::endl;
+    records_ << SerializeExecution(state_.Executions().back(), state_.MaxRunning()) << std::endl;
     auto response = MakeHttpResponse(200, aContent + filler_);
     response.contentType_ = "text/plain";
-    response.headers_.emplace_back(kWorkHeader, std::to_string(aNamed.id_));
+    response.headers_.emplace_back(kWorkHeader, std::to_string(aClientWork.id_));
     running.respond_(std::move(response));
   }
 
-  void Cancel(std::uint64_t aPlainId, const HttpResponder& aRespond)
+  void Cancel(std::uint64_t aWorkId, const HttpResponder& aRespond)
   {
     for (auto entry = running_.begin(); entry != running_.end(); ++entry) {
-      if ((entry->first & ((1ULL << 40U) - 1)) != aPlainId || !state_.Cancel(entry->first)) {
+      if ((entry->first & ((1ULL << 40U) - 1)) != aWorkId || !state_.Cancel(entry->first)) {
         continue;
       }
       entry->second.timer_->cancel();
-      ServerWork named;
-      named.id_ = aPlainId;
-      entry->second.respond_(NotRun(named, "cancelled", 409));
+      ServerWork clientWork;
+      clientWork.id_ = aWorkId;
+      entry->second.respond_(NotRun(clientWork, "cancelled", 409));
       workOfRequest_.erase(entry->second.request_);
       running_.erase(entry);
       break;
@@ -212,10 +214,10 @@
   }
 
   // Number of running requests for the health page, sampled once per health_lag_ms.
-  std::size_t LaggingRunning()
+  std::size_t SampledRunning()
   {
-    if (Now() - healthAt_ > milliseconds(absl::GetFlag(FLAGS_health_lag_ms))) {
-      healthAt_ = Now();
+    if (Now() - healthSampledAt_ > milliseconds(absl::GetFlag(FLAGS_health_lag_ms))) {
+      healthSampledAt_ = Now();
       healthRunning_ = state_.Running();
     }
     return healthRunning_;
@@ -228,7 +230,7 @@
   std::ofstream records_;
   std::map<std::uint64_t, Running> running_;
   std::map<std::uint64_t, std::uint64_t> workOfRequest_;
-  Instant healthAt_{ 0 };
+  Instant healthSampledAt_{ 0 };
   std::size_t healthRunning_ = 0;
 };
 
--- a/Tests/LatchslipLoad/TestLoadRun.cpp
+++ b/Tests/LatchslipLoad/TestLoadRun.cpp
@@ -69,7 +69,7 @@
   LoadSettings settings_;
 };
 
-TEST_F(LoadOnFourTargets, OneListensNoMore_EveryRequestMeetsAnother)
+TEST_F(LoadOnFourTargets, OneTargetRefusesConnections_RequestsAreSentToTheOthers)
 {
   boost::asio::io_context context(1);
   const auto records = RunLoad(context, settings_);
--- a/Tests/LibInstance/TestInstanceCore.cpp
+++ b/Tests/LibInstance/TestInstanceCore.cpp
@@ -1,5 +1,5 @@
 #include "LibInstance/InstanceCore.h"
-#include "LibScenario/World.h"
+#include "LibScenario/SimulatedFleet.h"
 
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
@@ -31,7 +31,9 @@
     EXPECT_TRUE(world_.Start());
   }
 
-  void SendAndExpect(const World::LoadSettings& aHow, RequestOutcome aOutcome, Reason aReason)
+  void SendAndExpect(const SimulatedFleet::LoadSettings& aHow,
+                     RequestOutcome aOutcome,
+                     Reason aReason)
   {
     const auto id = "x" + std::to_string(++last_);
     world_.Send(id, "i2", aHow, "key");
@@ -40,8 +42,8 @@
     EXPECT_EQ(world_.ReasonOf(id), aReason);
   }
 
-  World world_;
-  World::LoadSettings how_{ "web", "rates", 0, 1, true, seconds(1), 0 };
+  SimulatedFleet world_;
+  SimulatedFleet::LoadSettings how_{ "web", "rates", 0, 1, true, seconds(1), 0 };
   int last_ = 0;
 };
 
--- a/Utilities/LatchslipLoad/LoadRun.cpp
+++ b/Utilities/LatchslipLoad/LoadRun.cpp
@@ -21,15 +21,15 @@
   return duration_cast<Duration>(std::chrono::steady_clock::now().time_since_epoch());
 }
 
-class Load
+class LoadGenerator
 {
 public:
-  Load(boost::asio::io_context& aContext, const LoadSettings& aSettings)
+  LoadGenerator(boost::asio::io_context& aContext, const LoadSettings& aSettings)
     : context_(aContext)
     , settings_(aSettings)
     , client_(HttpClient::Create(aContext, kConnectionsPerTarget))
     , random_(std::seed_seq{ aSettings.seed_ })
-    , pace_(aContext)
+    , paceTimer_(aContext)
   {
   }
 
@@ -37,10 +37,10 @@
   {
     startedAt_ = Now();
     if (settings_.rate_ > 0) {
-      Pace();
+      SendDueRequests();
     } else {
       for (std::size_t worker = 0; worker < settings_.workers_; ++worker) {
-        SendNext([this] { Continue(); });
+        SendNext([this] { RunWorker(); });
       }
     }
     for (std::size_t probe = 0; probe < settings_.probeKeys_; ++probe) {
@@ -52,7 +52,7 @@
 
 private:
   // Sends all requests that are due by now, so that a stall of the process doesn't lower the rate.
-  void Pace()
+  void SendDueRequests()
   {
     const auto elapsed = std::chrono::duration<double>(Now() - startedAt_).count();
     const auto due = static_cast<std::size_t>(elapsed * settings_.rate_);
@@ -62,13 +62,13 @@
     if (sent_ >= settings_.requests_) {
       return;
     }
-    pace_.expires_after(milliseconds(1));
-    pace_.async_wait([this](boost::system::error_code) { Pace(); });
+    paceTimer_.expires_after(milliseconds(1));
+    paceTimer_.async_wait([this](boost::system::error_code) { SendDueRequests(); });
   }
 
-  void Continue()
+  void RunWorker()
   {
-    SendNext([this] { Continue(); });
+    SendNext([this] { RunWorker(); });
   }
 
   void SendNext(std::function<void()> aDone)
@@ -83,11 +83,11 @@
     Send(stream, key, settings_.prefix_ + std::to_string(number), std::move(aDone));
   }
 
-  bool IsOver() const { return sent_ >= settings_.requests_; }
+  bool IsFinished() const { return sent_ >= settings_.requests_; }
 
   void Probe(std::size_t aProbe)
   {
-    if (IsOver()) {
+    if (IsFinished()) {
       return;
     }
     const auto& stream = settings_.streams_[aProbe % settings_.streams_.size()];
@@ -156,7 +156,7 @@
   struct TargetChoice
   {
     std::size_t index_;
-    std::size_t left_;
+    std::size_t remaining_;
   };
 
   // Simulates the platform's load balancer: if a target refuses the connection, no byte was sent
@@ -167,24 +167,28 @@
               TargetChoice aTarget,
               std::function<void()> aDone)
   {
-    client_->Send(
-      settings_.targets_[aTarget.index_],
-      aRequest,
-      settings_.deadline_ + kTimeoutSlack,
-      [this, aRequest, aRecord, aExpected, aTarget, done = std::move(aDone)](
-        const HttpExchange& aExchange) mutable {
-        if (aExchange.end_ == ExchangeEnd::NotSent && aTarget.left_ > 1) {
-          const auto next = (aTarget.index_ + 1) % settings_.targets_.size();
-          SendTo(
-            std::move(aRequest), aRecord, aExpected, { next, aTarget.left_ - 1 }, std::move(done));
-          return;
-        }
-        Keep(aRecord, aExpected, aExchange);
-        done();
-      });
+    client_->Send(settings_.targets_[aTarget.index_],
+                  aRequest,
+                  settings_.deadline_ + kTimeoutSlack,
+                  [this, aRequest, aRecord, aExpected, aTarget, done = std::move(aDone)](
+                    const HttpExchange& aExchange) mutable {
+                    if (aExchange.end_ == ExchangeEnd::NotSent && aTarget.remaining_ > 1) {
+                      const auto next = (aTarget.index_ + 1) % settings_.targets_.size();
+                      SendTo(std::move(aRequest),
+                             aRecord,
+                             aExpected,
+                             { next, aTarget.remaining_ - 1 },
+                             std::move(done));
+                      return;
+                    }
+                    RecordResult(aRecord, aExpected, aExchange);
+                    done();
+                  });
   }
 
-  void Keep(CallerRecord aRecord, const std::string& aExpected, const HttpExchange& aExchange)
+  void RecordResult(CallerRecord aRecord,
+                    const std::string& aExpected,
+                    const HttpExchange& aExchange)
   {
     aRecord.endedAt_ = Now();
     const auto& response = aExchange.response_;
@@ -201,7 +205,7 @@
     }
     aRecord.reason_ = kReasonNames.ValueOf(response.Header(kReasonHeader)).value_or(Reason::None);
     if (aRecord.outcome_ == RequestOutcome::Answered) {
-      aRecord.isOwnAnswer_ = response.body_ && response.body_->starts_with(aExpected);
+      aRecord.isMatchingAnswer_ = response.body_ && response.body_->starts_with(aExpected);
     }
     records_.push_back(std::move(aRecord));
   }
@@ -210,7 +214,7 @@
   const LoadSettings& settings_;
   std::unique_ptr<HttpClient> client_;
   absl::BitGen random_;
-  boost::asio::steady_timer pace_;
+  boost::asio::steady_timer paceTimer_;
   Instant startedAt_{ 0 };
   std::size_t sent_ = 0;
   std::size_t probes_ = 0;
@@ -223,7 +227,7 @@
 std::vector<CallerRecord>
 RunLoad(boost::asio::io_context& aContext, const LoadSettings& aSettings)
 {
-  return Load(aContext, aSettings).Run();
+  return LoadGenerator(aContext, aSettings).Run();
 }
 
 } // namespace latchslip
--- a/Utilities/LatchslipLoad/main.cpp
+++ b/Utilities/LatchslipLoad/main.cpp
@@ -34,7 +34,7 @@
 namespace {
 
 constexpr int kExitUsage = 2;
-constexpr int kExitBroken = 1;
+constexpr int kExitViolation = 1;
 
 std::string
 ReadAll(const std::filesystem::path& aPath)
@@ -160,7 +160,7 @@
     }
   }
   for (const auto& path : paths) {
-    auto records = ParseRecords(ReadAll(path));
+    auto records = ParseServerRecords(ReadAll(path));
     if (!records) {
       std::cerr << "latchslip-load: " << path << ": " << records.error().Describe() << '\n';
       return kExitUsage;
@@ -182,7 +182,7 @@
   }
   std::cout << (report.violations_.empty() ? "all checked invariants hold\n"
                                            : "an invariant is violated\n");
-  return report.violations_.empty() ? 0 : kExitBroken;
+  return report.violations_.empty() ? 0 : kExitViolation;
 }
 
 } // namespace
