--- a/Libraries/LibScenario/Invariants.cpp
+++ b/Libraries/LibScenario/Invariants.cpp
@@ -87,7 +87,7 @@
   // Callers may send one id several times. The "not run" answers can all be true as long as there
   // are no more executions than sends without such an answer.
   if (aRequest.executed_ > aRequest.sent_ - aRequest.notRun_) {
-    AddViolation(aNow, "not-run: " + aRequestId + " ran though its caller was told it had not");
+    AddViolation(aNow, "not-run: " + aRequestId + " ran although it was answered as not run");
   }
 }
 
--- a/Libraries/LibScenario/SimulatedFleet.h
+++ b/Libraries/LibScenario/SimulatedFleet.h
@@ -64,7 +64,9 @@
   SimulatedFleet(const SimulatedFleet&) = delete;
   SimulatedFleet& operator=(const SimulatedFleet&) = delete;
 
+  // Adds an instance, in the halls in turn; call before Start.
   void AddInstance(const std::string& aName);
+  // Adds a service with servers NAME-1, NAME-2 and so on, in the halls in turn; call before Start.
   void AddService(const ServiceSettings& aSettings);
   void AddIntent(const SharingIntent& aIntent) { declaration_.intents_.push_back(aIntent); }
   void SetProfile(PlacementProfile aProfile) { declaration_.profile_ = aProfile; }
@@ -72,18 +74,23 @@
   // up has a grant. False if that takes more than 20 simulated seconds.
   bool Start();
 
+  // Runs the simulation for this long. Every 10 ms it sends the load that is due, runs the due
+  // events and ticks all instances that are not frozen.
   void Advance(Duration aSpan);
   Instant Now() const { return queue_.Now(); }
 
+  // Ends an instance without a drain; its connections are reset.
   void KillInstance(const std::string& aName);
   // aSilently simulates the loss of the host: connections hang instead of being reset.
   void KillServer(const std::string& aName, bool aSilently);
   // Resets all connections to the server; its running work continues.
   void BreakConnections(const std::string& aServer);
+  // Start a new incarnation of an instance or server, and end the former one if it is up.
   void RestartInstance(const std::string& aName);
   void RestartServer(const std::string& aName);
   // Makes the server shed all new work, or accept work again.
   void SetShedding(const std::string& aServer, bool aIsShedding);
+  // Pauses an instance or server, as SIGSTOP does. Messages to it are held until Thaw.
   void Freeze(const std::string& aName);
   void Thaw(const std::string& aName);
   // Partitions the network between two places. Messages are held until the partition is healed and
@@ -95,15 +102,20 @@
   void SetListLag(Duration aLag) { listLag_ = aLag; }
   // Removes an instance from the platform's list. Instances see the change after the list lag.
   void RemoveFromList(const std::string& aName);
+  // Begins a planned stop; the instance ends when it reports that it may stop.
   void DrainInstance(const std::string& aName);
 
+  // Sends requests at a constant rate until StopLoads, each through a random instance.
   void StartLoad(const LoadSettings& aSettings);
   void StopLoads() { loads_.clear(); }
+  // Sends one request through an instance; "not run" is recorded at once if the instance is down.
   void Send(const std::string& aRequestId,
             const std::string& aInstance,
             const LoadSettings& aLoad,
             const std::string& aKey);
 
+  // Requests a plan for a declaration from an instance. Confirm requests its confirmation under the
+  // same name aPlan. Both return before the answer arrives.
   void Plan(const std::string& aPlan,
             const std::string& aInstance,
             const Declaration& aDeclaration);
@@ -113,9 +125,12 @@
   const std::string& ConfirmationAnswer(const std::string& aPlan) const;
   // Time from a confirmation's request to its answer.
   Duration ConfirmationTime(const std::string& aPlan) const;
+  // The declaration that Start confirms; later changes have an effect only through Plan and
+  // Confirm.
   Declaration& DesiredDeclaration() { return declaration_; }
 
   const RequestCounts& Total() const { return counts_; }
+  // Outcome of the last answer to a request id; nullopt while there is none.
   std::optional<RequestOutcome> OutcomeOf(const std::string& aRequestId) const;
   Reason ReasonOf(const std::string& aRequestId) const;
   // The longest time between two consecutive answers for any one key of a service.
@@ -130,14 +145,17 @@
   double Imbalance(const std::string& aService) const;
   // A group's share of a service's executions since ResetMeasurements, from 0 to 1.
   double ShareOf(const std::string& aGroup, const std::string& aService) const;
+  // Whether the instance ended by a planned stop.
   bool IsStopped(const std::string& aInstance) const;
   bool IsUp(const std::string& aInstance) const;
+  // The decision code of an instance; null while it is down or if there is no such instance.
   InstanceCore* Core(const std::string& aInstance);
   const TableState& Table() const { return table_; }
   std::vector<std::string> InstanceNames() const;
   std::vector<std::string> ServerNames(const std::string& aService) const;
   const std::vector<std::string>& Violations() const { return invariants_.Violations(); }
   std::size_t EventCount(Event aEvent) const;
+  // Number of messages that instances sent to their peers.
   std::uint64_t ControlMessages() const { return controlMessages_; }
 
 private:
@@ -170,6 +188,8 @@
   // Runs an action at a place after a network delay. Messages between two places keep their order.
   // While the two are partitioned or the place is frozen, the action is held.
   void Deliver(const std::string& aFrom, const std::string& aTo, std::function<void()> aAction);
+  // Runs an action at a place now, or after Thaw if it is frozen. Drops it if the place is an
+  // instance that is down.
   void RunAtDestination(const std::string& aTo, std::function<void()> aAction);
   void ConnectPeers(SimulatedInstance& aOne);
   void CallStore(SimulatedInstance& aFrom, CallTag aTag, const StoreCall& aCall);
--- a/Libraries/LibStandIn/Audit.cpp
+++ b/Libraries/LibStandIn/Audit.cpp
@@ -179,8 +179,8 @@
       case RequestOutcome::NotRun:
         ++report.notRun_;
         if (count != 0) {
-          AddViolation(report,
-                       "not-run: " + caller.requestId_ + " was told not to have run but ran");
+          AddViolation(
+            report, "not-run: " + caller.requestId_ + " ran although it was answered as not run");
         }
         break;
       case RequestOutcome::Unknown:
--- a/Libraries/LibStandIn/ServerState.h
+++ b/Libraries/LibStandIn/ServerState.h
@@ -42,6 +42,7 @@
   std::int64_t validUntil_ = 0;
 };
 
+// Result of a request to start work on a server.
 enum class StartResult
 {
   Started,
@@ -74,12 +75,14 @@
   // The client of this work disconnected; the work continues and keeps its slot.
   void MarkOrphaned(std::uint64_t aId);
 
+  // Whether a grant that hasn't expired covers the key; always true if grants aren't checked.
   bool Owns(Instant aNow, KeyHash aHash) const;
   void SetLeaving(Instant aNow) { leavingSince_ = aNow; }
   std::size_t Running() const { return running_.size(); }
   std::size_t MaxRunning() const { return maxRunning_; }
   // Number of requests that arrived while all slots were in use.
   std::uint64_t SlotsExceeded() const { return slotsExceeded_; }
+  // Number of requests that started more than 3 s after SetLeaving.
   std::uint64_t StartedWhileLeaving() const { return startedWhileLeaving_; }
   const std::vector<ExecutionRecord>& Executions() const { return executions_; }
   // Periods of ownership so far; renewals extend the last one.
