--- a/Benchmarks/BenchDecisions.cpp
+++ b/Benchmarks/BenchDecisions.cpp
@@ -122,7 +122,7 @@
 {
   const auto count = static_cast<std::size_t>(aState.range(0));
   Membership members("instance-0#a", "hall-a", MembershipTiming{});
-  members.OnList(seconds(1), MakeList(count));
+  members.OnList(seconds(1), MakeInstanceList(count));
   for (std::size_t index = 1; index < count; ++index) {
     members.OnContact(seconds(1), "instance-" + std::to_string(index) + "#a", "hall-b", false);
   }
@@ -229,13 +229,13 @@
 };
 
 // A fleet of one instance, which is the holder of all servers and has all grants.
-class LoneFleet
+class SingleInstanceFleet
 {
 public:
-  explicit LoneFleet(std::size_t aServers)
+  explicit SingleInstanceFleet(std::size_t aServers)
     : core_("instance-0#a", "hall-c", InstanceTiming{}, outbox_, events_)
   {
-    core_.OnInstanceList(now_, MakeList(1));
+    core_.OnInstanceList(now_, MakeInstanceList(1));
     core_.Tick(now_);
     auto placement = MakePlacement(aServers, kSlicesPerServer);
     placement.placer_ = "instance-0#a";
@@ -281,7 +281,7 @@
 void
 BM_RequestDecisions(benchmark::State& aState)
 {
-  LoneFleet fleet(static_cast<std::size_t>(aState.range(0)));
+  SingleInstanceFleet fleet(static_cast<std::size_t>(aState.range(0)));
   WorkRequest request;
   request.service_ = "rates";
   request.group_ = "web";
@@ -309,7 +309,7 @@
 void
 BM_IdleTick(benchmark::State& aState)
 {
-  LoneFleet fleet(static_cast<std::size_t>(aState.range(0)));
+  SingleInstanceFleet fleet(static_cast<std::size_t>(aState.range(0)));
   for (auto _ : aState) {
     fleet.Renew();
   }
--- a/Benchmarks/BenchGateway.cpp
+++ b/Benchmarks/BenchGateway.cpp
@@ -11,13 +11,13 @@
 
 namespace {
 
-class SilentEvents : public EventSink
+class NullEvents : public EventSink
 {
 public:
   void Record(Event, std::string_view) override {}
 };
 
-class CountedActions : public RequestActions
+class CountingRequestActions : public RequestActions
 {
 public:
   void Send(const AttemptOrder& aOrder) override { last_ = aOrder.number_; }
@@ -64,8 +64,8 @@
 DecideRequests(benchmark::State& aState, bool aIsKeyed)
 {
   const auto servers = MakeServers(static_cast<std::size_t>(aState.range(0)));
-  SilentEvents events;
-  CountedActions actions;
+  NullEvents events;
+  CountingRequestActions actions;
   ServerDirectory directory;
   Instant now = seconds(100);
   for (const auto& server : servers) {
@@ -108,7 +108,7 @@
 BENCHMARK(BM_GatewayKeyedRequest)->Arg(10)->Arg(100)->Arg(1000);
 
 // Counts the permits that a dispatcher issues.
-class CountedPermits : public DispatcherActions
+class CountingDispatcherActions : public DispatcherActions
 {
 public:
   void NoteLeaving(const std::string&, std::uint64_t) override {}
@@ -125,7 +125,7 @@
 BM_PermitDispatch(benchmark::State& aState)
 {
   const auto servers = MakeServers(static_cast<std::size_t>(aState.range(0)));
-  CountedPermits actions;
+  CountingDispatcherActions actions;
   ServerDirectory directory;
   Instant now = seconds(100);
   for (const auto& server : servers) {
--- a/Benchmarks/BenchPeerTransport.cpp
+++ b/Benchmarks/BenchPeerTransport.cpp
@@ -18,7 +18,7 @@
 
 // Returns a loopback address with a port that no other listener of this process uses.
 std::string
-FreshAddress()
+NextAddress()
 {
   static int sNext = 22000 + (::getpid() * 13) % 8000;
   return "127.0.0.1:" + std::to_string(sNext++);
@@ -31,10 +31,10 @@
 }
 
 // One end of the peer connections that the instances use; echoes the body of each request.
-class FramedEnd : public PeerHandler
+class FramePeer : public PeerHandler
 {
 public:
-  FramedEnd(boost::asio::io_context& aContext,
+  FramePeer(boost::asio::io_context& aContext,
             const std::string& aName,
             const std::string& aAddress)
     : network_(
@@ -69,12 +69,12 @@
 void
 BM_TransportFramesOnAsio(benchmark::State& aState)
 {
-  const auto first = FreshAddress();
-  const auto second = FreshAddress();
+  const auto first = NextAddress();
+  const auto second = NextAddress();
   boost::asio::io_context context;
   boost::asio::io_context remoteContext;
-  FramedEnd local(context, "local", first);
-  FramedEnd remote(remoteContext, "remote", second);
+  FramePeer local(context, "local", first);
+  FramePeer remote(remoteContext, "remote", second);
   local.network_->SetPeers({ { "remote", second, "a", false } });
   remote.network_->SetPeers({ { "local", first, "a", false } });
   std::thread thread([&] {
--- a/Benchmarks/BenchPlacement.cpp
+++ b/Benchmarks/BenchPlacement.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::size_t kSlicesPerServer = 16;
 // Allowed load of the busiest server after a shift, as a multiple of the mean.
-constexpr double kWantedImbalance = 1.15;
+constexpr double kMaxImbalance = 1.15;
 
 // A service all of whose servers have grants and load reports.
 class PlacedFleet
@@ -22,7 +22,7 @@
     , placement_(MakePlacement(aServers, aSlicesPerServer))
     , placer_("rates", PlacerTiming{})
   {
-    members_.OnList(now_, MakeList(8));
+    members_.OnList(now_, MakeInstanceList(8));
     for (int index = 1; index < 8; ++index) {
       members_.OnContact(now_,
                          "instance-" + std::to_string(index) + "#0123abcd",
@@ -165,7 +165,7 @@
     const double mean = total / static_cast<double>(servers.size());
     loadNeeded = 0;
     for (const double load : servers) {
-      loadNeeded += std::max(0.0, load - mean * kWantedImbalance) / total;
+      loadNeeded += std::max(0.0, load - mean * kMaxImbalance) / total;
     }
     moves = writes = loadMoved = 0;
     for (int round = 0; round < 400; ++round) {
--- a/Benchmarks/Main.cpp
+++ b/Benchmarks/Main.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 // Prints results to the console and keeps the counters, which are then checked against the bounds.
-class KeepingReporter : public benchmark::ConsoleReporter
+class CapturingReporter : public benchmark::ConsoleReporter
 {
 public:
   void ReportRuns(const std::vector<Run>& aRuns) override
@@ -31,7 +31,7 @@
 // counters have bounds, since they are the same on every machine; times are printed but not
 // checked. Returns the exit code: 1 if a bound is violated or a counter is missing.
 int
-CheckBounds(const std::string& aPath, const KeepingReporter& aReporter)
+CheckBounds(const std::string& aPath, const CapturingReporter& aReporter)
 {
   std::ifstream file(aPath);
   std::string line;
@@ -88,7 +88,7 @@
   if (benchmark::ReportUnrecognizedArguments(count, rest.data())) {
     return 2;
   }
-  KeepingReporter reporter;
+  CapturingReporter reporter;
   benchmark::RunSpecifiedBenchmarks(&reporter);
   return bounds.empty() ? 0 : CheckBounds(bounds, reporter);
 }
--- a/Benchmarks/Samples.h
+++ b/Benchmarks/Samples.h
@@ -61,7 +61,7 @@
 }
 
 inline std::vector<ListedInstance>
-MakeList(std::size_t aCount)
+MakeInstanceList(std::size_t aCount)
 {
   std::vector<ListedInstance> list;
   for (std::size_t index = 0; index < aCount; ++index) {
