--- a/Utilities/Latchslipctl/main.cpp
+++ b/Utilities/Latchslipctl/main.cpp
@@ -30,7 +30,7 @@
 constexpr int kExitBadInput = 3;
 constexpr int kExitConflict = 4;
 constexpr int kExitUnreachable = 5;
-constexpr Duration kTimeout = seconds(15);
+constexpr Duration kRequestTimeout = seconds(15);
 
 constexpr std::string_view kUsage =
   "latchslipctl COMMAND [flags]\n"
@@ -46,7 +46,7 @@
 
 // Sends one request to the operators' listener and waits for the answer.
 HttpExchange
-Ask(const std::string& aMethod, const std::string& aTarget, const std::string& aBody)
+SendRequest(const std::string& aMethod, const std::string& aTarget, const std::string& aBody)
 {
   HttpExchange answer;
   const auto token = ReadSecret(
@@ -64,7 +64,7 @@
   request.body_ = std::make_shared<const std::string>(aBody);
   client->Send(absl::GetFlag(FLAGS_operator_address),
                std::move(request),
-               kTimeout,
+               kRequestTimeout,
                [&](HttpExchange aExchange) { answer = std::move(aExchange); });
   context.run();
   return answer;
@@ -72,7 +72,7 @@
 
 // Maps an answer to the exit code and prints the error, if any, to stderr.
 int
-Judge(const HttpExchange& aAnswer)
+ExitCodeOf(const HttpExchange& aAnswer)
 {
   if (aAnswer.end_ != ExchangeEnd::Complete) {
     std::cerr << "latchslipctl: " << absl::GetFlag(FLAGS_operator_address)
@@ -160,8 +160,8 @@
   if (!text) {
     return kExitBadInput;
   }
-  const auto answer = Ask("POST", "/v1/plan", *text);
-  const auto code = Judge(answer);
+  const auto answer = SendRequest("POST", "/v1/plan", *text);
+  const auto code = ExitCodeOf(answer);
   return code == kExitDone ? PrintPlan(*answer.response_.body_) : code;
 }
 
@@ -180,8 +180,8 @@
 int
 Confirm(const std::string& aPlan)
 {
-  const auto answer = Ask("POST", "/v1/confirm", aPlan);
-  const auto code = Judge(answer);
+  const auto answer = SendRequest("POST", "/v1/confirm", aPlan);
+  const auto code = ExitCodeOf(answer);
   if (code != kExitDone) {
     return code;
   }
@@ -201,8 +201,8 @@
 int
 Print(const std::string& aMethod, const std::string& aTarget)
 {
-  const auto answer = Ask(aMethod, aTarget, "");
-  const auto code = Judge(answer);
+  const auto answer = SendRequest(aMethod, aTarget, "");
+  const auto code = ExitCodeOf(answer);
   if (code == kExitDone) {
     std::cout << *answer.response_.body_ << '\n';
   }
@@ -212,8 +212,8 @@
 int
 PrintStatus()
 {
-  const auto answer = Ask("GET", "/v1/status", "");
-  const auto code = Judge(answer);
+  const auto answer = SendRequest("GET", "/v1/status", "");
+  const auto code = ExitCodeOf(answer);
   if (code != kExitDone || absl::GetFlag(FLAGS_json)) {
     if (code == kExitDone) {
       std::cout << *answer.response_.body_ << '\n';
@@ -251,12 +251,12 @@
 int
 DrainServer(const std::string& aService, const std::string& aServer)
 {
-  const auto standing = Ask("GET", "/v1/declaration", "");
-  const auto code = Judge(standing);
+  const auto current = SendRequest("GET", "/v1/declaration", "");
+  const auto code = ExitCodeOf(current);
   if (code != kExitDone) {
     return code;
   }
-  auto declaration = ParseDeclaration(*standing.response_.body_);
+  auto declaration = ParseDeclaration(*current.response_.body_);
   if (!declaration) {
     std::cerr << "latchslipctl: " << declaration.error().Describe() << '\n';
     return kExitBadInput;
@@ -275,9 +275,9 @@
               << '\n';
     return kExitBadInput;
   }
-  const auto plan = Ask("POST", "/v1/plan", SerializeDeclaration(declaration.value()));
-  const auto planned = Judge(plan);
-  return planned == kExitDone ? Confirm(*plan.response_.body_) : planned;
+  const auto plan = SendRequest("POST", "/v1/plan", SerializeDeclaration(declaration.value()));
+  const auto planCode = ExitCodeOf(plan);
+  return planCode == kExitDone ? Confirm(*plan.response_.body_) : planCode;
 }
 
 int
