--- a/Meta/fleet.sh
+++ b/Meta/fleet.sh
@@ -26,7 +26,7 @@
   kill -"$2" "${fleet_pid[$1]}"
 }
 
-fleet_forget() { # NAME: reaps a process that was killed or has left
+fleet_reap() { # NAME: reaps a process that was killed or has left
   wait "${fleet_pid[$1]}" 2>/dev/null || true
   unset "fleet_pid[$1]"
 }
--- a/Meta/process-tests.sh
+++ b/Meta/process-tests.sh
@@ -21,15 +21,15 @@
   for number in 5 6 7; do fleet_start_server "$number" bookings; done
   for number in $(seq 1 "$instances"); do fleet_start_instance "$number"; done
   fleet_await 30 fleet_ctl 1 status
-  fleet_await 30 fleet_sees_all
+  fleet_await 30 all_instances_are_listed
   fleet_write_intents "$fleet_dir/intents.json" "rates:1:4:$1" bookings:5:7:true
   fleet_ctl 1 plan "$fleet_dir/intents.json" --out="$fleet_dir/plan.json" >/dev/null
   fleet_ctl 1 confirm "$fleet_dir/plan.json"
   fleet_await 30 fleet_is_placed 1 7
-  fleet_await 30 answers_once
+  fleet_await 30 requests_are_answered
 }
 
-fleet_sees_all() {
+all_instances_are_listed() {
   local number
   for number in $(seq 1 "$instances"); do
     [ "$(fleet_ctl "$number" status | grep -c '^  instance ')" -eq "$instances" ] || return 1
@@ -37,7 +37,7 @@
 }
 
 # Sends 40 requests and succeeds if all of them are answered.
-answers_once() {
+requests_are_answered() {
   "$load" send --targets="$(fleet_caller_targets "$instances")" --requests=40 --workers=4 \
     --streams=rates:booking-sites:repeatable --prefix="try-$RANDOM-" \
     --results="$fleet_dir/try.results" >/dev/null
@@ -67,12 +67,12 @@
     start_load 4000 500
     sleep 2
     fleet_signal instance-2 KILL
-    fleet_forget instance-2
+    fleet_reap instance-2
     sleep 2
     fleet_signal server-2 KILL
-    fleet_forget server-2
+    fleet_reap server-2
     audit
-    fleet_await 30 answers_once
+    fleet_await 30 requests_are_answered
     ;;
   stopped-longer-than-a-lease)
     start_fleet true
@@ -85,21 +85,21 @@
     sleep 2
     fleet_signal server-1 CONT
     audit
-    fleet_await 30 answers_once
+    fleet_await 30 requests_are_answered
     ;;
   unchecked-servers)
     start_fleet false
     start_load 4000 500
     sleep 1
     fleet_signal instance-2 KILL
-    fleet_forget instance-2
+    fleet_reap instance-2
     fleet_admin /admin/instances '{"name":"instance-2","state":"gone"}'
     sleep 3
     fleet_signal server-2 STOP
     sleep 2
     fleet_signal server-2 CONT
     audit
-    fleet_await 30 answers_once
+    fleet_await 30 requests_are_answered
     ;;
   store-outage-of-a-minute)
     start_fleet true
@@ -111,7 +111,7 @@
     audit
     # Repeatable requests do not need the store, so all of them were answered.
     [ "$(grep '"repeatable":true' "$fleet_dir/callers.results" | grep -vc '"outcome":"answered"' || true)" -eq 0 ]
-    fleet_await 30 answers_once
+    fleet_await 30 requests_are_answered
     ;;
   lost-answers)
     start_fleet true
@@ -119,12 +119,12 @@
     sleep 1
     fleet_admin /admin/fault '{"lose_answers":10}'
     fleet_signal server-3 KILL
-    fleet_forget server-3
+    fleet_reap server-3
     sleep 2
     fleet_admin /admin/fault '{"lose_answers":10}'
     audit
     fleet_admin /admin/fault '{"lose_answers":0}'
-    fleet_await 30 answers_once
+    fleet_await 30 requests_are_answered
     ;;
   two-operators)
     start_fleet true
@@ -170,11 +170,11 @@
     start_fleet true
     for number in $(seq 1 "$instances"); do
       fleet_signal "instance-$number" KILL
-      fleet_forget "instance-$number"
+      fleet_reap "instance-$number"
     done
     for number in $(seq 1 "$instances"); do fleet_start_instance "$number"; done
     fleet_await 30 fleet_is_placed 1 7
-    fleet_await 30 answers_once
+    fleet_await 30 requests_are_answered
     fleet_ctl 3 status | grep -q "revision 1"
     start_load 500 500
     audit
--- a/Meta/run-main.sh
+++ b/Meta/run-main.sh
@@ -31,10 +31,10 @@
 load_pid=$!
 sleep 3
 fleet_signal instance-5 KILL
-fleet_forget instance-5
+fleet_reap instance-5
 sleep 3
 fleet_signal server-3 KILL
-fleet_forget server-3
+fleet_reap server-3
 wait "$load_pid"
 
 echo "== auditing the answers to the callers against the servers' records"
