--- a/Benchmarks/Main.cpp
+++ b/Benchmarks/Main.cpp
@@ -47,7 +47,7 @@
     double least = 0;
     double most = 0;
     if (!(words >> name >> counter >> least >> most)) {
-      std::cerr << aPath << ": not a line of the table: " << line << '\n';
+      std::cerr << aPath << ": expected BENCHMARK COUNTER MIN MAX: " << line << '\n';
       return 1;
     }
     const auto found = aReporter.counters_.find(name + " " + counter);
--- a/Meta/fleet.sh
+++ b/Meta/fleet.sh
@@ -93,7 +93,7 @@
   until "$@" >/dev/null 2>&1; do
     left=$((left - 1))
     if [ "$left" -le 0 ]; then
-      echo "gave up waiting for: $*" >&2
+      echo "timed out waiting for: $*" >&2
       return 1
     fi
     sleep 0.1
--- a/Meta/measure.sh
+++ b/Meta/measure.sh
@@ -30,7 +30,7 @@
 
 echo "direct calls to one server, 700 a second:"
 "$load" send --direct --targets="$(fleet_server_address 50)" --requests=5600 --rate=700 --streams=direct:web:repeatable
-echo "through the instances to one tenth of the keys' servers each, 7000 a second:"
+echo "through the instances to 10 servers, 7000 a second in total:"
 before=$(cpu_ticks instance-2); bytes=$(control_bytes 2)
 "$load" send --targets="$(fleet_caller_targets "$instances")" --requests=56000 --rate=7000 --keys=20000 --streams=rates:booking-sites:repeatable
 echo "loaded instance: $(($(cpu_ticks instance-2) - before)) hundredths of a second of CPU in 8 s, $(memory_kb instance-2) KB resident, $((($(control_bytes 2) - bytes) / 8)) control bytes a second"
