--- a/Libraries/LibScenario/Invariants.cpp
+++ b/Libraries/LibScenario/Invariants.cpp
@@ -61,7 +61,7 @@
 {
   auto& running = running_[aService];
   for (const auto& [id, other] : running) {
-    if (!aChecksOrders && other.hash_ == aHash && other.server_ != aServer) {
+    if (!aChecksGrants && other.hash_ == aHash && other.server_ != aServer) {
       AddViolation(aNow,
                    "one-owner: " + other.server_ + " and " + aServer + " run work for one key");
     }
--- a/Libraries/LibScenario/Invariants.h
+++ b/Libraries/LibScenario/Invariants.h
@@ -26,7 +26,7 @@
                  const std::vector<HashRange>& aRanges);
   void OnServerLost(const std::string& aService, const std::string& aServer);
 
-  // Reports work that started on a server. Servers that don't check grants (aChecksOrders is false)
+  // Reports work that started on a server. Servers that don't check grants (aChecksGrants is false)
   // must never run work for the same key concurrently. Servers that do check may: they drop work
   // without effect when its grant expires before the work ends.
   void OnWorkStarted(Instant aNow,
--- a/Libraries/LibScenario/Script.cpp
+++ b/Libraries/LibScenario/Script.cpp
@@ -23,7 +23,7 @@
   BOOST_OUTCOME_TRY(aReader.ReadKeyword("slots"));
   BOOST_OUTCOME_TRY(const auto slots, aReader.ReadNumber("the count of slots"));
   BOOST_OUTCOME_TRY(aReader.ReadKeyword("checks"));
-  BOOST_OUTCOME_TRY(settings.checksOrders_, aReader.ReadChoice("yes", "no"));
+  BOOST_OUTCOME_TRY(settings.checksGrants_, aReader.ReadChoice("yes", "no"));
   BOOST_OUTCOME_TRY(aReader.ReadKeyword("time"));
   BOOST_OUTCOME_TRY(settings.serviceTime_, aReader.ReadDuration("the service time"));
   settings.servers_ = static_cast<std::size_t>(servers);
--- a/Libraries/LibScenario/SimulatedFleet.h
+++ b/Libraries/LibScenario/SimulatedFleet.h
@@ -30,7 +30,7 @@
     std::string name_;
     std::size_t servers_ = 1;
     unsigned slots_ = 4;
-    bool checksOrders_ = true;
+    bool checksGrants_ = true;
     Duration serviceTime_ = milliseconds(2);
   };
   struct LoadSettings
@@ -198,13 +198,15 @@
                   CallTag aTag,
                   const StoreCall& aCall);
   void RecordStored(const Transaction& aTransaction);
-  void SendGrant(SimulatedInstance& aFrom, CallTag aTag, const GrantOrder& aOrder);
+  void SendGrant(SimulatedInstance& aFrom, CallTag aTag, const GrantCommand& aOrder);
   void RefuseConnection(const std::string& aServer,
                         const std::string& aInstance,
                         std::uint64_t aIncarnation,
                         CallTag aTag);
-  void SendWork(SimulatedInstance& aFrom, const WorkOrder& aOrder);
-  void ServeWork(const std::string& aInstance, std::uint64_t aIncarnation, const WorkOrder& aOrder);
+  void SendWork(SimulatedInstance& aFrom, const WorkCommand& aOrder);
+  void ServeWork(const std::string& aInstance,
+                 std::uint64_t aIncarnation,
+                 const WorkCommand& aOrder);
   void EndWork(Server& aServer,
                const std::string& aInstance,
                std::uint64_t aIncarnation,
--- a/Libraries/LibScenario/SimulatedFleetParts.h
+++ b/Libraries/LibScenario/SimulatedFleetParts.h
@@ -34,7 +34,7 @@
   {
     fleet_.SendGrant(*this, aTag, aOrder);
   }
-  void SendWork(const WorkOrder& aOrder) override { fleet_.SendWork(*this, aOrder); }
+  void SendWork(const WorkCommand& aOrder) override { fleet_.SendWork(*this, aOrder); }
   void CancelWork(WorkId aId) override { fleet_.CancelWork(*this, aId); }
   void AnswerCaller(CallerId aCaller, const WorkAnswer& aAnswer) override
   {
--- a/Libraries/LibScenario/SimulatedNetwork.cpp
+++ b/Libraries/LibScenario/SimulatedNetwork.cpp
@@ -165,7 +165,7 @@
     RunAtDestination(name, [this, name, incarnation, aTag, isRead] {
       auto& instance = *instances_.at(name);
       if (instance.incarnation_ == incarnation) {
-        const auto status = isRead ? StoreStatus::Unavailable : StoreStatus::Unsure;
+        const auto status = isRead ? StoreStatus::Unavailable : StoreStatus::Indeterminate;
         instance.core_->OnStoreReply(instance.LocalTime(), aTag, { status, {} });
       }
     });
@@ -180,7 +180,7 @@
 }
 
 void
-SimulatedFleet::SendGrant(SimulatedInstance& aFrom, CallTag aTag, const GrantOrder& aOrder)
+SimulatedFleet::SendGrant(SimulatedInstance& aFrom, CallTag aTag, const GrantCommand& aOrder)
 {
   const auto instance = aFrom.name_;
   const auto incarnation = aFrom.incarnation_;
@@ -192,7 +192,7 @@
       return;
     }
     const auto reply = server->state_->OnGrant(server->ToLocalTime(Now()), aOrder);
-    if (reply.accepted_ && server->settings_.checksOrders_) {
+    if (reply.accepted_ && server->settings_.checksGrants_) {
       const Instant until(aOrder.validUntil_);
       invariants_.OnGranted(Now(),
                             server->settings_.name_,
@@ -243,7 +243,7 @@
 }
 
 void
-SimulatedFleet::SendWork(SimulatedInstance& aFrom, const WorkOrder& aOrder)
+SimulatedFleet::SendWork(SimulatedInstance& aFrom, const WorkCommand& aOrder)
 {
   const auto instance = aFrom.name_;
   const auto incarnation = aFrom.incarnation_;
@@ -272,7 +272,7 @@
 void
 SimulatedFleet::ServeWork(const std::string& aInstance,
                           std::uint64_t aIncarnation,
-                          const WorkOrder& aOrder)
+                          const WorkCommand& aOrder)
 {
   auto* server = FindServer(aOrder.server_);
   if (server == nullptr) {
@@ -295,13 +295,13 @@
   WorkReply reply;
   switch (server->state_->OnWork(server->ToLocalTime(Now()), work)) {
     case StartResult::Refused:
-      reply.end_ = WorkEnd::Refused;
+      reply.outcome_ = WorkOutcome::Refused;
       break;
     case StartResult::Shed:
-      reply.end_ = WorkEnd::Shed;
+      reply.outcome_ = WorkOutcome::Shed;
       break;
     case StartResult::Expired:
-      reply.end_ = WorkEnd::Expired;
+      reply.outcome_ = WorkOutcome::Expired;
       break;
     case StartResult::Started:
       invariants_.OnWorkStarted(Now(),
@@ -336,7 +336,7 @@
 SimulatedFleet::EndWork(Server& aServer,
                         const std::string& aInstance,
                         std::uint64_t aIncarnation,
-                        const WorkOrder& aOrder,
+                        const WorkCommand& aOrder,
                         std::uint64_t aBoot,
                         std::uint64_t aWork)
 {
@@ -349,7 +349,7 @@
     return;
   }
   WorkReply reply;
-  reply.end_ = WorkEnd::Refused;
+  reply.outcome_ = WorkOutcome::Refused;
   if (aServer.state_->Finish(aServer.ToLocalTime(Now()), aWork)) {
     invariants_.OnExecuted(Now(), aOrder.request_.requestId_);
     busy_[aServer.name_] += aServer.settings_.serviceTime_;
--- a/Libraries/LibStandIn/Audit.cpp
+++ b/Libraries/LibStandIn/Audit.cpp
@@ -28,7 +28,7 @@
     for (const auto& right : aRight.ownerships_) {
       const auto from = std::max(left.from_, right.from_);
       const auto until = std::min(left.until_, right.until_);
-      if (from < until && ShareHash(left.ranges_, right.ranges_)) {
+      if (from < until && RangesOverlap(left.ranges_, right.ranges_)) {
         AddViolation(aReport,
                      "one-owner: " + aLeft.server_ + " and " + aRight.server_ +
                        " owned the same keys for " + std::to_string((until - from).count()) +
--- a/Libraries/LibStandIn/ServerState.cpp
+++ b/Libraries/LibStandIn/ServerState.cpp
@@ -74,7 +74,7 @@
 StartResult
 ServerState::OnWork(Instant aNow, const ServerWork& aWork)
 {
-  if (checksOrders_ && (aWork.fence_ != fence_ || !Owns(aNow, aWork.hash_))) {
+  if (checksGrants_ && (aWork.fence_ != fence_ || !Owns(aNow, aWork.hash_))) {
     return StartResult::Refused;
   }
   if (aWork.validUntil_ != 0 && aNow.count() >= aWork.validUntil_) {
