--- a/Libraries/LibDaemon/GatewayCodec.h
+++ b/Libraries/LibDaemon/GatewayCodec.h
@@ -9,27 +9,33 @@
 
 namespace latchslip {
 
-// Translates between the routing decisions and the HTTP that clients and backend
-// servers of a platform speak.
+// Converts between the gateway's own request, attempt and command types and the HTTP messages
+// of one platform. Each platform has its own implementation; GatewayFront and GatewayHost
+// call it.
 class GatewayCodec
 {
 public:
   virtual ~GatewayCodec() = default;
 
-  // What the decisions need to know of a client's request.
+  // Extracts what routing needs from a client's request: service, key, deadline, group.
   virtual RoutedRequest DecodeRequest(RequestNumber aNumber, const HttpRequest& aRequest) const = 0;
-  // The request as it goes to a server.
+  // Builds the request that is sent to the backend server for one attempt.
   virtual HttpRequest EncodeAttempt(const HttpRequest& aRequest,
                                     const AttemptOrder& aOrder) const = 0;
+  // Classifies how an attempt ended, from the server's response or the lack of one.
   virtual AttemptOutcome DecodeAttempt(const AttemptOrder& aOrder,
                                        const HttpExchange& aExchange) const = 0;
-  // A server's answer as it goes to the client.
+  // Converts a server's response to the one that is sent to the client.
   virtual HttpResponse EncodeAnswer(HttpResponse aAnswer) const = 0;
+  // Builds the response for a request that the gateway refuses itself.
   virtual HttpResponse EncodeRefusal(const RoutedRequest& aRequest,
                                      const Refusal& aRefusal) const = 0;
-  // The header by which an answer names the request it belongs to.
+  // Returns the name of the header whose value a server copies from request to response, so
+  // that a response can be matched with its request.
   virtual std::string EchoHeader() const = 0;
 
+  // Convert a command about keys (grant or release) to the request that is sent to a server,
+  // and the exchange back to the command's outcome.
   virtual HttpRequest EncodeOrder(const KeyOrder& aOrder) const = 0;
   virtual OrderOutcome DecodeOrder(const KeyOrder& aOrder, const HttpExchange& aExchange) const = 0;
 };
--- a/Libraries/LibDaemon/GatewayFront.cpp
+++ b/Libraries/LibDaemon/GatewayFront.cpp
@@ -6,12 +6,13 @@
 
 namespace {
 
-// Connections to one server; the desk's limits lie far below.
+// Connections per backend server. The router's own limits on requests in flight are far lower.
 constexpr std::size_t kMostConnections = 64;
-// A server that does not take a connection in this time is passed over: many
-// times the way there and back within a region.
+// Many round trips within a region; after it the attempt counts as not sent and another server
+// is tried.
 constexpr Duration kConnectTimeout = milliseconds(150);
-// The desk gives up first; this only bounds an exchange it has forgotten.
+// Added to an attempt's timeout. The router normally cancels the attempt first; this only
+// bounds an exchange that it no longer tracks.
 constexpr Duration kExchangeGrace = milliseconds(100);
 
 } // namespace
--- a/Libraries/LibDaemon/GatewayFront.h
+++ b/Libraries/LibDaemon/GatewayFront.h
@@ -15,14 +15,15 @@
 
 namespace latchslip {
 
-// Carries clients' requests to servers and the answers back, as the request desk
-// decides.
+// Reverse proxy of the gateway: receives HTTP requests of clients, forwards them to backend
+// servers and returns the responses. The request router decides on routing, retries and
+// refusals; this class does the I/O for it.
 class GatewayFront
   : public HttpHandler
   , private RequestActions
 {
 public:
-  // Told of each request for a key.
+  // Called for each request that names a key, to count the load per key.
   using KeyObserver = std::function<void(const std::string& aService, KeyNumber aKey)>;
 
   GatewayFront(boost::asio::io_context& aContext,
@@ -42,11 +43,12 @@
   const RequestDesk& Desk() const { return desk_; }
   // Closes idle connections that servers are about to close.
   void PruneIdle() { client_->PruneIdle(); }
-  // To be called after the desk was told of something from outside.
+  // Re-arms the timer for the router's next deadline. Call after each change to the router from
+  // outside this class.
   void ArmTimer() { timer_.Arm(); }
 
 private:
-  // A client's request that has no answer yet.
+  // A client's request without a response yet.
   struct ClientRequest
   {
     RoutedRequest routed_;
@@ -55,7 +57,7 @@
     Instant arrival_{ 0 };
   };
 
-  // A send to a server that is under way.
+  // An attempt in flight to a backend server.
   struct RunningAttempt
   {
     AttemptOrder order_;
--- a/Libraries/LibDaemon/GatewayHost.cpp
+++ b/Libraries/LibDaemon/GatewayHost.cpp
@@ -13,18 +13,18 @@
 
 namespace asio = boost::asio;
 
-// Between two looks at what is due in the fleet's duties.
+// Period of the timer that runs the fleet member's periodic tasks.
 constexpr Duration kStep = milliseconds(50);
-// Between two looks for idle connections that servers are about to close.
+// Period at which idle connections that servers are about to close are dropped.
 constexpr Duration kPruneInterval = seconds(1);
-// An order to a server that is not answered in this time counts as unanswered.
+// Timeout of a command (grant or release) to a backend server.
 constexpr Duration kOrderTimeout = milliseconds(1500);
 constexpr Duration kOrderConnectTimeout = milliseconds(300);
-// A connection for orders carries the next one only within this time, in which a
-// server hardly ever closes it; the orders that renew what one server holds follow
-// each other within a step.
+// A command connection is reused only within this time, in which servers almost never close
+// it. The commands that renew the leases of one server follow each other within one tick.
 constexpr Duration kOrderIdle = 3 * kStep;
-// To one server: as many as the placer sends orders to it.
+// Command connections per backend server; covers the commands that the placer sends to one
+// server at once.
 constexpr std::size_t kMostOrderConnections = 64;
 
 std::vector<std::string>
@@ -118,7 +118,7 @@
   }
 
 private:
-  // Answers the balancer.
+  // Answers the load balancer's readiness checks.
   class ReadyHandler : public HttpHandler
   {
   public:
@@ -176,7 +176,7 @@
     });
   }
 
-  // Takes the next steps of a stop, if one has begun. Whether it is complete.
+  // Advances a planned stop, if one has begun. Returns true once the stop is complete.
   bool ContinueLeaving(Instant aNow)
   {
     const auto stage = stop_.StageAt(aNow);
@@ -214,13 +214,13 @@
     http.headerBytes_ = aLimits.headerBytes_;
     http.bodyBytes_ = aLimits.bodyBytes_;
     http.transfer_ = std::max<Duration>(http.transfer_, aLimits.headerTime_);
-    // Kept longer when the limit shrinks: clients may still use the former one.
+    // Never shortened: clients may still rely on the longer timeout announced before.
     idleTime_ = std::max(idleTime_, aLimits.idleTime_);
     http.idle_ = idleTime_;
     clientServer_->SetLimits(http);
   }
 
-  // What FleetMember decides.
+  // FleetActions: carries out the decisions of FleetMember.
   void Transact(const Transaction& aTransaction) override
   {
     store_.Transact(aTransaction, [this](const StoreReply& aReply) {
@@ -317,7 +317,7 @@
     }
   }
 
-  // What becomes of asks for permits.
+  // PermitListener: passes results of permit requests to the router.
   void OnPermit(Instant aNow, AttemptNumber aNumber, const std::string& aServer) override
   {
     front_.Desk().OnPermit(aNow, aNumber, aServer);
@@ -344,7 +344,7 @@
     return front_.Desk().TakeWorkOf(aServer);
   }
 
-  // What the store says.
+  // FleetStoreListener: passes changes of the store to FleetMember.
   void OnView(const TableView& aView) override { member_.OnView(MonotonicNow(), aView); }
   void OnStoreLost() override { member_.OnStoreLost(MonotonicNow()); }
   void OnStoreRegained() override { member_.OnStoreRegained(MonotonicNow()); }
@@ -367,9 +367,9 @@
   asio::steady_timer timer_;
   Instant nextPrune_ = Instant::min();
   StopSequence stop_;
-  // Whether the listener for clients was told to close.
+  // Whether the client listener has been closed.
   bool isClosing_ = false;
-  // How long an idle connection of a client is kept.
+  // Idle timeout of client connections.
   Duration idleTime_{ 0 };
 };
 
--- a/Libraries/LibDaemon/GatewayHost.h
+++ b/Libraries/LibDaemon/GatewayHost.h
@@ -15,29 +15,29 @@
 struct GatewayHostSettings
 {
   std::string clientAddress_;
-  // Where the balancer asks whether this instance takes connections.
+  // Address of the readiness check that the load balancer polls.
   std::string readyAddress_;
-  // Where other instances and operators reach this one.
+  // Address for calls of other instances and for operators' metrics.
   std::string peerAddress_;
-  // Where every instance takes links from those that ask it for permits; 0 when it takes
-  // none, and each chooses servers alone.
+  // Port on which every instance accepts permit connections as a dispatcher. 0 disables
+  // permits: each instance then chooses servers on its own.
   unsigned permitPort_ = 0;
-  // Connections of clients at once; beyond them the one that has been idle the longest
-  // is closed.
+  // Maximum number of open client connections; above it the connection that has been idle
+  // longest is closed.
   std::size_t clientConnections_ = 1024;
-  // How long a stopping instance may run on.
+  // Time from the start of a planned stop until the process must have ended.
   Duration stopGrace_ = seconds(6);
   RequestDeskSettings desk_;
   FleetMemberSettings member_;
 };
 
-// One entry instance that routes straight to the servers: listeners, timers and
-// the connections to other instances, around the decisions of FleetMember and
-// RequestDesk.
+// One gateway instance that routes directly to backend servers. Owns the listeners, timers and
+// the connections to other instances, and connects them to the decision logic, which does no
+// I/O itself: FleetMember (fleet state, placement, leases) and RequestDesk (routing).
 class GatewayHost
 {
 public:
-  // Listens at once; the error names the address.
+  // Opens all listeners; an error names the address that failed.
   static FieldResult<std::unique_ptr<GatewayHost>> Create(boost::asio::io_context& aContext,
                                                           GatewayHostSettings aSettings,
                                                           const GatewayCodec& aCodec,
@@ -46,10 +46,10 @@
                                                           LineLog& aEvents);
   virtual ~GatewayHost() = default;
 
-  // Takes over what may change while the instance runs: the grace of a stop and
-  // the terms of retries. Addresses and names stay as they were at the start.
+  // Applies the settings that may change at run time: the stop grace and the retry
+  // parameters. Addresses and names keep their values from the start.
   virtual void Reload(const GatewayHostSettings& aSettings) = 0;
-  // Begins a planned stop; the context runs out of work when it has ended.
+  // Starts a graceful shutdown, which ends by stopping the io_context.
   virtual void BeginLeaving() = 0;
 };
 
--- a/Libraries/LibDaemon/GatewayMetrics.cpp
+++ b/Libraries/LibDaemon/GatewayMetrics.cpp
@@ -6,14 +6,14 @@
 
 namespace {
 
-// The text of metrics is the usual one: a line a value, labels in braces.
+// The functions below write the Prometheus text format: one line per value, labels in braces.
 void
 WriteType(std::ostream& aText, std::string_view aName, std::string_view aType)
 {
   aText << "# TYPE latchslip_" << aName << ' ' << aType << '\n';
 }
 
-// aLabels ends with a comma unless it is empty.
+// Writes the cumulative buckets, sum and count. aLabels ends with a comma unless it is empty.
 void
 WriteHistogram(std::ostream& aText,
                std::string_view aName,
@@ -35,8 +35,8 @@
         << "latchslip_" << aName << "_count" << labels << ' ' << total << '\n';
 }
 
-// A line for each count above zero; aLabels end with a comma, and aLabel says which count it
-// is, by its name in the table.
+// Writes a line for each nonzero counter. aLabels ends with a comma; label aLabel has the
+// counter's name from aNames as its value.
 template<typename Names, typename Counts>
 void
 WriteCounts(std::ostream& aText,
--- a/Libraries/LibDaemon/GatewayMetrics.h
+++ b/Libraries/LibDaemon/GatewayMetrics.h
@@ -11,15 +11,17 @@
 
 namespace latchslip {
 
-// Counters and latencies of one gateway instance, as the usual text of metrics.
+// Counts responses and latencies of one gateway instance and renders all of its metrics in
+// the Prometheus text format.
 class GatewayMetrics
 {
 public:
-  // An answer that went to a client, after that time in this instance.
+  // Records a response sent to a client; aLatency is the time the request spent in this
+  // instance.
   void OnAnswer(unsigned aStatus, Duration aLatency);
 
-  // aLog gives the counts of events, aTally those by route and server, aCalls the
-  // calls of the store; aGauges are further values by name.
+  // Renders the metrics page. aLog supplies the event counters, aTally the counters per
+  // route, group and server, aCalls the store calls; aGauges are further values by name.
   std::string Render(const LineLog& aLog,
                      const RequestTally& aTally,
                      const StoreCallCounts& aCalls,
--- a/Libraries/LibDaemon/GlogEventSink.h
+++ b/Libraries/LibDaemon/GlogEventSink.h
@@ -4,14 +4,14 @@
 
 namespace latchslip {
 
-// Writes each event as one line of glog: "E203 HolderAssigned server=...".
+// Logs each event as one glog line: "E203 HolderAssigned server=...".
 class GlogEventSink : public EventSink
 {
 public:
   void Record(Event aEvent, std::string_view aDetail) override;
 };
 
-// Sends the log to standard error, since instances have no disks.
+// Initializes glog to write to standard error, because instances have no disks.
 void
 InitializeLogging(const char* aProgram);
 
--- a/Libraries/LibDaemon/InstanceHost.cpp
+++ b/Libraries/LibDaemon/InstanceHost.cpp
@@ -13,20 +13,20 @@
 
 constexpr Duration kTickInterval = milliseconds(10);
 constexpr Duration kGrantTimeout = milliseconds(450);
-// How long after its validity work may still answer before its connection is
-// given up on.
+// Added to the deadline of a request in flight: a response this late is still accepted before
+// the connection is closed.
 constexpr Duration kWorkSlack = seconds(1);
 constexpr std::size_t kPlatformConnections = 16;
-// To one server. Its slots bound what is in flight, and a declaration must allow
-// for them, so that this only stops a runaway.
+// Connections per backend server. Requests in flight are already bounded by the server's slots,
+// for which a declaration must provide enough connections; this is only a last safeguard.
 constexpr std::size_t kServerConnections = 1100;
-// Operators send little; their listener takes no large bodies.
+// Requests of operators are small, so their listener has a low body limit.
 constexpr std::size_t kOperatorBodyBytes = 4UL * 1024 * 1024;
 constexpr std::size_t kOperatorConnections = 64;
 
 } // namespace
 
-// Serves the callers' listener.
+// Handles HTTP requests of callers.
 class InstanceHost::CallerSide : public HttpHandler
 {
 public:
@@ -79,7 +79,7 @@
   std::map<CallerId, Waiting> waiting_;
 };
 
-// Serves the operators' listener.
+// Handles HTTP requests of operators; all but metrics and health require the operator token.
 class InstanceHost::OperatorSide : public HttpHandler
 {
 public:
@@ -350,7 +350,7 @@
   HttpRequest request;
   request.method_ = "POST";
   request.target_ = "/cancel/" + std::to_string(aId);
-  // What came of it shows in the answer to the work itself.
+  // The result is ignored: the response to the work itself shows whether it was cancelled.
   serverClient_->Send(found->second, std::move(request), kGrantTimeout, [](const HttpExchange&) {});
 }
 
--- a/Libraries/LibDaemon/InstanceHost.h
+++ b/Libraries/LibDaemon/InstanceHost.h
@@ -16,19 +16,20 @@
 
 namespace latchslip {
 
-// Runs one InstanceCore on the network: turns what comes in into its events and
-// carries out its actions. Everything happens on the thread of the io_context.
+// Connects one InstanceCore to the network: converts requests of callers and operators, peer
+// messages and store replies to its inputs, and carries out its outputs. Runs entirely on the
+// io_context's thread.
 class InstanceHost
   : private Outbox
   , private PeerHandler
 {
 public:
-  // Opens all listeners; the error names the address that failed.
+  // Opens all listeners; an error names the address that failed.
   static FieldResult<std::unique_ptr<InstanceHost>> Create(boost::asio::io_context& aContext,
                                                            const DaemonSettings& aSettings);
   ~InstanceHost() override;
 
-  // Begins a planned stop; the io_context is stopped when it is over.
+  // Starts a graceful shutdown, which ends by stopping the io_context.
   void BeginLeaving();
 
 private:
--- a/Libraries/LibDaemon/LeavingObserver.h
+++ b/Libraries/LibDaemon/LeavingObserver.h
@@ -6,7 +6,8 @@
 
 namespace latchslip {
 
-// Told when that life of a server is heard to say that it is about to end.
+// Called when a backend server announces, in a response or a permit message, that its
+// incarnation aLife is shutting down.
 using LeavingObserver = std::function<void(const std::string& aServer, std::uint64_t aLife)>;
 
 } // namespace latchslip
--- a/Libraries/LibDaemon/LineLog.cpp
+++ b/Libraries/LibDaemon/LineLog.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// Between two lines that say how many were dropped.
+// Minimum interval between two LogLinesDropped lines.
 constexpr Duration kTellInterval = seconds(1);
 
 enum class LineClass
@@ -35,8 +35,8 @@
   }
 }
 
-// Microseconds since the epoch, for people and for joining logs; nothing is
-// decided by it.
+// Returns the wall clock in microseconds since the epoch. Used only in log lines, to merge the
+// logs of several instances.
 std::int64_t
 TimeOfDay()
 {
@@ -109,7 +109,8 @@
     line += ' ';
     line += aDetail;
   }
-  // Values come from outside in part; none may begin a line of its own.
+  // Parts of the detail come from clients: control characters are replaced so that no value
+  // can forge a line.
   std::replace_if(
     line.begin(), line.end(), [](unsigned char aByte) { return aByte < ' '; }, '?');
   line += '\n';
--- a/Libraries/LibDaemon/LineLog.h
+++ b/Libraries/LibDaemon/LineLog.h
@@ -9,37 +9,38 @@
 
 namespace latchslip {
 
-// How much a log may say.
+// Rate and buffer limits of a LineLog.
 struct LineLogLimits
 {
-  // Lines a second about single requests, beyond which the rest is only counted.
+  // Lines per second about single requests; lines above it are dropped and counted.
   double requestLines_ = 150;
-  // The same for what changes the beliefs of the instance: a fleet of hundreds of
-  // servers lists them all within seconds.
+  // Lines per second about state changes. Higher, because a fleet of hundreds of servers
+  // lists all of them within seconds.
   double stateLines_ = 600;
-  // Bytes that wait for a reader who does not read.
+  // Bytes buffered while the reader of the descriptor is slow or stuck.
   std::size_t waitingBytes_ = 256UL * 1024;
 };
 
-// Writes each event as one line of "name=value" words to a file descriptor, and
-// never waits for its reader: what does not fit is dropped and counted. Failures
-// of requests go before their successes.
+// Event sink that writes each event as one line of "name=value" pairs to a file descriptor.
+// It never blocks: lines above the rate limits or the buffer limit are dropped and counted.
+// Successful requests, failed requests and state changes have a rate limit each, so that
+// successes cannot crowd out failures.
 class LineLog : public EventSink
 {
 public:
-  // aInstance stands on each line. The descriptor is made non-blocking.
+  // aInstance is written on each line. Makes the descriptor non-blocking.
   LineLog(int aDescriptor, std::string aInstance, LineLogLimits aLimits);
 
   void Record(Event aEvent, std::string_view aDetail) override;
-  // Writes what waits, as far as the reader takes it. To be called often.
+  // Writes as much of the buffer as the descriptor accepts. Called periodically by the host.
   void Flush();
-  // How many events of that kind there were, written or not.
+  // Returns the number of recorded events of that kind, including dropped lines.
   std::uint64_t CountOf(Event aEvent) const;
-  // Lines that were dropped since the start.
+  // Returns the number of lines dropped since the start.
   std::uint64_t Dropped() const { return dropped_; }
 
 private:
-  // What may still be said of one kind within the present second.
+  // Token bucket with a capacity of one second's lines.
   struct Allowance
   {
     double left_ = 0;
@@ -54,7 +55,7 @@
   int descriptor_;
   std::string instance_;
   LineLogLimits limits_;
-  // Successes of requests, their failures, and all else.
+  // Indexed by line class: successful requests, failed requests, state changes.
   std::array<Allowance, 3> allowances_;
   std::array<std::uint64_t, 1000> counts_{};
   std::string waiting_;
--- a/Libraries/LibDaemon/Metrics.h
+++ b/Libraries/LibDaemon/Metrics.h
@@ -9,7 +9,7 @@
 
 namespace latchslip {
 
-// Counts and latencies of the requests of one instance.
+// Request counters and latency statistics of one instance.
 class Metrics
 {
 public:
@@ -17,7 +17,7 @@
   ~Metrics();
 
   void OnAnswer(const WorkAnswer& aAnswer, Duration aLatency);
-  // The lines of the metrics page, "name value".
+  // Renders the counters as lines "name value" for the metrics page; latencies in microseconds.
   std::string Render() const;
 
 private:
--- a/Libraries/LibDaemon/PeerCalls.cpp
+++ b/Libraries/LibDaemon/PeerCalls.cpp
@@ -8,24 +8,23 @@
 namespace {
 
 constexpr std::string_view kReportPath = "/v1/fleet/report";
-// Asks for what the caller lacks.
+// Fetches the rows that the caller lacks.
 constexpr std::string_view kSincePath = "/v1/fleet/since";
-// Tells what the caller has learnt.
 constexpr std::string_view kMetricsPath = "/metrics";
+// Pushes an update.
 constexpr std::string_view kNewsPath = "/v1/fleet/news";
-// Tells the keeper what was met of the groups with limits.
+// Reports usage of the groups with limits to the limit coordinator.
 constexpr std::string_view kUsesPath = "/v1/fleet/uses";
-// A peer that does not answer in this time is not heard: many times the way
-// there and back within a region, and less than the interval of reports.
+// Many round trips within a region, and less than the report interval.
 constexpr Duration kPeerTimeout = milliseconds(600);
-// News that are longer are the tables for an instance that has started; they may take as
-// long as weak links need for several of them at once.
+// Longer updates are whole tables for a starting instance. Their timeout covers several of
+// them at once over a slow connection.
 constexpr std::size_t kBulkBytes = 16UL * 1024;
 constexpr Duration kBulkTimeout = seconds(4);
-// News of this many bytes are deflated. Shorter ones are a change or two, and fit into one
-// packet.
+// Updates of at least this size are compressed. Shorter ones hold one or two changes and fit
+// into one packet.
 constexpr std::size_t kLeastDeflated = 1024;
-// What news may come to; the tables of 10,000 servers are some 3 MB (estimate).
+// Upper bound of a decompressed update; the tables of 10,000 servers are about 3 MB.
 constexpr std::size_t kMostNewsBytes = 64UL * 1024 * 1024;
 constexpr std::size_t kMostConnections = 4;
 constexpr unsigned kOk = 200;
@@ -33,7 +32,8 @@
 constexpr unsigned kNotFound = 404;
 constexpr unsigned kConflict = 409;
 
-// News are deflated when they are long. What is not begins with a brace.
+// Serializes an update, compressed if long. The receiver recognizes plain JSON by its opening
+// brace.
 std::string
 PackNews(const FleetUpdate& aNews)
 {
@@ -67,7 +67,7 @@
   return aExchange.end_ == ExchangeEnd::Complete && aExchange.response_.status_ == kOk;
 }
 
-// What an answer says; no value when none came that can be read.
+// Parses the body of an answer; std::nullopt if the call failed or the body is malformed.
 template<typename T>
 std::optional<T>
 ReadAnswer(const HttpExchange& aExchange, FieldResult<T> (*aParse)(std::string_view))
@@ -109,7 +109,7 @@
   }
 }
 
-// Whoever misses them learns from the next report's answer that it did.
+// An instance that misses an update detects it from the answer to its next report.
 void
 PeerCalls::PassOn(const std::vector<UpdateBranch>& aBranches,
                   const std::shared_ptr<const std::string>& aNews)
@@ -215,7 +215,7 @@
     return MakeHttpResponse(kBadRequest, message.error().Describe());
   }
   const auto text = std::make_shared<const std::string>(std::move(message.value().update_));
-  // Passed on before they are read, which takes a weak instance longer.
+  // Forwarded before it is parsed, because parsing takes longer on a slow instance.
   PassOn(SplitForwarding(message.value().forwardTo_), text);
   const auto news = UnpackNews(*text);
   if (!news) {
--- a/Libraries/LibDaemon/PeerCalls.h
+++ b/Libraries/LibDaemon/PeerCalls.h
@@ -11,26 +11,32 @@
 
 namespace latchslip {
 
-// What entry instances say to each other: reports to the placer, and news of
-// the store's tables.
+// HTTP calls between gateway instances, client and server side: reports to the placer, usage
+// reports to the limit coordinator, and updates of the store's tables, which are forwarded
+// along an update tree. Also serves the metrics page.
 class PeerCalls : public HttpHandler
 {
 public:
-  // Gives the text of the metrics page.
+  // Renders the metrics page.
   using MetricsPage = std::function<std::string()>;
 
   PeerCalls(boost::asio::io_context& aContext, FleetMember& aMember, MetricsPage aMetrics);
 
+  // Sends a report; the answer, or its absence after the timeout, goes to the FleetMember.
   void SendReport(const std::string& aAddress, const InstanceReport& aReport);
+  // Sends an update to the root of each branch, which forwards it to the others of its branch.
   void SendUpdate(const std::vector<UpdateBranch>& aBranches, const FleetUpdate& aNews);
+  // Requests from a peer the rows that are newer than aVersions.
   void FetchUpdate(const std::string& aAddress, const TableVersions& aVersions);
+  // Sends this instance's usage of limits to the limit coordinator at aAddress.
   void SendUsage(const std::string& aAddress, const UseReport& aReport);
 
   void OnRequest(std::uint64_t aId, HttpRequest aRequest, HttpResponder aRespond) override;
   void OnGone(std::uint64_t) override {}
 
 private:
-  // Sends news that are written down along these branches.
+  // Sends a serialized update along these branches. An unresponsive or failed root is skipped:
+  // its branch is split and sent from here.
   void PassOn(const std::vector<UpdateBranch>& aBranches,
               const std::shared_ptr<const std::string>& aNews);
   void PassOnTo(const UpdateBranch& aBranch, const std::shared_ptr<const std::string>& aNews);
--- a/Libraries/LibDaemon/PermitLinks.cpp
+++ b/Libraries/LibDaemon/PermitLinks.cpp
@@ -15,13 +15,12 @@
 using boost::system::error_code;
 using tcp = asio::ip::tcp;
 
-// A dispatcher that does not take a link in this time is passed over: many times the way
-// there and back within a region.
+// Many round trips within a region; after it the client uses another dispatcher.
 constexpr Duration kDialTimeout = milliseconds(300);
-// This instance as one that asks itself.
+// The caller id of this instance at its own dispatcher.
 constexpr CallerId kOwnCaller = 0;
 
-// The address without its port.
+// Returns the address without its port.
 std::string
 HostOf(const std::string& aAddress)
 {
@@ -118,7 +117,7 @@
     return std::move(batch).value();
   }
   events_.Record(Event::PeerRefused, "reason=\"" + batch.error().Describe() + "\"");
-  // Kept while it closes, since its end drops it from the links.
+  // Closing removes the stream from the links, so this reference keeps it alive meanwhile.
   const auto stream = aStream.shared_from_this();
   stream->Close("sent what cannot be read");
   return std::nullopt;
@@ -194,7 +193,7 @@
   stream->Start([this, aDispatcher](
                   std::span<const std::uint8_t> aBytes) { OnDispatcherFrame(aDispatcher, aBytes); },
                 [this, aDispatcher, link = stream.get()](const std::string&) {
-                  // Another link may have taken its place.
+                  // Ignored if a newer link has replaced this one.
                   const auto open = dialled_.find(aDispatcher);
                   if (open != dialled_.end() && open->second.stream_.get() == link) {
                     dialled_.erase(open);
--- a/Libraries/LibDaemon/PermitLinks.h
+++ b/Libraries/LibDaemon/PermitLinks.h
@@ -19,15 +19,17 @@
 
 namespace latchslip {
 
-// The links between instances and dispatchers: those that this instance dials to ask for
-// permits, and those that others dial to ask it. What is said to one of them in one turn of
-// the loop goes in one message. Every instance listens for them at the same port.
+// TCP connections ("links") between instances and permit dispatchers: those that this instance
+// opens as a client to request permits, and those that it accepts as a dispatcher. All
+// messages for one link within one turn of the event loop are sent as one batch. Every
+// instance listens on the same port. Messages of this instance to its own dispatcher use no
+// connection.
 class PermitLinks
   : private PermitClientActions
   , private DispatcherActions
 {
 public:
-  // aSelf is the address by which the others know this instance; links to it go over aPort.
+  // aSelf is this instance's peer address; permit links use its host with port aPort.
   PermitLinks(boost::asio::io_context& aContext,
               std::string aSelf,
               unsigned aPort,
@@ -35,17 +37,17 @@
               LeavingObserver aLeavingObserver,
               EventSink& aEvents);
 
-  // Listens; the error names the address.
+  // Opens the listener; an error names the address.
   FieldResult<void> Listen();
-  // Takes no more links and closes the open ones.
+  // Closes the listener and all links.
   void Close();
-  // Does what is due.
+  // Runs the permit client's periodic work; called by the host's timer.
   void OnTime();
   PermitClient& Client() { return client_; }
   PermitDispatcher& Dispatcher() { return dispatcher_; }
 
 private:
-  // A link and what is to be said on it at the end of the turn.
+  // A connection and the batch to be sent on it at the end of the turn.
   struct Link
   {
     std::shared_ptr<FrameStream> stream_;
@@ -67,14 +69,14 @@
                  std::uint64_t aDial,
                  boost::asio::ip::tcp::socket aSocket);
   void OnDialFailed(const std::string& aDispatcher, std::uint64_t aDial);
-  // No value when the bytes are no batch; their link is closed then.
+  // Decodes a batch. On malformed bytes closes the stream and returns std::nullopt.
   std::optional<PermitBatch> ReadBatch(std::span<const std::uint8_t> aBytes, FrameStream& aStream);
   void OnCallerFrame(CallerId aCaller, std::span<const std::uint8_t> aBytes);
   void OnDispatcherFrame(const std::string& aDispatcher, std::span<const std::uint8_t> aBytes);
-  // Sends the batches at the end of the turn.
+  // Schedules Flush() for the end of this turn of the event loop.
   void FlushLater();
   void Flush();
-  // Hands over what this instance says to itself.
+  // Delivers the messages between this instance's own client and dispatcher.
   void FlushOwn();
   std::string LinkAddressOf(const std::string& aInstance) const;
 
@@ -87,11 +89,13 @@
   PermitDispatcher dispatcher_;
   std::unique_ptr<boost::asio::ip::tcp::acceptor> acceptor_;
   DueTimer timer_;
-  // By the address of the dispatcher.
+  // Open links to dispatchers, by the dispatcher's address.
   std::map<std::string, Link> dialled_;
+  // Number of the connection attempt in progress, by the dispatcher's address.
   std::map<std::string, std::uint64_t> dials_;
+  // Links accepted from other instances.
   std::map<CallerId, Link> callers_;
-  // What this instance says to itself.
+  // Messages between this instance's own client and dispatcher.
   PermitBatch own_;
   CallerId lastCaller_ = 0;
   std::uint64_t lastDial_ = 0;
--- a/Libraries/LibDaemon/SettingSources.h
+++ b/Libraries/LibDaemon/SettingSources.h
@@ -8,18 +8,17 @@
 
 namespace latchslip {
 
-// Where the programs of the project take their settings from.
-
-// Reads a secret from the environment variable, or else from the file that the
-// flag names. The error names both.
+// Reads a secret from environment variable aVariable or, if that is not set, from the first
+// line of aFile, the value of flag aFileFlag. An error names the flag and the variable.
 FieldResult<std::string>
 ReadSecret(const char* aVariable, std::string_view aFileFlag, const std::string& aFile);
 
-// Gives every listed flag the value of its environment variable, if that is set.
+// Sets every listed flag from its environment variable, if that is set. An error names the
+// variable.
 FieldResult<void>
 ApplyEnvironment(const std::vector<std::string>& aFlags);
 
-// "instance_name" is set by LATCHSLIP_INSTANCE_NAME.
+// Returns the environment variable of a flag: LATCHSLIP_INSTANCE_NAME for "instance_name".
 std::string
 VariableOfFlag(std::string_view aFlag);
 
--- a/Libraries/LibDaemon/Settings.cpp
+++ b/Libraries/LibDaemon/Settings.cpp
@@ -172,7 +172,7 @@
                     ReadSecret("LATCHSLIP_OPERATOR_TOKEN",
                                "operator_token_file",
                                absl::GetFlag(FLAGS_operator_token_file)));
-  // A fresh word for each run, so that peers tell a restart from a pause.
+  // Random per process, so that peers can distinguish a restart from a pause.
   aSettings.incarnation_ = absl::BytesToHexString(MakeNonce().substr(0, 4));
   return outcome::success();
 }
--- a/Libraries/LibDaemon/Settings.h
+++ b/Libraries/LibDaemon/Settings.h
@@ -11,9 +11,8 @@
 
 namespace latchslip {
 
-// The settings of an entry instance. Each is a flag and an environment variable;
-// the flag goes first. Secrets are never flags, since the list of processes
-// shows those.
+// The settings of one latchslipd process. Each can be set by a flag or an environment variable;
+// the flag takes precedence. Secrets are never flags, because the process list shows those.
 struct DaemonSettings
 {
   std::string name_;
@@ -33,7 +32,7 @@
   bool isCheckOnly_ = false;
 };
 
-// One setting as the documentation shows it.
+// One setting as documented: flag, environment variable, default and help text.
 struct SettingEntry
 {
   std::string flag_;
@@ -42,12 +41,12 @@
   std::string help_;
 };
 
-// All settings of latchslipd in the order of the documentation.
+// Returns all settings of latchslipd in the order of the documentation.
 std::vector<SettingEntry>
 ListDaemonSettings();
 
-// Reads flags and environment and checks every value. The error names the flag
-// and what is allowed.
+// Reads flags and environment variables and validates every value. An error names the flag and
+// the allowed range.
 FieldResult<DaemonSettings>
 ReadDaemonSettings(int aCount, char** aArguments);
 
--- a/Libraries/LibDaemon/StopSequence.cpp
+++ b/Libraries/LibDaemon/StopSequence.cpp
@@ -4,15 +4,15 @@
 
 namespace {
 
-// A stopping instance tells clients to close their connections from this time
-// on: earlier, many would come back to it.
+// Responses ask clients to close their connections from this time on. Earlier, many of them
+// would reconnect to this instance, because the load balancer still routes to it.
 constexpr Duration kTellClients = milliseconds(1200);
-// The balancer asks every second and takes an instance out after two refusals;
-// until then, and a little for connections on their way, clients still come.
-// Then idle connections are closed and nothing more is taken: what is taken later
-// than three seconds after the stop must end within the grace.
+// The load balancer checks every second and removes an instance after two failed checks; until
+// then, plus a margin for connections already being opened, clients still connect. After this
+// time idle connections are closed and nothing more is accepted, because a request accepted more
+// than three seconds after the start of the stop has to finish within the grace.
 constexpr Duration kBalancerNotice = milliseconds(2600);
-// A stop ends this long before the grace, whatever is under way.
+// The shutdown ends this long before the grace runs out, even with requests in flight.
 constexpr Duration kLastMoments = milliseconds(400);
 
 } // namespace
--- a/Libraries/LibDaemon/StopSequence.h
+++ b/Libraries/LibDaemon/StopSequence.h
@@ -4,30 +4,32 @@
 
 namespace latchslip {
 
-// How far a planned stop has come.
+// Stages of a graceful shutdown.
 enum class StopStage
 {
-  // No stop has begun.
+  // No shutdown has begun.
   None,
-  // The balancer may not have noticed; clients are served as before.
+  // Readiness checks fail, but the load balancer may not have noticed: clients are served as
+  // before.
   Unnoticed,
-  // Clients are told to close their connections.
+  // Responses ask clients to close their connections.
   TellingClients,
-  // Idle connections are closed and nothing more is taken.
+  // Idle connections are closed and no new connections or requests are accepted.
   Closing,
 };
 
-// When the steps of a planned stop are due. It does no I/O.
+// Timetable of a graceful shutdown: fail readiness checks, drain connections, close. Does no
+// I/O; GatewayHost polls it from its timer and acts on the stage.
 class StopSequence
 {
 public:
-  // Begins the stop; a later call does nothing.
+  // Starts the shutdown at aNow; later calls have no effect.
   void Begin(Instant aNow);
   bool HasBegun() const { return beganAt_ != Instant::max(); }
 
   StopStage StageAt(Instant aNow) const;
-  // Whether the stop is complete. aGrace is how long the instance may run on at
-  // most; aIsQuiet: no request is under way and no client is connected.
+  // Returns whether the shutdown is complete. aGrace is the maximum time from Begin() to the
+  // end; aIsQuiet means that no request is in flight and no client is connected.
   bool IsOver(Instant aNow, Duration aGrace, bool aIsQuiet) const;
 
 private:
--- a/Tests/LibDaemon/TestDocuments.cpp
+++ b/Tests/LibDaemon/TestDocuments.cpp
@@ -22,7 +22,7 @@
   return text.str();
 }
 
-// The first group of every match.
+// Returns the first capture group of every match.
 std::set<std::string>
 AllMatches(const std::string& aText, const std::string& aPattern)
 {
@@ -111,7 +111,7 @@
     set_.insert(name);
   }
 
-  // The field that the error names, or "" when all is fine.
+  // Returns the field that the error names, or "" if the settings are valid.
   static std::string ReadField()
   {
     std::string program = "latchslipd";
