--- a/Libraries/LibNet/Address.h
+++ b/Libraries/LibNet/Address.h
@@ -8,11 +8,11 @@
 
 namespace latchslip {
 
-// Reads "10.0.0.7:8080"; names are not resolved.
+// Parses an IP address and port such as "10.0.0.7:8080". Host names are not resolved.
 FieldResult<boost::asio::ip::tcp::endpoint>
 ParseAddress(const std::string& aAddress);
 
-// Opens a listening socket; the error names the address.
+// Opens a listening socket; an error names the address and the operating system's reason.
 FieldResult<boost::asio::ip::tcp::acceptor>
 OpenAcceptor(boost::asio::io_context& aContext, const std::string& aAddress);
 
--- a/Libraries/LibNet/CallerProtocol.cpp
+++ b/Libraries/LibNet/CallerProtocol.cpp
@@ -115,7 +115,7 @@
   if (aAnswer.outcome_ == RequestOutcome::NotRun) {
     const auto wait = duration_cast<milliseconds>(aAnswer.retryAfter_).count();
     response.headers_.emplace_back(kRetryAfterHeader, std::to_string(wait));
-    // The standard header counts in whole seconds.
+    // Retry-After has whole seconds; rounded up.
     response.headers_.emplace_back("Retry-After", std::to_string((wait + 999) / 1000));
   }
   return response;
--- a/Libraries/LibNet/CapnpMessage.h
+++ b/Libraries/LibNet/CapnpMessage.h
@@ -11,7 +11,7 @@
 
 namespace latchslip {
 
-// With its length, since a text may hold any byte.
+// Passes the length, because a text may contain NUL bytes.
 inline kj::StringPtr
 ToText(const std::string& aText)
 {
@@ -24,7 +24,7 @@
   return { aText.cStr(), aText.size() };
 }
 
-// A whole message with the length that frames it.
+// Serializes a complete message with its frame header.
 inline WireBytes
 FrameOfMessage(capnp::MessageBuilder& aBuilder)
 {
@@ -33,8 +33,9 @@
   return FrameOf({ bytes.begin(), bytes.size() });
 }
 
-// Gives the root of a message to aRead, and the problem to aFail when it is malformed.
-// aBytes must be aligned to 8 bytes; aMostWords bounds what a broken message may cost.
+// Decodes a message: passes its root to aRead or, if it is malformed, the problem to aFail, and
+// returns that function's result. aBytes must be aligned to 8 bytes. aMostWords, in words of
+// 8 bytes, bounds the traversal of a malicious or corrupt message.
 template<typename TRoot, typename TRead, typename TFail>
 auto
 ReadMessage(std::span<const std::uint8_t> aBytes,
@@ -42,7 +43,7 @@
             TRead aRead,
             TFail aFail) -> decltype(aRead(std::declval<typename TRoot::Reader>()))
 {
-  // NOTE: Cap'n Proto throws on malformed input; the exception ends here.
+  // NOTE: Cap'n Proto throws on malformed input; this is the only place that catches it.
   try {
     capnp::ReaderOptions options;
     options.traversalLimitInWords = aMostWords;
--- a/Libraries/LibNet/Deflate.cpp
+++ b/Libraries/LibNet/Deflate.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// The zlib stream of one text; ended when it goes.
+// RAII wrapper of a zlib inflate stream.
 class InflateStream
 {
 public:
@@ -28,7 +28,7 @@
     }
   }
 
-  // Appends what the next step gives; the code is zlib's.
+  // Decompresses the next piece and appends it to aText. Returns zlib's result code.
   int Step(std::string& aText)
   {
     if (!isReady_) {
@@ -43,7 +43,7 @@
   }
 
 private:
-  // zlib takes bytes that it could write to.
+  // A copy, because zlib's input pointer is not const.
   std::string bytes_;
   z_stream stream_{};
   bool isReady_ = false;
@@ -56,7 +56,7 @@
 {
   auto length = compressBound(static_cast<uLong>(aText.size()));
   std::string bytes(length, '\0');
-  // The buffer is as large as zlib asks for, so that only a lack of memory could fail.
+  // The buffer has the size from compressBound(), so only a failed allocation can be an error.
   const int code = compress2(reinterpret_cast<Bytef*>(bytes.data()),
                              &length,
                              reinterpret_cast<const Bytef*>(aText.data()),
--- a/Libraries/LibNet/Deflate.h
+++ b/Libraries/LibNet/Deflate.h
@@ -8,13 +8,13 @@
 
 namespace latchslip {
 
-// The text in zlib's format (RFC 1950), at its quickest level: tables of the store, whose
-// rows are much alike, come to about a sixth of their bytes.
+// Compresses a text in the zlib format (RFC 1950) at the fastest level. Tables of the store,
+// whose rows are similar, shrink to about a sixth.
 std::string
 Deflate(std::string_view aText);
 
-// Undoes Deflate; an error for bytes that are cut off, malformed or come to more than
-// aMost.
+// Decompresses the output of Deflate(). Fails if the bytes are truncated or malformed, or if
+// the text would exceed aMost bytes.
 FieldResult<std::string>
 Inflate(std::string_view aBytes, std::size_t aMost);
 
--- a/Libraries/LibNet/DueTimer.h
+++ b/Libraries/LibNet/DueTimer.h
@@ -9,8 +9,9 @@
 
 namespace latchslip {
 
-// Wakes decisions when they have something to do next. One timer serves all of them: it is
-// only set anew for an earlier time, since one that fires early does no harm.
+// Timer for a component that computes its own next deadline: calls aOnTime when the time given
+// by aNextTime has come, then re-arms itself. It is only re-armed for an earlier deadline, never
+// for a later one, because an early call is harmless.
 class DueTimer
 {
 public:
@@ -19,7 +20,7 @@
 
   DueTimer(boost::asio::io_context& aContext, NextTime aNextTime, OnTime aOnTime);
 
-  // To be called after the decisions were told of something from outside.
+  // Re-reads the next deadline. Call after each change to the component from outside.
   void Arm();
   void Cancel() { timer_.cancel(); }
 
@@ -27,7 +28,7 @@
   NextTime nextTime_;
   OnTime onTime_;
   boost::asio::steady_timer timer_;
-  // What the timer is set to; Instant::max() when it is not.
+  // Deadline for which the timer is armed; Instant::max() if it is not armed.
   Instant armedFor_ = Instant::max();
 };
 
--- a/Libraries/LibNet/FrameStream.cpp
+++ b/Libraries/LibNet/FrameStream.cpp
@@ -13,7 +13,7 @@
 using tcp = asio::ip::tcp;
 
 constexpr std::size_t kMostMessageBytes = 48ULL * 1024 * 1024;
-// A peer that does not read is hung up on rather than waited for.
+// A peer that does not read is disconnected when this many bytes are queued.
 constexpr std::size_t kMostQueuedBytes = 128ULL * 1024 * 1024;
 constexpr std::size_t kWord = sizeof(std::uint64_t);
 
@@ -102,7 +102,7 @@
     Close("a frame of an impossible size");
     return;
   }
-  // Words, so that the message is aligned.
+  // body_ has 8-byte elements so that the message is aligned.
   body_.resize(size / kWord);
   asio::async_read(
     socket_,
@@ -118,7 +118,7 @@
     return;
   }
   if (onFrame_) {
-    // A copy, because the handler may close the stream and so end itself.
+    // A copy, because the handler may close the stream, which destroys onFrame_.
     const auto handler = onFrame_;
     handler({ reinterpret_cast<const std::uint8_t*>(body_.data()), body_.size() * kWord });
   }
--- a/Libraries/LibNet/FrameStream.h
+++ b/Libraries/LibNet/FrameStream.h
@@ -12,30 +12,34 @@
 
 namespace latchslip {
 
-// A message as it goes over the wire, framing included.
+// A serialized message with its frame header.
 using WireBytes = std::vector<std::uint8_t>;
 
-// Each message on the wire follows its length in bytes, 4 bytes little endian,
-// padded to 8 so that the message is aligned.
+// Size of the frame header before each message: the message's length in bytes as 4 bytes little
+// endian, padded to 8 so that the message is aligned.
 inline constexpr std::size_t kFrameHeaderBytes = 8;
 
-// Puts the length before a message; its size must be a multiple of 8.
+// Prepends the frame header to a message, whose size must be a multiple of 8.
 WireBytes
 FrameOf(std::span<const std::uint8_t> aMessage);
 
-// One TCP connection that carries framed messages, each aligned to 8 bytes.
+// Length-prefixed messages over one TCP connection. Received messages are aligned to 8 bytes.
+// Sends are queued without waiting; a peer that lets the queue grow beyond 128 MB is
+// disconnected.
 class FrameStream : public std::enable_shared_from_this<FrameStream>
 {
 public:
-  // Gets a message without its length.
+  // Receives a message without its frame header.
   using FrameFunction = std::function<void(std::span<const std::uint8_t>)>;
-  // Gets the reason.
+  // Called once when the connection has closed, with the reason.
   using ClosedFunction = std::function<void(const std::string&)>;
 
   explicit FrameStream(boost::asio::ip::tcp::socket aSocket);
 
+  // Starts reading. The stream keeps itself alive until it is closed.
   void Start(FrameFunction aOnFrame, ClosedFunction aOnClosed);
-  // Takes a message with its length; how many bytes will be sent.
+  // Queues a message that includes its frame header. Returns the number of bytes queued, 0 if
+  // the connection is closed.
   std::size_t Send(WireBytes aFrame);
   void Close(const std::string& aReason);
   std::string RemoteAddress() const;
--- a/Libraries/LibNet/Http.h
+++ b/Libraries/LibNet/Http.h
@@ -13,11 +13,11 @@
 
 namespace latchslip {
 
-// HTTP messages without the library that carries them.
+// HTTP messages as plain types, independent of the HTTP library.
 
 using HttpHeader = std::pair<std::string, std::string>;
 
-// The first header of that name, whatever its case; empty when there is none.
+// Returns the value of the first header with that name, ignoring case; empty if there is none.
 std::string_view
 FindHeader(const std::vector<HttpHeader>& aHeaders, std::string_view aName);
 
@@ -31,19 +31,19 @@
   std::string_view Header(std::string_view aName) const { return FindHeader(headers_, aName); }
 };
 
-// As the status of a response: close the connection without an answer. Only
-// stand-ins use it, to lose answers on purpose.
+// Status of a response that closes the connection without an answer. Only the test doubles of
+// the platform use it, to inject lost answers.
 inline constexpr unsigned kNoAnswer = 0;
 
 struct HttpResponse
 {
   unsigned status_ = 200;
   std::vector<HttpHeader> headers_;
-  // Not sent when empty.
+  // Omitted if empty.
   std::string contentType_ = "application/json";
   std::shared_ptr<const std::string> body_;
-  // Whether the message tells where its body ends; otherwise its connection's
-  // close does, and a cut cannot be told from the end.
+  // Whether the message has a length or is chunked. Otherwise the body ends when the connection
+  // closes, and a truncated body cannot be distinguished from a complete one.
   bool isFramed_ = true;
 
   std::string_view Header(std::string_view aName) const { return FindHeader(headers_, aName); }
@@ -52,13 +52,15 @@
 HttpResponse
 MakeHttpResponse(unsigned aStatus, std::string aBody);
 
-// Undoes the percent encoding of one path segment; empty on a bad code.
+// Percent-decodes one path segment; empty if an escape is malformed.
 std::string
 DecodeSegment(std::string_view aSegment);
+// Percent-encodes one path segment.
 std::string
 EncodeSegment(std::string_view aSegment);
 
-// The segments of a path, still encoded.
+// Splits the path of a request target into its nonempty segments, still percent-encoded. The
+// query is dropped.
 std::vector<std::string>
 SplitPath(std::string_view aTarget);
 
--- a/Libraries/LibNet/HttpClient.cpp
+++ b/Libraries/LibNet/HttpClient.cpp
@@ -24,7 +24,7 @@
   {
   }
 
-  // Idle connections refer to their pool, so the circle is broken here.
+  // Idle connections and their pool own each other, so the cycle is broken here.
   ~BeastHttpClient() override
   {
     for (auto& [address, pool] : pools_) {
--- a/Libraries/LibNet/HttpClient.h
+++ b/Libraries/LibNet/HttpClient.h
@@ -9,14 +9,15 @@
 
 namespace latchslip {
 
-// How an exchange ended.
+// How an exchange (a request and its response) ended. Whether bytes were sent decides if a
+// request may be retried elsewhere without running twice.
 enum class ExchangeEnd
 {
-  // The complete answer arrived.
+  // The complete response arrived.
   Complete,
-  // Certainly no byte of the request was sent.
+  // No byte of the request was sent.
   NotSent,
-  // Bytes were sent and no complete answer arrived.
+  // Bytes were sent, but no complete response arrived: the request may have run.
   Broken,
 };
 
@@ -25,43 +26,46 @@
   ExchangeEnd end_ = ExchangeEnd::Broken;
   HttpResponse response_;
   std::string problem_;
-  // The host answered that nothing listens at the address.
+  // Connection refused: nothing listens at the address.
   bool isRefused_ = false;
-  // The time ran out.
+  // The exchange or the connect timed out.
   bool isTimeout_ = false;
 };
 
 using HttpCallback = std::function<void(HttpExchange)>;
 using ExchangeId = std::uint64_t;
 
-// How one exchange is to be carried out.
+// Timeouts and connection reuse of one exchange.
 struct ExchangeOptions
 {
-  // For the whole exchange, the opening of a connection included.
+  // Timeout of the whole exchange, including connecting.
   Duration timeout_ = seconds(1);
-  // For the opening of a connection; zero means no bound of its own.
+  // Additional timeout for connecting; zero means none.
   Duration connectTimeout_{ 0 };
-  // An open connection is used again only within this time after its last exchange,
-  // and closed after it. Short for exchanges whose end must be known: a server that
-  // has closed in between makes it unknown whether it took the next one.
+  // The connection is reused only within this time after its last exchange and closed
+  // afterwards. Use a short time for exchanges whose outcome must be known: if the server
+  // closes an idle connection just as the next request is sent, it is unknown whether that
+  // request ran.
   Duration mostIdle_ = Duration::max();
-  // The header of the answer that must repeat the one of the request. Other
-  // answers belong to earlier requests and are skipped. Empty: not checked.
+  // Name of a header whose value a response must copy from the request. Responses with another
+  // value belong to earlier requests and are skipped. Empty: not checked.
   std::string echoHeader_;
 };
 
-// Keeps connections to HTTP servers open between requests. One connection
-// carries one exchange at a time, and one whose exchange did not end complete
-// is never used again, so that a late answer meets nobody.
+// HTTP client with a pool of keep-alive connections per address. A connection carries one
+// exchange at a time. A connection whose exchange did not complete is never reused, so that a
+// late response cannot be taken for the response to another request.
 class HttpClient
 {
 public:
+  // aMostConnections is the maximum number of open connections per address.
   static std::unique_ptr<HttpClient> Create(boost::asio::io_context& aContext,
                                             std::size_t aMostConnections);
   virtual ~HttpClient() = default;
 
-  // The callback is called exactly once, within the timeout, never from inside,
-  // unless the exchange is cancelled.
+  // Starts an exchange. The callback is called exactly once, within the timeout and never from
+  // inside Send(), unless the exchange is cancelled. If all connections to the address are in
+  // use, the exchange ends as NotSent.
   virtual ExchangeId Send(const std::string& aAddress,
                           HttpRequest aRequest,
                           ExchangeOptions aOptions,
@@ -75,12 +79,14 @@
     options.timeout_ = aTimeout;
     return Send(aAddress, std::move(aRequest), std::move(options), std::move(aCallback));
   }
-  // Closes the connection of an exchange, whose callback is then not called.
+  // Closes the connection of an exchange without calling its callback.
   virtual void Cancel(ExchangeId aId) = 0;
-  // Closes the idle connections that the server is about to close or has closed.
+  // Closes idle connections that the server has closed or is about to close. Called
+  // periodically by the hosts.
   virtual void PruneIdle() = 0;
   virtual std::size_t OpenConnections() const = 0;
-  // Whether a connection to that address lies idle, as far as is known here.
+  // Returns whether an idle connection to that address is available. The server may have closed
+  // it without this client having noticed.
   virtual bool HasIdle(const std::string& aAddress) const = 0;
 };
 
--- a/Libraries/LibNet/HttpConnection.cpp
+++ b/Libraries/LibNet/HttpConnection.cpp
@@ -17,15 +17,16 @@
 namespace {
 
 constexpr std::uint64_t kMostAnswerBytes = 64ULL * 1024 * 1024;
-// How long an idle connection is used again when its server names no time.
-// NOTE: Servers of our users name theirs in whole seconds, so an unnamed one
-// may be shorter than a second.
+// Maximum idle time of connections whose server sends no timeout in a Keep-Alive header.
+// NOTE: The header has whole seconds, so a server that sends none may time out in less than one
+// second.
 constexpr Duration kUnnamedIdle = milliseconds(900);
-// A connection is given up this long before its server closes it, since a
-// request that crosses the close may or may not have run.
+// A connection is retired this long before its server closes it. If a request crosses the close
+// on the wire, it is unknown whether it ran.
 constexpr Duration kIdleMargin = milliseconds(500);
 
-// The seconds of "timeout=5" in a Keep-Alive header.
+// Returns how long a connection may be reused, by the seconds of "timeout=5" in a Keep-Alive
+// header.
 Duration
 IdleTimeOf(std::string_view aKeepAlive)
 {
@@ -40,7 +41,7 @@
   return std::max<Duration>(seconds(named) - kIdleMargin, Duration(0));
 }
 
-// Takes the body out of the message.
+// Moves the body out of the message.
 HttpExchange
 ToExchange(http::response<http::string_body>& aMessage)
 {
@@ -184,14 +185,14 @@
   }
   auto message = parser_->release();
   if (!echoHeader_.empty() && message[echoHeader_] != echoValue_) {
-    // The answer to an earlier request; the right one may still follow.
+    // A late response to an earlier request; the matching one may still follow.
     isReusable_ = false;
     Read();
     return;
   }
   auto exchange = ToExchange(message);
   stream_.expires_never();
-  // Bytes beyond the answer belong to no request of ours.
+  // A connection with unsolicited bytes after the response is not reused.
   if (message.keep_alive() && buffer_.size() == 0 && isReusable_) {
     idleUntil_ = MonotonicNow() + std::min(mostIdle_, IdleTimeOf(message[http::field::keep_alive]));
     pool_->idle_.push_back(shared_from_this());
--- a/Libraries/LibNet/HttpConnection.h
+++ b/Libraries/LibNet/HttpConnection.h
@@ -16,15 +16,15 @@
 
 class HttpConnection;
 
-// The open connections to one address.
+// Connection pool of one address.
 struct HttpPool
 {
   std::list<std::shared_ptr<HttpConnection>> idle_;
   std::size_t open_ = 0;
 };
 
-// A connection of a client, which carries one exchange after the other. Between
-// two it lies idle in its pool.
+// Client side of a keep-alive connection. Carries one exchange at a time and waits in its pool
+// between exchanges.
 class HttpConnection : public std::enable_shared_from_this<HttpConnection>
 {
 public:
@@ -33,31 +33,32 @@
   HttpConnection(const HttpConnection&) = delete;
   HttpConnection& operator=(const HttpConnection&) = delete;
 
-  // Begins an exchange; the connection is opened first if need be.
+  // Starts an exchange, connecting first if necessary.
   void Start(const boost::asio::ip::tcp::endpoint& aEndpoint,
              const HttpRequest& aRequest,
              const ExchangeOptions& aOptions,
              HttpCallback aCallback);
 
-  // Ends the exchange without a word to whoever asked for it.
+  // Closes the connection without calling the callback.
   void Cancel();
 
-  // Until when it may be used again, as far as is known here.
+  // Returns the time until which this connection may be reused, by the server's Keep-Alive header
+  // and ExchangeOptions.
   Instant IdleUntil() const { return idleUntil_; }
 
-  // Whether the server has closed the connection while it was idle, is about to,
-  // or has sent bytes that belong to no request.
+  // Returns whether the idle connection must not be reused: the server has closed it or is about
+  // to close it, or has sent unsolicited bytes.
   bool IsStale();
 
 private:
-  // Builds what is written to the server.
+  // Builds the request message.
   void Prepare(const boost::asio::ip::tcp::endpoint& aEndpoint, const HttpRequest& aRequest);
   void OnConnected(boost::system::error_code aError);
   void Write();
   void OnWritten(boost::system::error_code aError, std::size_t aCount);
   void Read();
   void OnRead(boost::system::error_code aError);
-  // Ends an exchange that brought no whole answer.
+  // Closes the connection and reports an exchange without a complete response.
   void End(ExchangeEnd aEnd, boost::system::error_code aError);
   void Finish(HttpExchange aExchange);
 
@@ -68,14 +69,14 @@
   std::optional<boost::beast::http::response_parser<boost::beast::http::string_body>> parser_;
   std::shared_ptr<const std::string> body_;
   HttpCallback callback_;
-  // The header that an answer repeats if it is one to this request, and its value.
+  // See ExchangeOptions::echoHeader_, and the value of the current request.
   std::string echoHeader_;
   std::string echoValue_;
-  // When the exchange must have ended.
+  // Deadline of the exchange.
   Instant end_{ 0 };
   Instant idleUntil_{ 0 };
   bool isConnected_ = false;
-  // How long it may lie idle; see ExchangeOptions.
+  // See ExchangeOptions.
   Duration mostIdle_ = Duration::max();
   bool isReusable_ = true;
 };
--- a/Libraries/LibNet/HttpServer.cpp
+++ b/Libraries/LibNet/HttpServer.cpp
@@ -16,7 +16,7 @@
 using boost::system::error_code;
 using tcp = asio::ip::tcp;
 
-// How often connections that were idle too long are looked for.
+// Maximum interval of the check for connections that exceed the idle timeout.
 constexpr Duration kIdleCheck = seconds(1);
 
 class BeastHttpServer : public HttpServer
@@ -64,7 +64,7 @@
 
   void Serve(tcp::socket aSocket)
   {
-    // Beyond the limit a connection is closed at once rather than kept waiting.
+    // Above the limit a new connection is closed immediately rather than queued.
     if (listener_->sessions_.size() >= listener_->limits_.connections_ && !CloseLongestIdle()) {
       return;
     }
@@ -74,14 +74,14 @@
     ArmIdleTimer();
   }
 
-  // Makes room for a new connection; false when all carry requests. Clients that are
-  // refused come back on new connections and leave the former ones idle, so that new
-  // ones would be the ones that are closed.
+  // Closes the connection that has been idle longest, to make room for a new one. Returns false
+  // if all carry requests. Without this, refused clients that reconnect and leave their former
+  // connections idle would use up the limit, and their new connections would be closed.
   bool CloseLongestIdle()
   {
     const auto& idle = listener_->idle_;
     for (auto next = idle.begin(); next != idle.end();) {
-      // Advanced first, since a session that closes leaves the set.
+      // The iterator is advanced first, because a session that closes removes itself from the set.
       if ((next++)->second->CloseIfIdle()) {
         return true;
       }
@@ -89,7 +89,7 @@
     return false;
   }
 
-  // Looks for connections that were idle too long, as long as there are any.
+  // Schedules the next check of the idle timeout, as long as there are connections.
   void ArmIdleTimer()
   {
     if (isIdleTimerArmed_ || listener_->sessions_.empty() || !acceptor_.is_open()) {
@@ -115,8 +115,8 @@
     }
   }
 
-  // Takes the connections that the kernel has opened already: closing the
-  // listener would reset them together with the requests they carry.
+  // Accepts the connections in the kernel's backlog. Closing the listener would reset them and
+  // lose the requests they carry.
   void AcceptBacklog()
   {
     error_code error;
--- a/Libraries/LibNet/HttpServer.h
+++ b/Libraries/LibNet/HttpServer.h
@@ -9,28 +9,28 @@
 
 namespace latchslip {
 
-// What a listener lets a caller use.
+// Resource limits of one listener, per connection unless stated otherwise.
 struct HttpLimits
 {
   std::size_t headerBytes_ = 16UL * 1024;
   std::size_t bodyBytes_ = 16UL * 1024 * 1024;
+  // Open connections of the whole listener.
   std::size_t connections_ = 1024;
-  // For the whole of a request's header and body to arrive, and for the
-  // answer to be taken.
+  // Timeout for receiving a request's header and body, and for sending a response.
   Duration transfer_ = seconds(20);
-  // How long a connection may stay open without a request.
+  // Idle timeout of a connection without a request.
   Duration idle_ = seconds(60);
 };
 
 using HttpResponder = std::function<void(HttpResponse)>;
 
-// Serves the requests of one listener.
+// Handles the requests of one listener.
 class HttpHandler
 {
 public:
   virtual ~HttpHandler() = default;
 
-  // aRespond must be called once, now or later, on the listener's thread.
+  // aRespond must be called once, immediately or later, on the listener's thread.
   virtual void OnRequest(std::uint64_t aId, HttpRequest aRequest, HttpResponder aRespond) = 0;
 
   // The client closed its connection before request aId was answered.
@@ -41,20 +41,21 @@
 class HttpServer
 {
 public:
-  // Listens at once; the error names the address.
+  // Opens the listener; an error names the address.
   static FieldResult<std::unique_ptr<HttpServer>> Create(boost::asio::io_context& aContext,
                                                          const std::string& aAddress,
                                                          HttpLimits aLimits,
                                                          HttpHandler& aHandler);
   virtual ~HttpServer() = default;
 
-  // From now on answers tell the client to close its connection.
+  // Starts draining: responses ask clients to close their connections.
   virtual void BeginDrain() = 0;
-  // Accepts no more connections and lets the open ones end with the answer to
-  // the request they carry, if any.
+  // Closes the listener and all idle connections. Other connections close after the response to
+  // their request.
   virtual void BeginClose() = 0;
+  // Returns the number of open connections.
   virtual std::size_t Connections() const = 0;
-  // What holds for requests that begin from now on.
+  // Replaces the limits; applies to requests that begin after the call.
   virtual void SetLimits(HttpLimits aLimits) = 0;
 };
 
--- a/Libraries/LibNet/HttpSession.cpp
+++ b/Libraries/LibNet/HttpSession.cpp
@@ -15,13 +15,13 @@
 
 namespace {
 
-// Where the first field of a request's header is read into.
+// Size of the read buffer, beyond the limit on headers.
 constexpr std::size_t kReadBuffer = 64UL * 1024;
 
-// Requests of one connection that are under way side by side. Clients wait a second for an
-// answer to be begun, and few send more ahead.
+// Maximum number of pipelined requests of one connection in progress. Clients wait one second
+// for a response to start, and few pipeline more requests.
 constexpr std::size_t kMostAhead = 8;
-// How long what a client had sent ahead is taken in after the last answer.
+// Time for which unread bytes are read and discarded after the last response.
 constexpr Duration kDropTime = milliseconds(300);
 
 std::string
@@ -31,7 +31,7 @@
          std::string(aProblem) + "\"}}";
 }
 
-// What is wrong with bytes that are no request.
+// Error response to bytes that are not a valid request.
 struct RequestProblem
 {
   unsigned status_;
@@ -39,7 +39,7 @@
   std::string_view problem_;
 };
 
-// No value when the connection failed, so that an answer would reach nobody.
+// Returns std::nullopt if the connection has failed, so that no response can be sent.
 std::optional<RequestProblem>
 ProblemOf(error_code aError)
 {
@@ -60,7 +60,8 @@
   return RequestProblem{ 400, "request", "is not valid HTTP/1.1" };
 }
 
-// Whether requests of that method may run side by side (RFC 9112, section 9.3.2).
+// Returns whether pipelined requests of that method may run concurrently (RFC 9112, section
+// 9.3.2).
 bool
 IsSafe(http::verb aMethod)
 {
@@ -158,15 +159,15 @@
   Watch();
 }
 
-// NOTE: The first byte is waited for, not read: what was read already but not yet handled
-// could not be told from an idle connection when that is closed.
+// NOTE: This only waits for the first byte and does not read it. Otherwise a connection whose
+// bytes were read but not yet handled would look idle when idle connections are closed.
 void
 HttpSession::Watch()
 {
   if (isWatching_ || isReading_ || isClosed_) {
     return;
   }
-  // Bytes that must not be read yet would end the wait at once, again and again.
+  // Unread bytes that must not be read yet would end the wait immediately and cause a busy loop.
   if (!MayRead() && HasUnreadBytes()) {
     return;
   }
@@ -323,7 +324,7 @@
   if (!next.keepsAlive_ || !next.answer_->isFramed_) {
     return false;
   }
-  // What was read is answered before a drained connection closes.
+  // A draining connection closes only after all requests read so far are answered.
   const bool isLast = exchanges_.size() == 1 && !held_ && !isReading_;
   return !(listener_->isDraining_ && isLast);
 }
--- a/Libraries/LibNet/HttpSession.h
+++ b/Libraries/LibNet/HttpSession.h
@@ -18,23 +18,23 @@
 
 class HttpSession;
 
-// What the sessions of one listener share.
+// State shared by the sessions of one listener.
 struct HttpListener
 {
   HttpLimits limits_;
   HttpHandler& handler_;
-  // Each connection is closed after its next answer.
+  // Every connection is closed after its next response.
   bool isDraining_ = false;
   std::set<HttpSession*> sessions_;
-  // Those that carry no request, with the time until which each may stay so: the one
-  // that has been idle the longest is the first.
+  // Sessions without a request, ordered by the end of their idle timeout: the session that has
+  // been idle longest is first.
   std::set<std::pair<Instant, HttpSession*>> idle_;
   std::uint64_t lastId_ = 0;
 };
 
-// A connection that a server has taken. It carries one request after the other; those that
-// its client sends ahead of answers are handed on side by side, up to a bound, while all of
-// them are of safe methods, and are answered in the order in which they came.
+// Server side of one HTTP connection, with keep-alive and pipelining. Pipelined requests are
+// passed to the handler concurrently, up to a limit, as long as all of them have safe methods;
+// responses are sent in the order of the requests.
 class HttpSession : public std::enable_shared_from_this<HttpSession>
 {
 public:
@@ -51,51 +51,51 @@
   // Waits for the first request.
   void Start();
 
-  // Closes the connection if it carries no request now and none lies unread; whether
-  // it did.
+  // Closes the connection if it has no request in progress and no unread bytes. Returns whether
+  // it was closed.
   bool CloseIfIdle();
 
 private:
-  // A request that was read and whose answer was not written yet.
+  // A request that was read and whose response has not been written yet.
   struct Exchange
   {
     std::uint64_t id_ = 0;
     bool isSafe_ = false;
-    // Whether the connection may carry on after the answer.
+    // Whether the connection stays open after the response.
     bool keepsAlive_ = false;
     std::optional<HttpResponse> answer_;
   };
 
-  // The connection carries no request from now on.
+  // Marks the connection as idle and starts its idle timeout.
   void BeginIdle();
   void EndIdle();
-  // Whether one more request may be read now.
+  // Returns whether one more request may be read now.
   bool MayRead() const;
-  // Reads what comes next, if that may be done now.
+  // Starts the held request or reads the next one, if allowed now; otherwise waits for bytes.
   void Advance();
-  // Waits for bytes, or the end of the connection, without reading.
+  // Waits until the socket is readable or closed by the peer, without reading.
   void Watch();
   void OnReadable(boost::system::error_code aError);
   void ReadRequest();
   void OnRead(boost::system::error_code aError);
-  // Hands the request on.
+  // Passes the request to the handler.
   void Begin(Exchange aExchange, HttpRequest aRequest);
-  // Answers what could not be read as a request, unless the peer is gone.
+  // Responds to a malformed, too large or late request, unless the connection has failed.
   void RefuseUnreadable(boost::system::error_code aError);
   bool HasUnreadBytes();
   bool IsClosedByPeer();
   void Respond(std::uint64_t aId, HttpResponse aResponse);
-  // Writes the answer that is next in order, if it is there.
+  // Writes the response that is next in order, if it is available.
   void WriteNext();
-  // Whether the connection carries on after the answer that is next in order.
+  // Returns whether the connection stays open after the response that is next in order.
   bool KeepsAliveAfterNext() const;
   void PrepareResponse(const HttpResponse& aResponse);
   void OnWritten(boost::system::error_code aError);
-  // The client will get no more answers: tells the handler, and closes.
+  // Closes the connection and reports unanswered requests to the handler.
   void Abandon();
   void Close();
-  // Takes and drops what the client had sent ahead: a connection that is closed over unread
-  // bytes is reset, and its client may lose the last answer.
+  // Reads and discards what the client has already sent. Closing a socket with unread bytes
+  // resets the connection, and the client may lose the last response.
   void DropUnread();
 
   boost::beast::tcp_stream stream_;
@@ -104,9 +104,9 @@
   std::optional<boost::beast::http::request_parser<boost::beast::http::string_body>> parser_;
   std::optional<boost::beast::http::response<boost::beast::http::span_body<const char>>> response_;
   std::shared_ptr<const std::string> body_;
-  // In the order in which they came.
+  // In the order of arrival.
   std::deque<Exchange> exchanges_;
-  // A request that must not be handed on before those in front of it are answered.
+  // A request with an unsafe method, held back until all requests before it are answered.
   std::optional<std::pair<Exchange, HttpRequest>> held_;
   bool isWatching_ = false;
   bool isReading_ = false;
@@ -114,9 +114,9 @@
   // No further request is read.
   bool hasReadLast_ = false;
   bool isClosed_ = false;
-  // No byte of a request was read since the last answer.
+  // No byte of a request has been read since the last response.
   bool isIdle_ = false;
-  // When it is to be closed, while it is idle.
+  // End of the idle timeout, while idle.
   Instant idleUntil_{ 0 };
 };
 
--- a/Libraries/LibNet/MonotonicClock.h
+++ b/Libraries/LibNet/MonotonicClock.h
@@ -4,7 +4,7 @@
 
 namespace latchslip {
 
-// The moment on this machine's monotonic clock.
+// Returns the current time of the monotonic clock. Comparable only within one machine.
 inline Instant
 MonotonicNow()
 {
--- a/Libraries/LibNet/Peer.capnp
+++ b/Libraries/LibNet/Peer.capnp
@@ -1,7 +1,7 @@
 @0xd3a1f0b2c4e59687;
 
-# The messages between entry instances. LibNet/PeerCodec.cpp turns them into the
-# typed messages of LibInstance/Messages.h and back.
+# Messages between instances. LibNet/PeerCodec.cpp converts them to and from the types of
+# LibInstance/Messages.h.
 
 using Cxx = import "/capnp/c++.capnp";
 $Cxx.namespace("latchslip::wire");
--- a/Libraries/LibNet/PeerCodec.h
+++ b/Libraries/LibNet/PeerCodec.h
@@ -11,9 +11,11 @@
 
 namespace latchslip {
 
-// The first message of a link, with which the two ends prove themselves.
+// The handshake of a peer link: the accepting end sends a challenge, then each end sends a hello
+// with a proof (see PeerProof.h).
 struct PeerChallenge
 {
+  // Random bytes that the dialling end must include in its proof.
   std::string nonce_;
 };
 struct PeerHello
@@ -23,6 +25,7 @@
   std::string nonce_;
   std::string proof_;
 };
+// Any message of a peer link.
 using WireMessage = std::variant<PeerMessage, PeerChallenge, PeerHello>;
 
 struct CodecError
@@ -32,11 +35,11 @@
 template<typename T>
 using CodecResult = Result<T, CodecError>;
 
+// Serializes a message with its frame header.
 WireBytes
 EncodeWire(const WireMessage& aMessage);
 
-// Takes the bytes of one message without the length that frames it. They must
-// be aligned to 8 bytes.
+// Decodes one message without its frame header. aBytes must be aligned to 8 bytes.
 CodecResult<WireMessage>
 DecodeWire(std::span<const std::uint8_t> aBytes);
 
--- a/Libraries/LibNet/PeerNetwork.cpp
+++ b/Libraries/LibNet/PeerNetwork.cpp
@@ -22,7 +22,7 @@
 constexpr Duration kDialPause = milliseconds(200);
 constexpr Duration kHandshakeLimit = seconds(2);
 
-// Gives the messages of a stream; one that cannot be read closes it.
+// Returns a frame handler that decodes messages; a malformed message closes the stream.
 FrameStream::FrameFunction
 ReadMessages(const std::weak_ptr<FrameStream>& aStream,
              std::function<void(const WireMessage&)> aOnMessage)
@@ -37,7 +37,7 @@
   };
 }
 
-// The link that this instance dials to one peer, and dials again when it breaks.
+// The outgoing link to one peer; redials when it closes.
 class DialledLink : public std::enable_shared_from_this<DialledLink>
 {
 public:
@@ -86,7 +86,8 @@
   std::size_t Send(const PeerMessage& aMessage) { return stream_->Send(EncodeWire(aMessage)); }
 
 private:
-  // An address that swallows packets must not keep the link from being tried anew.
+  // Bounds connecting and the handshake. Without it an address that drops packets would block the
+  // link from being redialled.
   void BoundHandshake(const std::shared_ptr<tcp::socket>& aSocket)
   {
     timer_.expires_after(kHandshakeLimit);
@@ -173,7 +174,7 @@
   bool isStopped_ = false;
 };
 
-// A link that a peer dialled to this instance; messages only come in on it.
+// An incoming link dialled by a peer; after the handshake it is used only for receiving.
 class AcceptedLink : public std::enable_shared_from_this<AcceptedLink>
 {
 public:
--- a/Libraries/LibNet/PeerNetwork.h
+++ b/Libraries/LibNet/PeerNetwork.h
@@ -10,24 +10,24 @@
 
 namespace latchslip {
 
-// Receives what happens on the links between instances.
+// Receives events of the links between instances.
 class PeerHandler
 {
 public:
   virtual ~PeerHandler() = default;
 
-  // Messages can be sent to the peer from now on.
+  // The link to the peer is up; messages can be sent.
   virtual void OnPeerUp(const InstanceId& aPeer, const std::string& aHall) = 0;
-  // A link to or from the peer broke; what was under way may be lost.
+  // A link to or from the peer has closed; messages in flight may be lost.
   virtual void OnPeerDown(const InstanceId& aPeer) = 0;
   virtual void OnPeerMessage(const InstanceId& aFrom, const PeerMessage& aMessage) = 0;
-  // Somebody could not prove to be a peer.
+  // A connection failed authentication.
   virtual void OnPeerRefused(const std::string& aAddress, const std::string& aReason) = 0;
 };
 
-// The links to all peers: Cap'n Proto messages in frames over TCP, on the event
-// loop of Asio. Each instance dials every other and sends on the link it
-// dialled. Both ends prove that they know the fleet's secret first.
+// Full mesh of links between instances: framed Cap'n Proto messages over TCP. Each instance
+// dials every other instance and sends only on the link that it dialled. Both ends first
+// authenticate with the fleet's shared secret. Broken links are redialled.
 class PeerNetwork
 {
 public:
@@ -39,18 +39,21 @@
     std::string secret_;
   };
 
+  // Opens the listener; an error names the address or the missing secret.
   static FieldResult<std::unique_ptr<PeerNetwork>> Create(boost::asio::io_context& aContext,
                                                           Settings aSettings,
                                                           PeerHandler& aHandler);
   virtual ~PeerNetwork() = default;
 
-  // Dials those that are new and hangs up on those no longer listed.
+  // Dials new peers and closes the links to peers that are no longer listed.
   virtual void SetPeers(const std::vector<ListedInstance>& aPeers) = 0;
 
-  // False when there is no link to exactly this run of the peer; then nothing
-  // was sent.
+  // Sends a message on an open link. Returns false, with nothing sent, if there is no link to
+  // exactly this incarnation of the peer.
   virtual bool Send(const InstanceId& aTo, const PeerMessage& aMessage) = 0;
+  // Returns the bytes sent since the start, frame headers included.
   virtual std::uint64_t BytesSent() const = 0;
+  // Returns the part of BytesSent() that is not forwarded requests, answers and cancellations.
   virtual std::uint64_t ControlBytesSent() const = 0;
 };
 
--- a/Libraries/LibNet/PeerProof.cpp
+++ b/Libraries/LibNet/PeerProof.cpp
@@ -11,8 +11,7 @@
 
 constexpr std::size_t kNonceBytes = 16;
 
-// Each field after its length, so that two different hellos never have the same
-// bytes to sign.
+// Appends a length-prefixed field, so that different hellos never serialize to the same bytes.
 void
 Append(std::string& aText, const std::string& aField)
 {
--- a/Libraries/LibNet/PeerProof.h
+++ b/Libraries/LibNet/PeerProof.h
@@ -6,26 +6,27 @@
 
 namespace latchslip {
 
-// Fresh random bytes for one handshake.
+// Returns random bytes for one handshake.
 std::string
 MakeNonce();
 
+// The ends of a link: the instance that opened the connection, and the one that accepted it.
 enum class PeerRole
 {
   Dialler,
   Acceptor,
 };
 
-// What shows that the sender of a hello knows the fleet's secret: an HMAC-SHA256
-// over both nonces, the role and the identity. Neither side's proof can be sent
-// back to it as its own.
+// Computes the proof that the sender of a hello knows the fleet's secret: an HMAC-SHA256 over
+// both nonces, the role and the identity. The role prevents reflection: a proof cannot be sent
+// back to its own sender as the other end's proof.
 std::string
 ComputeProof(const std::string& aSecret,
              PeerRole aRole,
              const std::string& aChallenge,
              const PeerHello& aHello);
 
-// Compares in constant time.
+// Compares two proofs in constant time.
 bool
 IsProofValid(const std::string& aExpected, const std::string& aGiven);
 
--- a/Libraries/LibNet/Permit.capnp
+++ b/Libraries/LibNet/Permit.capnp
@@ -1,7 +1,7 @@
 @0xb8e1c7d2a4f36095;
 
-# The messages between instances and dispatchers. LibNet/PermitCodec.cpp turns them into the
-# typed messages of LibGateway/PermitMessages.h and back.
+# Messages between instances and permit dispatchers. LibNet/PermitCodec.cpp converts them to and
+# from the types of LibGateway/PermitMessages.h.
 
 using Cxx = import "/capnp/c++.capnp";
 $Cxx.namespace("latchslip::wire");
@@ -70,7 +70,7 @@
   }
 }
 
-# What one instance says in one turn.
+# The messages that one instance sends over a link in one turn of its event loop.
 struct PermitBatch {
   to @0 :List(ToDispatcher);
   from @1 :List(FromDispatcher);
--- a/Libraries/LibNet/PermitCodec.cpp
+++ b/Libraries/LibNet/PermitCodec.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-// A batch is a few kilobytes; this bounds what a broken one may cost.
+// Traversal limit for a malicious or corrupt batch; a valid batch has a few kilobytes.
 constexpr std::uint64_t kMostWords = 1024ULL * 1024;
 
 void
--- a/Libraries/LibNet/PermitCodec.h
+++ b/Libraries/LibNet/PermitCodec.h
@@ -9,7 +9,7 @@
 
 namespace latchslip {
 
-// What is said over a link between an instance and a dispatcher in one turn.
+// The messages sent over a permit link within one turn of the event loop.
 struct PermitBatch
 {
   std::vector<MessageToDispatcher> toDispatcher_;
@@ -19,11 +19,11 @@
   bool operator==(const PermitBatch&) const = default;
 };
 
-// With the length that frames it.
+// Serializes a batch with its frame header.
 WireBytes
 EncodePermitBatch(const PermitBatch& aBatch);
 
-// Takes the bytes of one message without its length, aligned to 8 bytes.
+// Decodes a batch without its frame header. aBytes must be aligned to 8 bytes.
 FieldResult<PermitBatch>
 DecodePermitBatch(std::span<const std::uint8_t> aBytes);
 
--- a/Libraries/LibNet/PlatformClient.cpp
+++ b/Libraries/LibNet/PlatformClient.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// A transaction that is not answered in this time is unsure.
+// After it the outcome of a transaction is unknown.
 constexpr Duration kTransactionTimeout = seconds(2);
 constexpr Duration kReadTimeout = milliseconds(1500);
 
@@ -18,7 +18,8 @@
   const auto status = aExchange.response_.status_;
   const bool isAnswer = aExchange.end_ == ExchangeEnd::Complete && (status == 200 || status == 409);
   if (!isAnswer) {
-    // Only a refusal before any effect, or no byte sent, is certain.
+    // A transaction certainly had no effect only if no byte was sent or the platform answered
+    // with status 503; otherwise its outcome is unknown.
     const bool isCertain = aExchange.end_ == ExchangeEnd::NotSent ||
                            (aExchange.end_ == ExchangeEnd::Complete && status == 503);
     reply.status_ = aCall.isRead_ || isCertain ? StoreStatus::Unavailable : StoreStatus::Unsure;
--- a/Libraries/LibNet/ServerProtocol.cpp
+++ b/Libraries/LibNet/ServerProtocol.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Numbers of 64 bits travel as text, since JSON numbers may lose their low bits.
+// Reads a 64-bit number written as a JSON string, because JSON numbers may lose their low bits.
 FieldResult<std::uint64_t>
 ReadNumber(const JsonReader& aReader, std::string_view aName)
 {
@@ -131,7 +131,7 @@
 {
   WorkReply reply;
   if (aResponse.Header(kWorkHeader) != std::to_string(aOrder.id_)) {
-    // Somebody else's answer must not reach this caller.
+    // The response belongs to another request and must not reach this caller.
     reply.end_ = WorkEnd::Broken;
     return reply;
   }
--- a/Libraries/LibNet/ServerProtocol.h
+++ b/Libraries/LibNet/ServerProtocol.h
@@ -10,16 +10,16 @@
 
 namespace latchslip {
 
-// The HTTP messages between an instance and a backend server.
+// HTTP protocol between an instance and a backend server: grants and work.
 
-// Headers of a request for work.
+// Headers of a work request.
 inline constexpr std::string_view kFenceHeader = "Latchslip-Fence";
 inline constexpr std::string_view kWorkHeader = "Latchslip-Work";
 inline constexpr std::string_view kValidUntilHeader = "Latchslip-Valid-Until";
 inline constexpr std::string_view kRequestIdHeader = "Latchslip-Request-Id";
 inline constexpr std::string_view kGroupHeader = "Latchslip-Group";
-// In an answer: the request was not run, and why ("refused", "shed", "expired",
-// "cancelled"). Without it the answer is the service's own.
+// Response header: the request was not run, and why ("refused", "shed", "expired",
+// "cancelled"). A response without it comes from the service itself.
 inline constexpr std::string_view kNotRunHeader = "Latchslip-Not-Run";
 inline constexpr std::string_view kRetryAfterHeader = "Latchslip-Retry-After-Ms";
 
@@ -34,10 +34,11 @@
 
 HttpRequest
 MakeWorkRequest(const WorkOrder& aOrder);
-// Also checks that the answer is for this very work.
+// Interprets a server's response. A response with another work id counts as Broken.
 WorkReply
 ToWorkReply(const WorkOrder& aOrder, const HttpResponse& aResponse);
 
+// Parses an unsigned decimal number; returns aDefault if the text is anything else.
 std::uint64_t
 ParseNumber(std::string_view aText, std::uint64_t aDefault);
 
--- a/Tests/LibNet/TestDeflate.cpp
+++ b/Tests/LibNet/TestDeflate.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// The rows of a table of a thousand servers, as instances tell them to each other.
+// Returns the rows of a table of a thousand servers in the format of updates between instances.
 std::string
 MakeRows()
 {
--- a/Tests/LibNet/TestHttp.cpp
+++ b/Tests/LibNet/TestHttp.cpp
@@ -17,8 +17,8 @@
 
 using tcp = boost::asio::ip::tcp;
 
-// Answers with the body it got; "/never" keeps its caller waiting, and "/drop"
-// closes the connection without an answer.
+// Echoes the request body. "/never" is not answered until Release(), and "/drop" closes the
+// connection without an answer.
 class EchoHandler : public HttpHandler
 {
 public:
@@ -35,7 +35,7 @@
     aRespond(std::move(response));
   }
   void OnGone(std::uint64_t) override { ++gone_; }
-  // Answers what is kept, by its place, with that body.
+  // Answers the unanswered request with that index.
   void Release(std::size_t aPlace, const std::string& aBody)
   {
     HttpResponse response;
@@ -61,7 +61,7 @@
     Listen();
   }
 
-  // Finds a free port, so that tests can run side by side.
+  // Searches for a free port, so that tests can run in parallel.
   void Listen()
   {
     for (int port = 21000; port < 22000 && !server_; ++port) {
@@ -104,7 +104,7 @@
     return socket;
   }
 
-  // What comes until the server closes.
+  // Returns what the server sends until it closes the connection.
   std::string ReadToEnd(tcp::socket& aSocket)
   {
     std::string answer;
@@ -118,7 +118,7 @@
     return answer;
   }
 
-  // Sends raw bytes and returns what came back until the server closed.
+  // Sends raw bytes and returns the server's bytes until it closes the connection.
   std::string SendRaw(const std::string& aBytes)
   {
     auto socket = Connect();
@@ -145,7 +145,7 @@
 TEST_F(HttpOnLoopback, BodyIsLargerThanAllowed_RefusedAndNothingRun)
 {
   const auto exchange = Send("/echo", std::string(9'000'000, 'p'));
-  // The answer may be cut off by the reset that follows it while bytes arrive.
+  // The response may be lost: the server resets the connection while the body is arriving.
   if (exchange.end_ == ExchangeEnd::Complete) {
     EXPECT_EQ(exchange.response_.status_, 413U);
   }
@@ -226,24 +226,24 @@
   EXPECT_EQ(second.error().field_, address_);
 }
 
-// A request that has arrived when the listener closes is answered: at the moment
-// of the close the kernel has it, or the loop has but its handler has not run.
+// A request that arrived before the listener closes must be answered, also if it is still in the
+// kernel's buffer or if its read handler is queued in the event loop but has not run.
 TEST_F(HttpOnLoopback, ListenerClosesWhileARequestLiesUnhandled_ItIsAnswered)
 {
   auto socket = Connect();
-  // Let the connection be accepted and wait for its first byte.
+  // Lets the server accept the connection and wait for the first byte.
   context_.run_for(std::chrono::milliseconds(20));
   context_.restart();
   boost::asio::write(socket,
                      boost::asio::buffer(std::string("GET /x HTTP/1.1\r\nHost: a\r\n\r\n")));
-  // The loop looks at its sockets between the two posts.
+  // The event loop polls its sockets between the two posts.
   boost::asio::post(context_, [&] { boost::asio::post(context_, [&] { server_->BeginClose(); }); });
   const auto answer = ReadToEnd(socket);
   EXPECT_EQ(handler_.requests_, 1);
   EXPECT_NE(answer.find("200 OK"), std::string::npos) << answer;
 }
 
-// The same for a connection that the kernel has opened but nobody has accepted.
+// As above, for a connection in the kernel's backlog that has not been accepted yet.
 TEST_F(HttpOnLoopback, ListenerClosesWhileAConnectionWaits_ItsRequestIsAnswered)
 {
   auto socket = Connect();
@@ -255,7 +255,8 @@
   EXPECT_NE(answer.find("200 OK"), std::string::npos) << answer;
 }
 
-// Refused clients come back on new connections and leave the former ones open.
+// Guards against clients being locked out: refused clients reconnect and leave their former
+// connections open and idle.
 TEST_F(HttpOnLoopback, IdleConnectionsReachTheLimit_NewOneIsServed)
 {
   std::vector<tcp::socket> idle;
@@ -266,7 +267,7 @@
   context_.restart();
   ASSERT_EQ(server_->Connections(), limits_.connections_);
   EXPECT_EQ(Send("/echo", "late").end_, ExchangeEnd::Complete);
-  // The one that was idle the longest has made room.
+  // The connection that was idle longest was closed.
   EXPECT_EQ(ReadToEnd(idle.front()), "");
   EXPECT_LE(server_->Connections(), limits_.connections_);
 }
@@ -287,7 +288,7 @@
   EXPECT_EQ(handler_.gone_, 0);
 }
 
-// Clients of some deployments send further requests before the first is answered.
+// Clients of some deployments pipeline requests.
 class ClientThatSendsAhead : public HttpOnLoopback
 {
 protected:
@@ -304,7 +305,7 @@
     context_.restart();
   }
 
-  // What has come so far.
+  // Returns the bytes received so far.
   std::string Received()
   {
     std::string text(socket_.available(), ' ');
--- a/Tests/LibNet/TestPermitCodec.cpp
+++ b/Tests/LibNet/TestPermitCodec.cpp
@@ -11,7 +11,7 @@
 FieldResult<PermitBatch>
 Decode(const WireBytes& aFrame)
 {
-  // Copied, so that what is decoded is aligned.
+  // Copied, because the decoder needs aligned bytes.
   std::vector<std::uint64_t> words((aFrame.size() - kFrameHeaderBytes) / 8);
   std::memcpy(words.data(), aFrame.data() + kFrameHeaderBytes, words.size() * 8);
   return DecodePermitBatch(
@@ -57,7 +57,7 @@
     auto broken = frame;
     broken[kFrameHeaderBytes + random() % (broken.size() - kFrameHeaderBytes)] =
       static_cast<std::uint8_t>(random());
-    // Whatever it is, reading it ends.
+    // Any result is valid as long as decoding terminates without a crash.
     [[maybe_unused]] const auto read = Decode(broken);
   }
   EXPECT_FALSE(Decode(WireBytes(kFrameHeaderBytes + 16, 0xff)));
