--- a/Libraries/LibDaemon/PeerRpc.h
+++ b/Libraries/LibDaemon/PeerRpc.h
@@ -35,10 +35,11 @@
   void OnClientDisconnected(std::uint64_t) override {}
 
 private:
-  // Sends a serialized update along these branches. An unresponsive or failed root is skipped:
-  // its branch is split and sent from here.
+  // Sends a serialized update along these branches. If the root of a branch is unresponsive or
+  // the send to it fails, the rest of its branch is split and sent from here.
   void Forward(const std::vector<UpdateBranch>& aBranches,
                const std::shared_ptr<const std::string>& aUpdate);
+  // Sends to one root; aBranch.forwardTo_ is empty for a root that is not expected to forward.
   void ForwardTo(const UpdateBranch& aBranch, const std::shared_ptr<const std::string>& aUpdate);
   HttpResponse HandleReport(const HttpRequest& aRequest);
   HttpResponse HandleUsage(const HttpRequest& aRequest);
--- a/Libraries/LibDaemon/PermitLinks.cpp
+++ b/Libraries/LibDaemon/PermitLinks.cpp
@@ -77,7 +77,7 @@
     streams.push_back(link.stream_);
   }
   for (const auto& stream : streams) {
-    stream->Close("the instance stops");
+    stream->Close("instance is stopping");
   }
 }
 
@@ -119,7 +119,7 @@
   events_.Record(Event::PeerRefused, "reason=\"" + batch.error().Describe() + "\"");
   // Closing removes the stream from the links, so this reference keeps it alive meanwhile.
   const auto stream = aStream.shared_from_this();
-  stream->Close("sent what cannot be read");
+  stream->Close("received a malformed batch");
   return std::nullopt;
 }
 
@@ -224,7 +224,7 @@
   if (const auto link = dispatcherLinks_.find(aDispatcher); link != dispatcherLinks_.end()) {
     const auto stream = link->second.stream_;
     dispatcherLinks_.erase(link);
-    stream->Close("does not answer");
+    stream->Close("dispatcher does not respond");
   }
 }
 
--- a/Libraries/LibDaemon/SettingSources.cpp
+++ b/Libraries/LibDaemon/SettingSources.cpp
@@ -28,7 +28,7 @@
     auto* flag = absl::FindCommandLineFlag(name);
     std::string problem;
     if (value != nullptr && flag != nullptr && !flag->ParseFrom(value, &problem)) {
-      return FieldError{ variable, "\"" + std::string(value) + "\" is not allowed: " + problem };
+      return FieldError{ variable, "\"" + std::string(value) + "\" is invalid: " + problem };
     }
   }
   return outcome::success();
--- a/Libraries/LibNet/FrameStream.cpp
+++ b/Libraries/LibNet/FrameStream.cpp
@@ -54,7 +54,7 @@
   queuedBytes_ += size;
   queue_.push_back(std::move(aFrame));
   if (queuedBytes_ > kMaxQueuedBytes) {
-    Close("the peer does not read");
+    Close("send queue is full: the peer does not read");
   } else if (!isWriting_) {
     Write();
   }
@@ -99,7 +99,7 @@
   std::uint32_t size = 0;
   std::memcpy(&size, header_.data(), sizeof(size));
   if (size > kMaxMessageBytes || size % kWord != 0) {
-    Close("a frame of an impossible size");
+    Close("invalid frame size");
     return;
   }
   // body_ has 8-byte elements so that the message is aligned.
--- a/Libraries/LibNet/HttpClient.cpp
+++ b/Libraries/LibNet/HttpClient.cpp
@@ -51,7 +51,7 @@
     }
     auto connection = TakeIdle(*pool);
     if (!connection && pool->open_ >= mostConnections_) {
-      Fail(id, std::move(aCallback), "no connection is free");
+      Fail(id, std::move(aCallback), "all connections to the address are in use");
       return id;
     }
     if (!connection) {
--- a/Libraries/LibNet/HttpClient.h
+++ b/Libraries/LibNet/HttpClient.h
@@ -82,7 +82,7 @@
   // Closes the connection of an exchange without calling its callback.
   virtual void Cancel(ExchangeId aId) = 0;
   // Closes idle connections that the server has closed or is about to close. Called
-  // periodically by the hosts.
+  // periodically by GatewayHost.
   virtual void PruneIdle() = 0;
   virtual std::size_t OpenConnections() const = 0;
   // Returns whether an idle connection to that address is available. The server may have closed
--- a/Libraries/LibNet/PeerCodec.cpp
+++ b/Libraries/LibNet/PeerCodec.cpp
@@ -301,7 +301,7 @@
                                     FromData(hello.getProof()) });
     }
   }
-  return CodecError{ "message: is of a kind that this release does not know" };
+  return CodecError{ "message: has a type that this release does not support" };
 }
 
 } // namespace
--- a/Libraries/LibNet/PeerNetwork.cpp
+++ b/Libraries/LibNet/PeerNetwork.cpp
@@ -76,7 +76,7 @@
     isStopped_ = true;
     timer_.cancel();
     if (stream_) {
-      stream_->Close("no longer listed");
+      stream_->Close("peer is no longer listed");
     }
   }
 
@@ -98,7 +98,7 @@
       error_code ignored;
       aSocket->close(ignored);
       if (self->stream_) {
-        self->stream_->Close("the handshake took too long");
+        self->stream_->Close("handshake timed out");
       }
     });
   }
@@ -141,8 +141,8 @@
     }
     const auto expected = ComputeProof(settings_.secret_, PeerRole::Acceptor, nonce_, *welcome);
     if (nonce_.empty() || !IsProofValid(expected, welcome->proof_)) {
-      handler_.OnPeerRefused(address_, "its proof does not fit the fleet's secret");
-      stream_->Close("refused");
+      handler_.OnPeerRefused(address_, "proof does not match the fleet's secret");
+      stream_->Close("authentication failed");
       return;
     }
     timer_.cancel();
@@ -211,8 +211,8 @@
       IsProofValid(ComputeProof(settings_.secret_, PeerRole::Dialler, challenge_, *hello),
                    hello->proof_);
     if (!isProven) {
-      handler_.OnPeerRefused(stream_->RemoteAddress(), "its proof does not fit the fleet's secret");
-      stream_->Close("refused");
+      handler_.OnPeerRefused(stream_->RemoteAddress(), "proof does not match the fleet's secret");
+      stream_->Close("authentication failed");
       return;
     }
     peer_ = hello->id_;
--- a/Libraries/LibNet/PermitCodec.cpp
+++ b/Libraries/LibNet/PermitCodec.cpp
@@ -132,7 +132,7 @@
 Read(wire::SendEnd::Reader aIn)
 {
   if (aIn.getResult() >= kSendResultNames.names_.size()) {
-    return FieldError{ "result", "is of a kind that this release does not know" };
+    return FieldError{ "result", "has a type that this release does not support" };
   }
   SendEnd end;
   end.number_ = aIn.getNumber();
@@ -168,7 +168,7 @@
     case wire::ToDispatcher::PROBE:
       return MessageToDispatcher(DispatcherProbe{});
   }
-  return FieldError{ "message", "is of a kind that this release does not know" };
+  return FieldError{ "message", "has a type that this release does not support" };
 }
 
 FieldResult<MessageFromDispatcher>
@@ -186,7 +186,7 @@
     case wire::FromDispatcher::SIGN:
       return MessageFromDispatcher(DispatcherSign{});
   }
-  return FieldError{ "message", "is of a kind that this release does not know" };
+  return FieldError{ "message", "has a type that this release does not support" };
 }
 
 FieldResult<PermitBatch>
