--- a/Libraries/LibDaemon/GatewayFront.h
+++ b/Libraries/LibDaemon/GatewayFrontend.h
@@ -4,8 +4,8 @@
 #include "LibDaemon/GatewayMetrics.h"
 #include "LibDaemon/LeavingObserver.h"
 #include "LibFleet/FleetMember.h"
-#include "LibGateway/GatewayRouter.h"
-#include "LibNet/DueTimer.h"
+#include "LibGateway/RequestDesk.h"
+#include "LibNet/DeadlineTimer.h"
 #include "LibNet/HttpServer.h"
 
 #include <functional>
@@ -15,38 +15,40 @@
 
 namespace latchslip {
 
-// Carries clients' requests to servers and the answers back, as the request router
-// decides.
-class GatewayFront
+// HTTP frontend of the gateway, a reverse proxy: receives HTTP requests of clients, forwards them
+// to backend servers and returns the responses. The request router decides on routing, retries and
+// refusals; this class does the I/O for it.
+class GatewayFrontend
   : public HttpHandler
   , private RequestActions
 {
 public:
-  // Told of each request for a key.
+  // Called for each request that names a key, to count the load per key.
   using KeyObserver = std::function<void(const std::string& aService, KeyNumber aKey)>;
 
-  GatewayFront(boost::asio::io_context& aContext,
-               GatewayRouterSettings aSettings,
-               const GatewayCodec& aCodec,
-               const ServerDirectory& aDirectory,
-               PermitSource& aPermits,
-               EventSink& aEvents,
-               GatewayMetrics& aMetrics,
-               KeyObserver aObserver,
-               LeavingObserver aLeavingObserver);
+  GatewayFrontend(boost::asio::io_context& aContext,
+                  RequestDeskSettings aSettings,
+                  const GatewayCodec& aCodec,
+                  const ServerDirectory& aDirectory,
+                  PermitSource& aPermits,
+                  EventSink& aEvents,
+                  GatewayMetrics& aMetrics,
+                  KeyObserver aKeyObserver,
+                  LeavingObserver aLeavingObserver);
 
   void OnRequest(std::uint64_t aId, HttpRequest aRequest, HttpResponder aRespond) override;
-  void OnGone(std::uint64_t aId) override;
+  void OnClientDisconnected(std::uint64_t aId) override;
 
   GatewayRouter& Router() { return router_; }
   const GatewayRouter& Router() const { return router_; }
   // Closes idle connections that servers are about to close.
   void PruneIdle() { client_->PruneIdle(); }
-  // To be called after the router was told of something from outside.
+  // Re-arms the timer for the router's next deadline. Call after each change to the router from
+  // outside this class.
   void ArmTimer() { timer_.Arm(); }
 
 private:
-  // A client's request that has no answer yet.
+  // A client's request without a response yet.
   struct ClientRequest
   {
     RoutedRequest routed_;
@@ -55,15 +57,15 @@
     Instant arrival_{ 0 };
   };
 
-  // A send to a server that is under way.
+  // An attempt in flight to a backend server.
   struct RunningAttempt
   {
-    AttemptCommand order_;
+    AttemptOrder command_;
     ExchangeId exchange_ = 0;
     HttpResponse answer_;
   };
 
-  void Send(const AttemptCommand& aOrder) override;
+  void Send(const AttemptOrder& aCommand) override;
   void Cancel(AttemptNumber aAttempt) override;
   void Deliver(RequestNumber aRequest, AttemptNumber aAttempt) override;
   void Refuse(RequestNumber aRequest, const Refusal& aRefusal) override;
@@ -75,17 +77,20 @@
   {
     leavingObserver_(aServer, aIncarnation);
   }
-  void CountKey(const std::string& aService, KeyNumber aKey) override { observer_(aService, aKey); }
+  void CountKey(const std::string& aService, KeyNumber aKey) override
+  {
+    keyObserver_(aService, aKey);
+  }
   void OnExchangeEnded(AttemptNumber aAttempt, HttpExchange aExchange);
   void Respond(RequestNumber aRequest, HttpResponse aResponse);
 
   const GatewayCodec& codec_;
   GatewayMetrics& metrics_;
-  KeyObserver observer_;
+  KeyObserver keyObserver_;
   LeavingObserver leavingObserver_;
   std::unique_ptr<HttpClient> client_;
-  GatewayRouter router_;
-  DueTimer timer_;
+  RequestDesk desk_;
+  DeadlineTimer timer_;
   std::unordered_map<RequestNumber, ClientRequest> requests_;
   std::unordered_map<AttemptNumber, RunningAttempt> attempts_;
 };
--- a/Libraries/LibDaemon/GatewayHost.cpp
+++ b/Libraries/LibDaemon/GatewayHost.cpp
@@ -1,6 +1,6 @@
 #include "LibDaemon/GatewayHost.h"
 
-#include "LibDaemon/PeerCalls.h"
+#include "LibDaemon/PeerRpc.h"
 #include "LibDaemon/PermitLinks.h"
 #include "LibDaemon/StopSequence.h"
 #include "LibNet/MonotonicClock.h"
@@ -13,22 +13,22 @@
 
 namespace asio = boost::asio;
 
-// Between two looks at what is due in the fleet's duties.
-constexpr Duration kStep = milliseconds(50);
-// Between two looks for idle connections that servers are about to close.
+// Period of the timer that runs the fleet member's periodic tasks.
+constexpr Duration kTickInterval = milliseconds(50);
+// Period at which idle connections that servers are about to close are dropped.
 constexpr Duration kPruneInterval = seconds(1);
-// An order to a server that is not answered in this time counts as unanswered.
-constexpr Duration kOrderTimeout = milliseconds(1500);
-constexpr Duration kOrderConnectTimeout = milliseconds(300);
-// A connection for orders carries the next one only within this time, in which a
-// server hardly ever closes it; the orders that renew what one server holds follow
-// each other within a step.
-constexpr Duration kOrderIdle = 3 * kStep;
-// To one server: as many as the placer sends orders to it.
-constexpr std::size_t kMostOrderConnections = 64;
+// Timeout of a command (grant or release) to a backend server.
+constexpr Duration kCommandTimeout = milliseconds(1500);
+constexpr Duration kCommandConnectTimeout = milliseconds(300);
+// A command connection is reused only within this time, in which servers almost never close
+// it. The commands that renew the leases of one server follow each other within one tick.
+constexpr Duration kMaxCommandIdleTime = 3 * kTickInterval;
+// Command connections per backend server; covers the commands that the placer sends to one
+// server at once.
+constexpr std::size_t kMaxCommandConnections = 64;
 
 std::vector<std::string>
-NamesOf(const std::vector<RoutedService>& aServices)
+ServiceNames(const std::vector<RoutedService>& aServices)
 {
   std::vector<std::string> names;
   names.reserve(aServices.size());
@@ -61,9 +61,9 @@
                settings_.peerAddress_,
                settings_.permitPort_,
                member_.Directory(),
-               RecordLeaving(),
+               MakeLeavingObserver(),
                aEvents)
-    , front_(
+    , frontend_(
         aContext,
         settings_.router_,
         aCodec,
@@ -72,15 +72,15 @@
         aEvents,
         metrics_,
         [this](const std::string& aService, KeyNumber aKey) { member_.CountKey(aService, aKey); },
-        RecordLeaving())
-    , orders_(HttpClient::Create(aContext, kMostOrderConnections))
+        MakeLeavingObserver())
+    , commandClient_(HttpClient::Create(aContext, kMaxCommandConnections))
     , peers_(aContext, member_, [this] { return RenderMetrics(); })
     , timer_(aContext)
   {
     permits_.Client().SetListener(*this);
-    front_.Router().SetGroupAdmission(member_.Gate());
+    frontend_.Desk().SetGroupGate(member_.Gate());
     if (settings_.member_.apiKeyBound_) {
-      front_.Router().SetApiKeysProvenUntil(Instant::min());
+      frontend_.Desk().SetApiKeysProvenUntil(Instant::min());
     }
   }
 
@@ -93,19 +93,19 @@
     HttpLimits limits;
     limits.connections_ = settings_.clientConnections_;
     BOOST_OUTCOME_TRY(clientServer_,
-                      HttpServer::Create(aContext, settings_.clientAddress_, limits, front_));
+                      HttpServer::Create(aContext, settings_.clientAddress_, limits, frontend_));
     if (settings_.permitPort_ != 0) {
       BOOST_OUTCOME_TRY(permits_.Listen());
     }
     store_.Start(*this);
-    Step();
+    Tick();
     return outcome::success();
   }
 
   void Reload(const GatewayHostSettings& aSettings) override
   {
     settings_.stopGrace_ = aSettings.stopGrace_;
-    front_.Router().SetRetryParameters(aSettings.router_.retries_);
+    frontend_.Desk().SetRetryTerms(aSettings.desk_.retries_);
     events_.Record(Event::SettingsReloaded, "");
   }
 
@@ -118,7 +118,7 @@
   }
 
 private:
-  // Answers the balancer.
+  // Answers the load balancer's readiness checks.
   class ReadyHandler : public HttpHandler
   {
   public:
@@ -132,7 +132,7 @@
       constexpr unsigned kNotReady = 503;
       aRespond(MakeHttpResponse(host_.IsReady() ? kReady : kNotReady, ""));
     }
-    void OnGone(std::uint64_t) override {}
+    void OnClientDisconnected(std::uint64_t) override {}
 
   private:
     AsioGatewayHost& host_;
@@ -144,43 +144,43 @@
   {
     return metrics_.Render(
       events_,
-      front_.Router().Statistics(),
+      frontend_.Desk().Tally(),
       store_.Calls(),
-      { { "requests_under_way", static_cast<double>(front_.Router().InFlight()) },
-        { "requests_waiting", static_cast<double>(front_.Router().Waiting()) },
+      { { "requests_under_way", static_cast<double>(frontend_.Desk().UnderWay()) },
+        { "requests_waiting", static_cast<double>(frontend_.Desk().Waiting()) },
         { "is_placer", member_.IsPlacer() ? 1 : 0 },
         { "is_ready", IsReady() ? 1 : 0 },
         { "servers_listed", static_cast<double>(member_.Directory().All().size()) } });
   }
 
-  void Step()
+  void Tick()
   {
     const auto now = MonotonicNow();
     member_.OnTime(now);
     permits_.OnTime();
     if (now >= nextPrune_) {
       nextPrune_ = now + kPruneInterval;
-      front_.PruneIdle();
-      orders_->PruneIdle();
+      frontend_.PruneIdle();
+      commandClient_->PruneIdle();
     }
-    front_.ArmTimer();
+    frontend_.ArmTimer();
     events_.Flush();
-    if (ContinueLeaving(now)) {
+    if (AdvanceStop(now)) {
       return;
     }
-    timer_.expires_after(kStep);
+    timer_.expires_after(kTickInterval);
     timer_.async_wait([this](boost::system::error_code aError) {
       if (!aError) {
-        Step();
+        Tick();
       }
     });
   }
 
-  // Takes the next steps of a stop, if one has begun. Whether it is complete.
-  bool ContinueLeaving(Instant aNow)
+  // Advances a planned stop, if one has begun. Returns true once the stop is complete.
+  bool AdvanceStop(Instant aNow)
   {
     const auto stage = stop_.StageAt(aNow);
-    if (stage == StopStage::None || stage == StopStage::Unnoticed) {
+    if (stage == StopStage::None || stage == StopStage::AwaitingBalancer) {
       return false;
     }
     clientServer_->BeginDrain();
@@ -188,15 +188,15 @@
       isClosing_ = true;
       clientServer_->BeginClose();
     }
-    const bool isQuiet = front_.Router().InFlight() == 0 && clientServer_->Connections() == 0;
-    if (!stop_.IsOver(aNow, settings_.stopGrace_, isQuiet)) {
+    const bool isQuiet = frontend_.Desk().UnderWay() == 0 && clientServer_->Connections() == 0;
+    if (!stop_.IsComplete(aNow, settings_.stopGrace_, isQuiet)) {
       return false;
     }
-    End(isQuiet);
+    FinishStop(isQuiet);
     return true;
   }
 
-  void End(bool aIsQuiet)
+  void FinishStop(bool aIsQuiet)
   {
     readyServer_->BeginClose();
     peerServer_->BeginClose();
@@ -214,13 +214,13 @@
     http.headerBytes_ = aLimits.headerBytes_;
     http.bodyBytes_ = aLimits.bodyBytes_;
     http.transfer_ = std::max<Duration>(http.transfer_, aLimits.headerTime_);
-    // Kept longer when the limit shrinks: clients may still use the former one.
+    // Never shortened: clients may still rely on the longer timeout announced before.
     idleTime_ = std::max(idleTime_, aLimits.idleTime_);
     http.idle_ = idleTime_;
     clientServer_->SetLimits(http);
   }
 
-  // What FleetMember decides.
+  // FleetActions: carries out the decisions of FleetMember.
   void Transact(const Transaction& aTransaction) override
   {
     store_.Transact(aTransaction, [this](const StoreReply& aReply) {
@@ -228,30 +228,30 @@
     });
   }
 
-  LeavingObserver RecordLeaving()
+  LeavingObserver MakeLeavingObserver()
   {
     return [this](const std::string& aServer, std::uint64_t aIncarnation) {
       member_.OnServerReportedLeaving(MonotonicNow(), aServer, aIncarnation);
     };
   }
 
-  void SendCommand(const std::string& aService, const KeyCommand& aCommand) override
+  void SendCommand(const std::string& aService, const KeyOrder& aCommand) override
   {
     ExchangeOptions options;
-    options.timeout_ = kOrderTimeout;
-    options.connectTimeout_ = kOrderConnectTimeout;
-    options.mostIdle_ = kOrderIdle;
-    orders_->Send(aCommand.address_,
-                  codec_.EncodeCommand(aCommand),
-                  std::move(options),
-                  [this, aService, aCommand](const HttpExchange& aExchange) {
-                    const auto outcome = codec_.DecodeCommand(aCommand, aExchange);
-                    if (outcome.isLeaving_) {
-                      member_.OnServerReportedLeaving(
-                        MonotonicNow(), aCommand.server_, aCommand.incarnation_);
-                    }
-                    member_.OnCommandEnded(MonotonicNow(), aService, aCommand.number_, outcome);
-                  });
+    options.timeout_ = kCommandTimeout;
+    options.connectTimeout_ = kCommandConnectTimeout;
+    options.maxIdleTime_ = kMaxCommandIdleTime;
+    commandClient_->Send(
+      aCommand.address_,
+      codec_.EncodeOrder(aCommand),
+      std::move(options),
+      [this, aService, aCommand](const HttpExchange& aExchange) {
+        const auto outcome = codec_.DecodeOrder(aCommand, aExchange);
+        if (outcome.isLeaving_) {
+          member_.OnServerReportedLeaving(MonotonicNow(), aCommand.server_, aCommand.life_);
+        }
+        member_.OnOrderEnded(MonotonicNow(), aService, aCommand.number_, outcome);
+      });
   }
 
   void SendReport(const std::string& aAddress, const InstanceReport& aReport) override
@@ -264,9 +264,9 @@
     store_.SetPollMode(aHow, aKnown);
   }
 
-  void SendUpdate(const std::vector<UpdateBranch>& aBranches, const FleetUpdate& aNews) override
+  void SendUpdate(const std::vector<UpdateBranch>& aBranches, const FleetUpdate& aUpdate) override
   {
-    peers_.SendUpdate(aBranches, aNews);
+    peers_.SendUpdate(aBranches, aUpdate);
   }
 
   void FetchUpdate(const std::string& aAddress, const TableVersions& aVersions) override
@@ -287,65 +287,65 @@
     peers_.SendUsage(aAddress, aReport);
   }
 
-  void OnApiKeysProven(Instant aUntil) override { front_.Router().SetApiKeysProvenUntil(aUntil); }
+  void OnApiKeysProven(Instant aUntil) override { frontend_.Desk().SetApiKeysProvenUntil(aUntil); }
 
   void OnRoutes(std::shared_ptr<const RouteTable> aRoutes) override
   {
     ApplyLimits(aRoutes->Configuration().limits_);
     permits_.Dispatcher().SetRoutes(MonotonicNow(), aRoutes);
-    permits_.Client().SetServices(MonotonicNow(), NamesOf(aRoutes->Configuration().services_));
-    front_.Router().SetRoutes(MonotonicNow(), std::move(aRoutes));
+    permits_.Client().SetServices(MonotonicNow(), ServiceNames(aRoutes->Configuration().services_));
+    frontend_.Desk().SetRoutes(MonotonicNow(), std::move(aRoutes));
   }
 
   void OnDirectoryChanged() override
   {
     permits_.Dispatcher().OnDirectoryChanged(MonotonicNow());
-    front_.Router().OnDirectoryChanged(MonotonicNow());
+    frontend_.Desk().OnDirectoryChanged(MonotonicNow());
   }
 
   void OnOwnership(const KeyOwnership& aOwnership) override
   {
-    front_.Router().SetOwnership(MonotonicNow(), aOwnership);
+    frontend_.Desk().SetOwnership(MonotonicNow(), aOwnership);
   }
 
-  void OnStalenessChanged(bool aIsStale) override { front_.Router().SetUpdatesStale(aIsStale); }
+  void OnStalenessChanged(bool aIsStale) override { frontend_.Desk().SetNewsStale(aIsStale); }
 
   void OnInstances(const std::map<std::string, FleetPeer>& aPeers) override
   {
-    front_.Router().SetInstances(aPeers.size());
+    frontend_.Desk().SetInstances(aPeers.size());
     if (settings_.permitPort_ != 0) {
       permits_.Client().SetPeers(MonotonicNow(), aPeers);
     }
   }
 
-  // What becomes of asks for permits.
+  // PermitListener: passes results of permit requests to the router.
   void OnPermit(Instant aNow, AttemptNumber aNumber, const std::string& aServer) override
   {
-    front_.Router().OnPermit(aNow, aNumber, aServer);
-    front_.ArmTimer();
+    frontend_.Desk().OnPermit(aNow, aNumber, aServer);
+    frontend_.ArmTimer();
   }
   void OnPermitDelayed(Instant aNow, AttemptNumber aNumber) override
   {
-    front_.Router().OnPermitDelayed(aNow, aNumber);
-    front_.ArmTimer();
+    frontend_.Desk().OnPermitDelayed(aNow, aNumber);
+    frontend_.ArmTimer();
   }
   void OnPermitDenied(Instant aNow, AttemptNumber aNumber, Duration aWait) override
   {
-    front_.Router().OnPermitDenied(aNow, aNumber, aWait);
-    front_.ArmTimer();
+    frontend_.Desk().OnPermitDenied(aNow, aNumber, aWait);
+    frontend_.ArmTimer();
   }
   void OnPermitRequestLost(Instant aNow, AttemptNumber aNumber) override
   {
-    front_.Router().OnPermitRequestLost(aNow, aNumber);
-    front_.ArmTimer();
+    frontend_.Desk().OnAskLost(aNow, aNumber);
+    frontend_.ArmTimer();
   }
 
   ServerWork TakeWorkOf(const std::string& aServer) override
   {
-    return front_.Router().TakeWorkOf(aServer);
+    return frontend_.Desk().TakeWorkOf(aServer);
   }
 
-  // What the store says.
+  // FleetStoreListener: passes changes of the store to FleetMember.
   void OnView(const TableView& aView) override { member_.OnView(MonotonicNow(), aView); }
   void OnStoreLost() override { member_.OnStoreLost(MonotonicNow()); }
   void OnStoreRegained() override { member_.OnStoreRegained(MonotonicNow()); }
@@ -358,9 +358,9 @@
   FleetMember member_;
   GatewayMetrics metrics_;
   PermitLinks permits_;
-  GatewayFront front_;
-  std::unique_ptr<HttpClient> orders_;
-  PeerCalls peers_;
+  GatewayFrontend frontend_;
+  std::unique_ptr<HttpClient> commandClient_;
+  PeerRpc peers_;
   ReadyHandler ready_{ *this };
   std::unique_ptr<HttpServer> clientServer_;
   std::unique_ptr<HttpServer> readyServer_;
@@ -368,9 +368,9 @@
   asio::steady_timer timer_;
   Instant nextPrune_ = Instant::min();
   StopSequence stop_;
-  // Whether the listener for clients was told to close.
+  // Whether the client listener has been closed.
   bool isClosing_ = false;
-  // How long an idle connection of a client is kept.
+  // Idle timeout of client connections.
   Duration idleTime_{ 0 };
 };
 
--- a/Libraries/LibDaemon/LineLog.h
+++ b/Libraries/LibDaemon/LineLog.h
@@ -9,58 +9,59 @@
 
 namespace latchslip {
 
-// How much a log may say.
+// Rate and buffer limits of a LineLog.
 struct LineLogLimits
 {
-  // Lines a second about single requests, beyond which the rest is only counted.
-  double requestLines_ = 150;
-  // The same for what changes the beliefs of the instance: a fleet of hundreds of
-  // servers lists them all within seconds.
-  double stateLines_ = 600;
-  // Bytes that wait for a reader who does not read.
-  std::size_t waitingBytes_ = 256UL * 1024;
+  // Lines per second about single requests; lines above it are dropped and counted.
+  double requestLinesPerSecond_ = 150;
+  // Lines per second about state changes. Higher, because a fleet of hundreds of servers
+  // lists all of them within seconds.
+  double stateLinesPerSecond_ = 600;
+  // Bytes buffered while the reader of the descriptor is slow or stuck.
+  std::size_t maxBufferedBytes_ = 256UL * 1024;
 };
 
-// Writes each event as one line of "name=value" words to a file descriptor, and
-// never waits for its reader: what does not fit is dropped and counted. Failures
-// of requests go before their successes.
+// Event sink that writes each event as one line of "name=value" pairs to a file descriptor.
+// It never blocks: lines above the rate limits or the buffer limit are dropped and counted.
+// Successful requests, failed requests and state changes have a rate limit each, so that
+// successes cannot crowd out failures.
 class LineLog : public EventSink
 {
 public:
-  // aInstance stands on each line. The descriptor is made non-blocking.
+  // aInstance is written on each line. Makes the descriptor non-blocking.
   LineLog(int aDescriptor, std::string aInstance, LineLogLimits aLimits);
 
   void Record(Event aEvent, std::string_view aDetail) override;
-  // Writes what waits, as far as the reader takes it. To be called often.
+  // Writes as much of the buffer as the descriptor accepts. Called periodically by the host.
   void Flush();
-  // How many events of that kind there were, written or not.
+  // Returns the number of recorded events of that kind, including dropped lines.
   std::uint64_t CountOf(Event aEvent) const;
-  // Lines that were dropped since the start.
+  // Returns the number of lines dropped since the start.
   std::uint64_t Dropped() const { return dropped_; }
 
 private:
-  // What may still be said of one kind within the present second.
-  struct Allowance
+  // Token bucket with a capacity of one second's lines.
+  struct LineRateLimiter
   {
-    double left_ = 0;
-    Instant filledAt_{ 0 };
+    double tokens_ = 0;
+    Instant refilledAt_{ 0 };
 
     bool Take(Instant aNow, double aPerSecond);
   };
 
   void Append(Instant aNow, Event aEvent, std::string_view aDetail);
-  void TellDropped(Instant aNow);
+  void ReportDropped(Instant aNow);
 
   int descriptor_;
   std::string instance_;
   LineLogLimits limits_;
-  // Successes of requests, their failures, and all else.
-  std::array<Allowance, 3> allowances_;
+  // Indexed by line class: successful requests, failed requests, state changes.
+  std::array<LineRateLimiter, 3> rateLimiters_;
   std::array<std::uint64_t, 1000> counts_{};
-  std::string waiting_;
+  std::string buffer_;
   std::uint64_t dropped_ = 0;
-  std::uint64_t toldDropped_ = 0;
-  Instant nextTell_{ 0 };
+  std::uint64_t reportedDropped_ = 0;
+  Instant nextDropReport_{ 0 };
 };
 
 } // namespace latchslip
--- a/Libraries/LibNet/CapnpMessage.h
+++ b/Libraries/LibNet/CapnpMessage.h
@@ -11,7 +11,7 @@
 
 namespace latchslip {
 
-// With its length, since a text may hold any byte.
+// Passes the length, because a text may contain NUL bytes.
 inline kj::StringPtr
 ToText(const std::string& aText)
 {
@@ -24,28 +24,27 @@
   return { aText.cStr(), aText.size() };
 }
 
-// A whole message with the length that frames it.
+// Serializes a complete message with its frame header.
 inline WireBytes
-FrameOfMessage(capnp::MessageBuilder& aBuilder)
+MakeMessageFrame(capnp::MessageBuilder& aBuilder)
 {
   const auto words = capnp::messageToFlatArray(aBuilder);
   const auto bytes = words.asBytes();
-  return FrameOf({ bytes.begin(), bytes.size() });
+  return MakeFrame({ bytes.begin(), bytes.size() });
 }
 
-// Gives the root of a message to aRead, and the problem to aFail when it is malformed.
-// aBytes must be aligned to 8 bytes; aMostWords bounds what a broken message may cost.
+// Decodes a message: passes its root to aRead or, if it is malformed, the problem to aFail, and
+// returns that function's result. aBytes must be aligned to 8 bytes. aMaxWords, in words of
+// 8 bytes, bounds the traversal of a malicious or corrupt message.
 template<typename TRoot, typename TRead, typename TFail>
 auto
-ReadMessage(std::span<const std::uint8_t> aBytes,
-            std::uint64_t aMostWords,
-            TRead aRead,
-            TFail aFail) -> decltype(aRead(std::declval<typename TRoot::Reader>()))
+ReadMessage(std::span<const std::uint8_t> aBytes, std::uint64_t aMaxWords, TRead aRead, TFail aFail)
+  -> decltype(aRead(std::declval<typename TRoot::Reader>()))
 {
-  // NOTE: Cap'n Proto throws on malformed input; the exception ends here.
+  // NOTE: Cap'n Proto throws on malformed input; this is the only place that catches it.
   try {
     capnp::ReaderOptions options;
-    options.traversalLimitInWords = aMostWords;
+    options.traversalLimitInWords = aMaxWords;
     const kj::ArrayPtr<const capnp::word> words(reinterpret_cast<const capnp::word*>(aBytes.data()),
                                                 aBytes.size() / sizeof(capnp::word));
     capnp::FlatArrayMessageReader reader(words, options);
--- a/Libraries/LibNet/FrameStream.cpp
+++ b/Libraries/LibNet/FrameStream.cpp
@@ -12,15 +12,15 @@
 using boost::system::error_code;
 using tcp = asio::ip::tcp;
 
-constexpr std::size_t kMostMessageBytes = 48ULL * 1024 * 1024;
-// A peer that does not read is hung up on rather than waited for.
-constexpr std::size_t kMostQueuedBytes = 128ULL * 1024 * 1024;
+constexpr std::size_t kMaxMessageBytes = 48ULL * 1024 * 1024;
+// A peer that does not read is disconnected when this many bytes are queued.
+constexpr std::size_t kMaxQueuedBytes = 128ULL * 1024 * 1024;
 constexpr std::size_t kWord = sizeof(std::uint64_t);
 
 } // namespace
 
 WireBytes
-FrameOf(std::span<const std::uint8_t> aMessage)
+MakeFrame(std::span<const std::uint8_t> aMessage)
 {
   WireBytes frame(kFrameHeaderBytes + aMessage.size(), 0);
   const auto size = static_cast<std::uint32_t>(aMessage.size());
@@ -53,8 +53,8 @@
   const auto size = aFrame.size();
   queuedBytes_ += size;
   queue_.push_back(std::move(aFrame));
-  if (queuedBytes_ > kMostQueuedBytes) {
-    Close("the peer does not read");
+  if (queuedBytes_ > kMaxQueuedBytes) {
+    Close("send queue is full: the peer does not read");
   } else if (!isWriting_) {
     Write();
   }
@@ -98,11 +98,11 @@
   }
   std::uint32_t size = 0;
   std::memcpy(&size, header_.data(), sizeof(size));
-  if (size > kMostMessageBytes || size % kWord != 0) {
-    Close("a frame of an impossible size");
+  if (size > kMaxMessageBytes || size % kWord != 0) {
+    Close("invalid frame size");
     return;
   }
-  // Words, so that the message is aligned.
+  // body_ has 8-byte elements so that the message is aligned.
   body_.resize(size / kWord);
   asio::async_read(
     socket_,
@@ -118,7 +118,7 @@
     return;
   }
   if (onFrame_) {
-    // A copy, because the handler may close the stream and so end itself.
+    // A copy, because the handler may close the stream, which destroys onFrame_.
     const auto handler = onFrame_;
     handler({ reinterpret_cast<const std::uint8_t*>(body_.data()), body_.size() * kWord });
   }
--- a/Libraries/LibNet/HttpClient.cpp
+++ b/Libraries/LibNet/HttpClient.cpp
@@ -18,13 +18,13 @@
 class BeastHttpClient : public HttpClient
 {
 public:
-  BeastHttpClient(asio::io_context& aContext, std::size_t aMostConnections)
+  BeastHttpClient(asio::io_context& aContext, std::size_t aMaxConnections)
     : context_(aContext)
-    , maxConnections_(aMostConnections)
+    , mostConnections_(aMaxConnections)
   {
   }
 
-  // Idle connections refer to their pool, so the circle is broken here.
+  // Idle connections and their pool own each other, so the cycle is broken here.
   ~BeastHttpClient() override
   {
     for (auto& [address, pool] : pools_) {
@@ -50,8 +50,8 @@
       pool = std::make_shared<HttpPool>();
     }
     auto connection = TakeIdle(*pool);
-    if (!connection && pool->open_ >= maxConnections_) {
-      Fail(id, std::move(aCallback), "no connection is free");
+    if (!connection && pool->open_ >= mostConnections_) {
+      Fail(id, std::move(aCallback), "all connections to the address are in use");
       return id;
     }
     if (!connection) {
@@ -139,9 +139,9 @@
 } // namespace
 
 std::unique_ptr<HttpClient>
-HttpClient::Create(asio::io_context& aContext, std::size_t aMostConnections)
+HttpClient::Create(asio::io_context& aContext, std::size_t aMaxConnections)
 {
-  return std::make_unique<BeastHttpClient>(aContext, aMostConnections);
+  return std::make_unique<BeastHttpClient>(aContext, aMaxConnections);
 }
 
 } // namespace latchslip
--- a/Libraries/LibNet/HttpSession.cpp
+++ b/Libraries/LibNet/HttpSession.cpp
@@ -15,14 +15,14 @@
 
 namespace {
 
-// Where the first field of a request's header is read into.
+// Size of the read buffer, beyond the limit on headers.
 constexpr std::size_t kReadBuffer = 64UL * 1024;
 
-// Requests of one connection that are under way side by side. Clients wait a second for an
-// answer to be begun, and few send more ahead.
-constexpr std::size_t kMostAhead = 8;
-// How long what a client had sent ahead is taken in after the last answer.
-constexpr Duration kDropTime = milliseconds(300);
+// Maximum number of pipelined requests of one connection in progress. Clients wait one second
+// for a response to start, and few pipeline more requests.
+constexpr std::size_t kMaxPipelined = 8;
+// Time for which unread bytes are read and discarded after the last response.
+constexpr Duration kDiscardTimeout = milliseconds(300);
 
 std::string
 ErrorBody(std::string_view aField, std::string_view aProblem)
@@ -31,7 +31,7 @@
          std::string(aProblem) + "\"}}";
 }
 
-// What is wrong with bytes that are no request.
+// Error response to bytes that are not a valid request.
 struct RequestProblem
 {
   unsigned status_;
@@ -39,7 +39,7 @@
   std::string_view problem_;
 };
 
-// No value when the connection failed, so that an answer would reach nobody.
+// Returns std::nullopt if the connection has failed, so that no response can be sent.
 std::optional<RequestProblem>
 ProblemOf(error_code aError)
 {
@@ -52,15 +52,17 @@
   if (aError == beast::error::timeout) {
     return RequestProblem{ 408, "request", "did not arrive in time" };
   }
-  const bool isOfHttp =
+  const bool isHttpError =
     aError.category() == http::make_error_code(http::error::end_of_stream).category();
-  if (!isOfHttp || aError == http::error::end_of_stream || aError == http::error::partial_message) {
+  if (!isHttpError || aError == http::error::end_of_stream ||
+      aError == http::error::partial_message) {
     return std::nullopt;
   }
   return RequestProblem{ 400, "request", "is not valid HTTP/1.1" };
 }
 
-// Whether requests of that method may run side by side (RFC 9112, section 9.3.2).
+// Returns whether pipelined requests of that method may run concurrently (RFC 9112, section
+// 9.3.2).
 bool
 IsSafe(http::verb aMethod)
 {
@@ -125,9 +127,9 @@
 }
 
 bool
-HttpSession::MayRead() const
+HttpSession::CanRead() const
 {
-  if (isClosed_ || isReading_ || hasReadLast_ || held_) {
+  if (isClosed_ || isReading_ || hasReadLast_ || deferred_) {
     return false;
   }
   if (exchanges_.empty()) {
@@ -136,19 +138,19 @@
   const bool areSafe = std::all_of(exchanges_.begin(),
                                    exchanges_.end(),
                                    [](const Exchange& aExchange) { return aExchange.isSafe_; });
-  return areSafe && exchanges_.size() < kMostAhead && !listener_->isDraining_;
+  return areSafe && exchanges_.size() < kMaxPipelined && !listener_->isDraining_;
 }
 
 void
 HttpSession::Advance()
 {
-  if (held_ && exchanges_.empty()) {
-    auto [exchange, request] = std::move(*held_);
-    held_.reset();
+  if (deferred_ && exchanges_.empty()) {
+    auto [exchange, request] = std::move(*deferred_);
+    deferred_.reset();
     Begin(std::move(exchange), std::move(request));
     return;
   }
-  if (MayRead() && buffer_.size() > 0) {
+  if (CanRead() && buffer_.size() > 0) {
     ReadRequest();
     return;
   }
@@ -158,16 +160,16 @@
   Watch();
 }
 
-// NOTE: The first byte is waited for, not read: what was read already but not yet handled
-// could not be told from an idle connection when that is closed.
+// NOTE: This only waits for the first byte and does not read it. Otherwise a connection whose
+// bytes were read but not yet handled would look idle when idle connections are closed.
 void
 HttpSession::Watch()
 {
   if (isWatching_ || isReading_ || isClosed_) {
     return;
   }
-  // Bytes that must not be read yet would end the wait at once, again and again.
-  if (!MayRead() && HasUnreadBytes()) {
+  // Unread bytes that must not be read yet would end the wait immediately and cause a busy loop.
+  if (!CanRead() && HasUnreadBytes()) {
     return;
   }
   isWatching_ = true;
@@ -187,7 +189,7 @@
     Abandon();
     return;
   }
-  if (MayRead()) {
+  if (CanRead()) {
     ReadRequest();
   }
 }
@@ -215,7 +217,7 @@
     return;
   }
   if (aError) {
-    RefuseUnreadable(aError);
+    RejectMalformed(aError);
     return;
   }
   auto message = parser_->release();
@@ -226,7 +228,7 @@
   hasReadLast_ = !exchange.keepsAlive_;
   auto request = TakeRequest(message);
   if (!exchange.isSafe_ && !exchanges_.empty()) {
-    held_.emplace(std::move(exchange), std::move(request));
+    deferred_.emplace(std::move(exchange), std::move(request));
     Watch();
     return;
   }
@@ -246,7 +248,7 @@
 }
 
 void
-HttpSession::RefuseUnreadable(error_code aError)
+HttpSession::RejectMalformed(error_code aError)
 {
   const auto problem = ProblemOf(aError);
   if (!problem) {
@@ -323,8 +325,8 @@
   if (!next.keepsAlive_ || !next.answer_->isFramed_) {
     return false;
   }
-  // What was read is answered before a drained connection closes.
-  const bool isLast = exchanges_.size() == 1 && !held_ && !isReading_;
+  // A draining connection closes only after all requests read so far are answered.
+  const bool isLast = exchanges_.size() == 1 && !deferred_ && !isReading_;
   return !(listener_->isDraining_ && isLast);
 }
 
@@ -372,11 +374,11 @@
 HttpSession::Abandon()
 {
   auto unanswered = std::exchange(exchanges_, {});
-  held_.reset();
+  deferred_.reset();
   Close();
   for (const auto& exchange : unanswered) {
     if (!exchange.answer_) {
-      listener_->handler_.OnGone(exchange.id_);
+      listener_->handler_.OnClientDisconnected(exchange.id_);
     }
   }
 }
@@ -389,15 +391,15 @@
   error_code ignored;
   stream_.socket().shutdown(tcp::socket::shutdown_send, ignored);
   if (!isReading_ && HasUnreadBytes()) {
-    stream_.expires_after(kDropTime);
-    DropUnread();
+    stream_.expires_after(kDiscardTimeout);
+    DiscardUnread();
     return;
   }
   stream_.close();
 }
 
 void
-HttpSession::DropUnread()
+HttpSession::DiscardUnread()
 {
   buffer_.clear();
   stream_.async_read_some(buffer_.prepare(kReadBuffer),
@@ -405,7 +407,7 @@
                             if (aError) {
                               self->stream_.close();
                             } else {
-                              self->DropUnread();
+                              self->DiscardUnread();
                             }
                           });
 }
--- a/Libraries/LibNet/PeerNetwork.cpp
+++ b/Libraries/LibNet/PeerNetwork.cpp
@@ -19,10 +19,10 @@
 using boost::system::error_code;
 using tcp = asio::ip::tcp;
 
-constexpr Duration kDialPause = milliseconds(200);
-constexpr Duration kHandshakeLimit = seconds(2);
+constexpr Duration kRedialDelay = milliseconds(200);
+constexpr Duration kHandshakeTimeout = seconds(2);
 
-// Gives the messages of a stream; one that cannot be read closes it.
+// Returns a frame handler that decodes messages; a malformed message closes the stream.
 FrameStream::FrameFunction
 ReadMessages(const std::weak_ptr<FrameStream>& aStream,
              std::function<void(const WireMessage&)> aOnMessage)
@@ -37,7 +37,7 @@
   };
 }
 
-// The link that this instance dials to one peer, and dials again when it breaks.
+// The outgoing link to one peer; redials when it closes.
 class DialledLink : public std::enable_shared_from_this<DialledLink>
 {
 public:
@@ -61,10 +61,10 @@
     }
     auto socket = std::make_shared<tcp::socket>(context_);
     ++attempt_;
-    BoundHandshake(socket);
+    StartHandshakeTimer(socket);
     socket->async_connect(endpoint.value(), [self = shared_from_this(), socket](error_code aError) {
       if (aError || self->isStopped_) {
-        self->DialLater();
+        self->ScheduleRedial();
         return;
       }
       self->OnConnected(std::move(*socket));
@@ -76,7 +76,7 @@
     isStopped_ = true;
     timer_.cancel();
     if (stream_) {
-      stream_->Close("no longer listed");
+      stream_->Close("peer is no longer listed");
     }
   }
 
@@ -86,10 +86,11 @@
   std::size_t Send(const PeerMessage& aMessage) { return stream_->Send(EncodeWire(aMessage)); }
 
 private:
-  // An address that swallows packets must not keep the link from being tried anew.
-  void BoundHandshake(const std::shared_ptr<tcp::socket>& aSocket)
+  // Bounds connecting and the handshake. Without it an address that drops packets would block the
+  // link from being redialled.
+  void StartHandshakeTimer(const std::shared_ptr<tcp::socket>& aSocket)
   {
-    timer_.expires_after(kHandshakeLimit);
+    timer_.expires_after(kHandshakeTimeout);
     timer_.async_wait([self = shared_from_this(), aSocket, attempt = attempt_](error_code aError) {
       if (aError || self->isUp_ || attempt != self->attempt_) {
         return;
@@ -97,17 +98,17 @@
       error_code ignored;
       aSocket->close(ignored);
       if (self->stream_) {
-        self->stream_->Close("the handshake took too long");
+        self->stream_->Close("handshake timed out");
       }
     });
   }
 
-  void DialLater()
+  void ScheduleRedial()
   {
     if (isStopped_) {
       return;
     }
-    timer_.expires_after(kDialPause);
+    timer_.expires_after(kRedialDelay);
     timer_.async_wait([self = shared_from_this()](error_code aError) {
       if (!aError) {
         self->Dial();
@@ -140,8 +141,8 @@
     }
     const auto expected = ComputeProof(settings_.secret_, PeerRole::Acceptor, nonce_, *welcome);
     if (nonce_.empty() || !IsProofValid(expected, welcome->proof_)) {
-      handler_.OnPeerRefused(address_, "its proof does not fit the fleet's secret");
-      stream_->Close("refused");
+      handler_.OnPeerRefused(address_, "proof does not match the fleet's secret");
+      stream_->Close("authentication failed");
       return;
     }
     timer_.cancel();
@@ -157,7 +158,7 @@
     if (std::exchange(isUp_, false)) {
       handler_.OnPeerDown(peer_);
     }
-    DialLater();
+    ScheduleRedial();
   }
 
   asio::io_context& context_;
@@ -173,7 +174,7 @@
   bool isStopped_ = false;
 };
 
-// A link that a peer dialled to this instance; messages only come in on it.
+// An incoming link dialled by a peer; after the handshake it is used only for receiving.
 class AcceptedLink : public std::enable_shared_from_this<AcceptedLink>
 {
 public:
@@ -205,13 +206,13 @@
       return;
     }
     const auto* hello = std::get_if<PeerHello>(&aMessage);
-    const bool isProved =
+    const bool isProven =
       hello != nullptr &&
       IsProofValid(ComputeProof(settings_.secret_, PeerRole::Dialler, challenge_, *hello),
                    hello->proof_);
-    if (!isProved) {
-      handler_.OnPeerRefused(stream_->RemoteAddress(), "its proof does not fit the fleet's secret");
-      stream_->Close("refused");
+    if (!isProven) {
+      handler_.OnPeerRefused(stream_->RemoteAddress(), "proof does not match the fleet's secret");
+      stream_->Close("authentication failed");
       return;
     }
     peer_ = hello->id_;
--- a/Libraries/LibNet/PermitCodec.cpp
+++ b/Libraries/LibNet/PermitCodec.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-// A batch is a few kilobytes; this bounds what a broken one may cost.
-constexpr std::uint64_t kMostWords = 1024ULL * 1024;
+// Traversal limit for a malicious or corrupt batch; a valid batch has a few kilobytes.
+constexpr std::uint64_t kMaxWords = 1024ULL * 1024;
 
 void
-Write(wire::ToDispatcher::Builder aOut, const PermitRequest& aRequest)
+Write(wire::ToDispatcher::Builder aOut, const PermitAsk& aRequest)
 {
   auto out = aOut.initAsk();
   out.setNumber(aRequest.number_);
@@ -104,7 +104,7 @@
 PermitRequest
 Read(wire::PermitAsk::Reader aIn)
 {
-  PermitRequest request;
+  PermitAsk request;
   request.number_ = aIn.getNumber();
   request.service_ = FromText(aIn.getService());
   request.server_ = FromText(aIn.getServer());
@@ -132,7 +132,7 @@
 Read(wire::SendEnd::Reader aIn)
 {
   if (aIn.getResult() >= kSendResultNames.names_.size()) {
-    return FieldError{ "result", "is of a kind that this release does not know" };
+    return FieldError{ "result", "has a type that this release does not support" };
   }
   SendEnd end;
   end.number_ = aIn.getNumber();
@@ -168,7 +168,7 @@
     case wire::ToDispatcher::PROBE:
       return MessageToDispatcher(DispatcherProbe{});
   }
-  return FieldError{ "message", "is of a kind that this release does not know" };
+  return FieldError{ "message", "has a type that this release does not support" };
 }
 
 FieldResult<MessageFromDispatcher>
@@ -186,7 +186,7 @@
     case wire::FromDispatcher::SIGN:
       return MessageFromDispatcher(DispatcherSign{});
   }
-  return FieldError{ "message", "is of a kind that this release does not know" };
+  return FieldError{ "message", "has a type that this release does not support" };
 }
 
 FieldResult<PermitBatch>
@@ -220,7 +220,7 @@
     std::visit([&](const auto& aBody) { Write(from[index], aBody); },
                aBatch.fromDispatcher_[index]);
   }
-  return FrameOfMessage(builder);
+  return MakeMessageFrame(builder);
 }
 
 FieldResult<PermitBatch>
@@ -228,7 +228,7 @@
 {
   return ReadMessage<wire::PermitBatch>(
     aBytes,
-    kMostWords,
+    kMaxWords,
     [](wire::PermitBatch::Reader aRoot) { return Read(aRoot); },
     [](const std::string& aProblem) {
       return FieldError{ "message", aProblem };
--- a/Services/StandInPlatform/main.cpp
+++ b/Services/StandInPlatform/main.cpp
@@ -61,7 +61,7 @@
     }
   }
 
-  void OnGone(std::uint64_t) override {}
+  void OnClientDisconnected(std::uint64_t) override {}
 
 private:
   // Runs an action after a delay, or at once if the delay is 0.
--- a/Tests/LibNet/TestPermitCodec.cpp
+++ b/Tests/LibNet/TestPermitCodec.cpp
@@ -11,14 +11,14 @@
 FieldResult<PermitBatch>
 Decode(const WireBytes& aFrame)
 {
-  // Copied, so that what is decoded is aligned.
+  // Copied, because the decoder needs aligned bytes.
   std::vector<std::uint64_t> words((aFrame.size() - kFrameHeaderBytes) / 8);
   std::memcpy(words.data(), aFrame.data() + kFrameHeaderBytes, words.size() * 8);
   return DecodePermitBatch(
     { reinterpret_cast<const std::uint8_t*>(words.data()), words.size() * 8 });
 }
 
-TEST(PermitCodec, EveryMessage_IsReadAsItWasWritten)
+TEST(PermitCodec, EveryMessage_SurvivesRoundTrip)
 {
   PermitBatch batch;
   batch.toDispatcher_ = {
@@ -47,7 +47,7 @@
   EXPECT_EQ(read.value(), batch);
 }
 
-TEST(PermitCodec, BytesAreBroken_AreRefusedOrReadAsSomethingElse)
+TEST(PermitCodec, CorruptBytes_AreDecodedWithoutCrash)
 {
   PermitBatch batch;
   batch.toDispatcher_ = { SendEnd{ 10, SendResult::Shed, milliseconds(4), std::nullopt } };
@@ -57,7 +57,7 @@
     auto broken = frame;
     broken[kFrameHeaderBytes + random() % (broken.size() - kFrameHeaderBytes)] =
       static_cast<std::uint8_t>(random());
-    // Whatever it is, reading it ends.
+    // Any result is valid as long as decoding terminates without a crash.
     [[maybe_unused]] const auto read = Decode(broken);
   }
   EXPECT_FALSE(Decode(WireBytes(kFrameHeaderBytes + 16, 0xff)));
