--- a/Libraries/LibDaemon/GatewayCodec.h
+++ b/Libraries/LibDaemon/GatewayCodec.h
@@ -21,9 +21,9 @@
   virtual RoutedRequest DecodeRequest(RequestNumber aNumber, const HttpRequest& aRequest) const = 0;
   // Builds the request that is sent to the backend server for one attempt.
   virtual HttpRequest EncodeAttempt(const HttpRequest& aRequest,
-                                    const AttemptOrder& aCommand) const = 0;
+                                    const AttemptCommand& aCommand) const = 0;
   // Classifies how an attempt ended, from the server's response or the lack of one.
-  virtual AttemptOutcome DecodeAttempt(const AttemptOrder& aCommand,
+  virtual AttemptOutcome DecodeAttempt(const AttemptCommand& aCommand,
                                        const HttpExchange& aExchange) const = 0;
   // Converts a server's response to the one that is sent to the client.
   virtual HttpResponse EncodeAnswer(HttpResponse aAnswer) const = 0;
@@ -36,9 +36,9 @@
 
   // Convert a command about keys (grant or release) to the request that is sent to a server,
   // and the exchange back to the command's outcome.
-  virtual HttpRequest EncodeOrder(const KeyOrder& aCommand) const = 0;
-  virtual OrderOutcome DecodeOrder(const KeyOrder& aCommand,
-                                   const HttpExchange& aExchange) const = 0;
+  virtual HttpRequest EncodeCommand(const KeyCommand& aCommand) const = 0;
+  virtual CommandOutcome DecodeCommand(const KeyCommand& aCommand,
+                                       const HttpExchange& aExchange) const = 0;
 };
 
 } // namespace latchslip
--- a/Libraries/LibDaemon/GatewayFrontend.cpp
+++ b/Libraries/LibDaemon/GatewayFrontend.cpp
@@ -18,7 +18,7 @@
 } // namespace
 
 GatewayFrontend::GatewayFrontend(boost::asio::io_context& aContext,
-                                 RequestDeskSettings aSettings,
+                                 GatewayRouterSettings aSettings,
                                  const GatewayCodec& aCodec,
                                  const ServerDirectory& aDirectory,
                                  PermitSource& aPermits,
@@ -31,7 +31,7 @@
   , keyObserver_(std::move(aKeyObserver))
   , leavingObserver_(std::move(aLeavingObserver))
   , client_(HttpClient::Create(aContext, kMaxConnections))
-  , desk_(std::move(aSettings), aDirectory, *this, aPermits, aEvents)
+  , router_(std::move(aSettings), aDirectory, *this, aPermits, aEvents)
   , timer_(
       aContext,
       [this] { return router_.NextTime(); },
@@ -58,7 +58,7 @@
 }
 
 void
-GatewayFrontend::Send(const AttemptOrder& aCommand)
+GatewayFrontend::Send(const AttemptCommand& aCommand)
 {
   const auto request = requests_.find(aCommand.request_);
   if (request == requests_.end()) {
--- a/Libraries/LibDaemon/GatewayFrontend.h
+++ b/Libraries/LibDaemon/GatewayFrontend.h
@@ -4,7 +4,7 @@
 #include "LibDaemon/GatewayMetrics.h"
 #include "LibDaemon/LeavingObserver.h"
 #include "LibFleet/FleetMember.h"
-#include "LibGateway/RequestDesk.h"
+#include "LibGateway/GatewayRouter.h"
 #include "LibNet/DeadlineTimer.h"
 #include "LibNet/HttpServer.h"
 
@@ -27,7 +27,7 @@
   using KeyObserver = std::function<void(const std::string& aService, KeyNumber aKey)>;
 
   GatewayFrontend(boost::asio::io_context& aContext,
-                  RequestDeskSettings aSettings,
+                  GatewayRouterSettings aSettings,
                   const GatewayCodec& aCodec,
                   const ServerDirectory& aDirectory,
                   PermitSource& aPermits,
@@ -60,12 +60,12 @@
   // An attempt in flight to a backend server.
   struct RunningAttempt
   {
-    AttemptOrder command_;
+    AttemptCommand command_;
     ExchangeId exchange_ = 0;
     HttpResponse answer_;
   };
 
-  void Send(const AttemptOrder& aCommand) override;
+  void Send(const AttemptCommand& aCommand) override;
   void Cancel(AttemptNumber aAttempt) override;
   void Deliver(RequestNumber aRequest, AttemptNumber aAttempt) override;
   void Refuse(RequestNumber aRequest, const Refusal& aRefusal) override;
@@ -89,7 +89,7 @@
   KeyObserver keyObserver_;
   LeavingObserver leavingObserver_;
   std::unique_ptr<HttpClient> client_;
-  RequestDesk desk_;
+  GatewayRouter router_;
   DeadlineTimer timer_;
   std::unordered_map<RequestNumber, ClientRequest> requests_;
   std::unordered_map<AttemptNumber, RunningAttempt> attempts_;
--- a/Libraries/LibDaemon/GatewayHost.cpp
+++ b/Libraries/LibDaemon/GatewayHost.cpp
@@ -78,9 +78,9 @@
     , timer_(aContext)
   {
     permits_.Client().SetListener(*this);
-    frontend_.Desk().SetGroupGate(member_.Gate());
+    frontend_.Router().SetGroupAdmission(member_.Gate());
     if (settings_.member_.apiKeyBound_) {
-      frontend_.Desk().SetApiKeysProvenUntil(Instant::min());
+      frontend_.Router().SetApiKeysProvenUntil(Instant::min());
     }
   }
 
@@ -105,7 +105,7 @@
   void Reload(const GatewayHostSettings& aSettings) override
   {
     settings_.stopGrace_ = aSettings.stopGrace_;
-    frontend_.Desk().SetRetryTerms(aSettings.desk_.retries_);
+    frontend_.Router().SetRetryParameters(aSettings.router_.retries_);
     events_.Record(Event::SettingsReloaded, "");
   }
 
@@ -144,10 +144,10 @@
   {
     return metrics_.Render(
       events_,
-      frontend_.Desk().Tally(),
+      frontend_.Router().Statistics(),
       store_.Calls(),
-      { { "requests_under_way", static_cast<double>(frontend_.Desk().UnderWay()) },
-        { "requests_waiting", static_cast<double>(frontend_.Desk().Waiting()) },
+      { { "requests_under_way", static_cast<double>(frontend_.Router().InFlight()) },
+        { "requests_waiting", static_cast<double>(frontend_.Router().Waiting()) },
         { "is_placer", member_.IsPlacer() ? 1 : 0 },
         { "is_ready", IsReady() ? 1 : 0 },
         { "servers_listed", static_cast<double>(member_.Directory().All().size()) } });
@@ -188,7 +188,7 @@
       isClosing_ = true;
       clientServer_->BeginClose();
     }
-    const bool isQuiet = frontend_.Desk().UnderWay() == 0 && clientServer_->Connections() == 0;
+    const bool isQuiet = frontend_.Router().InFlight() == 0 && clientServer_->Connections() == 0;
     if (!stop_.IsComplete(aNow, settings_.stopGrace_, isQuiet)) {
       return false;
     }
@@ -235,7 +235,7 @@
     };
   }
 
-  void SendCommand(const std::string& aService, const KeyOrder& aCommand) override
+  void SendCommand(const std::string& aService, const KeyCommand& aCommand) override
   {
     ExchangeOptions options;
     options.timeout_ = kCommandTimeout;
@@ -243,14 +243,14 @@
     options.maxIdleTime_ = kMaxCommandIdleTime;
     commandClient_->Send(
       aCommand.address_,
-      codec_.EncodeOrder(aCommand),
+      codec_.EncodeCommand(aCommand),
       std::move(options),
       [this, aService, aCommand](const HttpExchange& aExchange) {
-        const auto outcome = codec_.DecodeOrder(aCommand, aExchange);
+        const auto outcome = codec_.DecodeCommand(aCommand, aExchange);
         if (outcome.isLeaving_) {
-          member_.OnServerReportedLeaving(MonotonicNow(), aCommand.server_, aCommand.life_);
+          member_.OnServerReportedLeaving(MonotonicNow(), aCommand.server_, aCommand.incarnation_);
         }
-        member_.OnOrderEnded(MonotonicNow(), aService, aCommand.number_, outcome);
+        member_.OnCommandEnded(MonotonicNow(), aService, aCommand.number_, outcome);
       });
   }
 
@@ -287,32 +287,35 @@
     peers_.SendUsage(aAddress, aReport);
   }
 
-  void OnApiKeysProven(Instant aUntil) override { frontend_.Desk().SetApiKeysProvenUntil(aUntil); }
+  void OnApiKeysProven(Instant aUntil) override
+  {
+    frontend_.Router().SetApiKeysProvenUntil(aUntil);
+  }
 
   void OnRoutes(std::shared_ptr<const RouteTable> aRoutes) override
   {
     ApplyLimits(aRoutes->Configuration().limits_);
     permits_.Dispatcher().SetRoutes(MonotonicNow(), aRoutes);
     permits_.Client().SetServices(MonotonicNow(), ServiceNames(aRoutes->Configuration().services_));
-    frontend_.Desk().SetRoutes(MonotonicNow(), std::move(aRoutes));
+    frontend_.Router().SetRoutes(MonotonicNow(), std::move(aRoutes));
   }
 
   void OnDirectoryChanged() override
   {
     permits_.Dispatcher().OnDirectoryChanged(MonotonicNow());
-    frontend_.Desk().OnDirectoryChanged(MonotonicNow());
+    frontend_.Router().OnDirectoryChanged(MonotonicNow());
   }
 
   void OnOwnership(const KeyOwnership& aOwnership) override
   {
-    frontend_.Desk().SetOwnership(MonotonicNow(), aOwnership);
+    frontend_.Router().SetOwnership(MonotonicNow(), aOwnership);
   }
 
-  void OnStalenessChanged(bool aIsStale) override { frontend_.Desk().SetNewsStale(aIsStale); }
+  void OnStalenessChanged(bool aIsStale) override { frontend_.Router().SetUpdatesStale(aIsStale); }
 
   void OnInstances(const std::map<std::string, FleetPeer>& aPeers) override
   {
-    frontend_.Desk().SetInstances(aPeers.size());
+    frontend_.Router().SetInstances(aPeers.size());
     if (settings_.permitPort_ != 0) {
       permits_.Client().SetPeers(MonotonicNow(), aPeers);
     }
@@ -321,28 +324,28 @@
   // PermitListener: passes results of permit requests to the router.
   void OnPermit(Instant aNow, AttemptNumber aNumber, const std::string& aServer) override
   {
-    frontend_.Desk().OnPermit(aNow, aNumber, aServer);
+    frontend_.Router().OnPermit(aNow, aNumber, aServer);
     frontend_.ArmTimer();
   }
   void OnPermitDelayed(Instant aNow, AttemptNumber aNumber) override
   {
-    frontend_.Desk().OnPermitDelayed(aNow, aNumber);
+    frontend_.Router().OnPermitDelayed(aNow, aNumber);
     frontend_.ArmTimer();
   }
   void OnPermitDenied(Instant aNow, AttemptNumber aNumber, Duration aWait) override
   {
-    frontend_.Desk().OnPermitDenied(aNow, aNumber, aWait);
+    frontend_.Router().OnPermitDenied(aNow, aNumber, aWait);
     frontend_.ArmTimer();
   }
   void OnPermitRequestLost(Instant aNow, AttemptNumber aNumber) override
   {
-    frontend_.Desk().OnAskLost(aNow, aNumber);
+    frontend_.Router().OnPermitRequestLost(aNow, aNumber);
     frontend_.ArmTimer();
   }
 
   ServerWork TakeWorkOf(const std::string& aServer) override
   {
-    return frontend_.Desk().TakeWorkOf(aServer);
+    return frontend_.Router().TakeWorkOf(aServer);
   }
 
   // FleetStoreListener: passes changes of the store to FleetMember.
--- a/Libraries/LibDaemon/GatewayHost.h
+++ b/Libraries/LibDaemon/GatewayHost.h
@@ -33,7 +33,7 @@
 
 // One gateway instance that routes directly to backend servers. Owns the listeners, timers and
 // the connections to other instances, and connects them to the decision logic, which does no
-// I/O itself: FleetMember (fleet state, placement, leases) and RequestDesk (routing).
+// I/O itself: FleetMember (fleet state, placement, leases) and GatewayRouter (routing).
 class GatewayHost
 {
 public:
--- a/Libraries/LibDaemon/InstanceHost.cpp
+++ b/Libraries/LibDaemon/InstanceHost.cpp
@@ -302,7 +302,7 @@
 }
 
 void
-InstanceHost::SendGrant(CallTag aTag, const std::string& aAddress, const GrantOrder& aCommand)
+InstanceHost::SendGrant(CallTag aTag, const std::string& aAddress, const GrantCommand& aCommand)
 {
   serverClient_->Send(aAddress,
                       MakeGrantRequest(aCommand),
@@ -323,7 +323,7 @@
 }
 
 void
-InstanceHost::SendWork(const WorkOrder& aCommand)
+InstanceHost::SendWork(const WorkCommand& aCommand)
 {
   workAddresses_[aCommand.id_] = aCommand.address_;
   const auto timeout =
--- a/Libraries/LibDaemon/InstanceHost.h
+++ b/Libraries/LibDaemon/InstanceHost.h
@@ -47,8 +47,8 @@
 
   bool SendToPeer(const InstanceId& aTo, const PeerMessage& aMessage) override;
   void CallStore(CallTag aTag, const StoreCall& aCall) override;
-  void SendGrant(CallTag aTag, const std::string& aAddress, const GrantOrder& aCommand) override;
-  void SendWork(const WorkOrder& aCommand) override;
+  void SendGrant(CallTag aTag, const std::string& aAddress, const GrantCommand& aCommand) override;
+  void SendWork(const WorkCommand& aCommand) override;
   void CancelWork(WorkId aId) override;
   void AnswerCaller(CallerId aCaller, const WorkAnswer& aAnswer) override;
   void AnswerOperator(OperatorId aOperator, const OperatorAnswer& aAnswer) override;
--- a/Libraries/LibDaemon/LeavingObserver.h
+++ b/Libraries/LibDaemon/LeavingObserver.h
@@ -7,7 +7,7 @@
 namespace latchslip {
 
 // Called when a backend server announces, in a response or a permit message, that its
-// incarnation aLife is shutting down.
-using LeavingObserver = std::function<void(const std::string& aServer, std::uint64_t aLife)>;
+// incarnation aIncarnation is shutting down.
+using LeavingObserver = std::function<void(const std::string& aServer, std::uint64_t aIncarnation)>;
 
 } // namespace latchslip
--- a/Libraries/LibDaemon/PeerRpc.cpp
+++ b/Libraries/LibDaemon/PeerRpc.cpp
@@ -154,13 +154,14 @@
 }
 
 void
-PeerRpc::SendUsage(const std::string& aAddress, const UseReport& aReport)
+PeerRpc::SendUsage(const std::string& aAddress, const UsageReport& aReport)
 {
   client_->Send(aAddress,
-                MakePost(kUsagePath, SerializeUseReport(aReport)),
+                MakePost(kUsagePath, SerializeUsageReport(aReport)),
                 kPeerTimeout,
                 [this](const HttpExchange& aExchange) {
-                  member_.OnUsageAnswered(MonotonicNow(), ParseAnswer(aExchange, ParseParts));
+                  member_.OnUsageAnswered(MonotonicNow(),
+                                          ParseAnswer(aExchange, ParseAdmittedShares));
                 });
 }
 
@@ -203,7 +204,7 @@
     return MakeHttpResponse(kBadRequest, report.error().Describe());
   }
   const auto shares = member_.OnUsage(MonotonicNow(), report.value());
-  return shares ? MakeHttpResponse(kOk, SerializeParts(*shares))
+  return shares ? MakeHttpResponse(kOk, SerializeAdmittedShares(*shares))
                 : MakeHttpResponse(kConflict, "is not the placer\n");
 }
 
--- a/Libraries/LibDaemon/PeerRpc.h
+++ b/Libraries/LibDaemon/PeerRpc.h
@@ -29,7 +29,7 @@
   // Requests from a peer the rows that are newer than aVersions.
   void FetchUpdate(const std::string& aAddress, const TableVersions& aVersions);
   // Sends this instance's usage of limits to the limit coordinator at aAddress.
-  void SendUsage(const std::string& aAddress, const UseReport& aReport);
+  void SendUsage(const std::string& aAddress, const UsageReport& aReport);
 
   void OnRequest(std::uint64_t aId, HttpRequest aRequest, HttpResponder aRespond) override;
   void OnClientDisconnected(std::uint64_t) override {}
--- a/Libraries/LibDaemon/Settings.cpp
+++ b/Libraries/LibDaemon/Settings.cpp
@@ -214,10 +214,10 @@
 ReadIntervals(InstanceTiming& aTiming)
 {
   BOOST_OUTCOME_TRY(
-    aTiming.viewBound_,
+    aTiming.maxViewAge_,
     RequireMilliseconds("view_bound_ms", absl::GetFlag(FLAGS_view_bound_ms), 500, 600000));
   BOOST_OUTCOME_TRY(
-    aTiming.storePoll_,
+    aTiming.storePollInterval_,
     RequireMilliseconds("store_poll_ms", absl::GetFlag(FLAGS_store_poll_ms), 50, 60000));
   BOOST_OUTCOME_TRY(
     aTiming.reportInterval_,
@@ -232,15 +232,15 @@
       "claim_writes_per_second", absl::GetFlag(FLAGS_claim_writes_per_second), 1, 1000));
   aTiming.claim_.rate_ = claims;
   BOOST_OUTCOME_TRY(
-    aTiming.mostParked_,
+    aTiming.maxParkedTime_,
     RequireMilliseconds("max_parked_ms", absl::GetFlag(FLAGS_max_parked_ms), 0, 60000));
   BOOST_OUTCOME_TRY(
-    aTiming.confirmWait_,
+    aTiming.confirmTimeout_,
     RequireMilliseconds("confirm_wait_ms", absl::GetFlag(FLAGS_confirm_wait_ms), 100, 60000));
   BOOST_OUTCOME_TRY(
     const auto inFlight,
     RequireInRange("max_in_flight", absl::GetFlag(FLAGS_max_in_flight), 1, 1000000));
-  aTiming.mostInFlight_ = static_cast<std::size_t>(inFlight);
+  aTiming.maxInFlight_ = static_cast<std::size_t>(inFlight);
   return outcome::success();
 }
 
--- a/Libraries/LibNet/HttpClient.cpp
+++ b/Libraries/LibNet/HttpClient.cpp
@@ -20,7 +20,7 @@
 public:
   BeastHttpClient(asio::io_context& aContext, std::size_t aMaxConnections)
     : context_(aContext)
-    , mostConnections_(aMaxConnections)
+    , maxConnections_(aMaxConnections)
   {
   }
 
@@ -50,7 +50,7 @@
       pool = std::make_shared<HttpPool>();
     }
     auto connection = TakeIdle(*pool);
-    if (!connection && pool->open_ >= mostConnections_) {
+    if (!connection && pool->open_ >= maxConnections_) {
       Fail(id, std::move(aCallback), "all connections to the address are in use");
       return id;
     }
--- a/Libraries/LibNet/PermitCodec.cpp
+++ b/Libraries/LibNet/PermitCodec.cpp
@@ -13,7 +13,7 @@
 constexpr std::uint64_t kMaxWords = 1024ULL * 1024;
 
 void
-Write(wire::ToDispatcher::Builder aOut, const PermitAsk& aRequest)
+Write(wire::ToDispatcher::Builder aOut, const PermitRequest& aRequest)
 {
   auto out = aOut.initAsk();
   out.setNumber(aRequest.number_);
@@ -104,7 +104,7 @@
 PermitRequest
 Read(wire::PermitAsk::Reader aIn)
 {
-  PermitAsk request;
+  PermitRequest request;
   request.number_ = aIn.getNumber();
   request.service_ = FromText(aIn.getService());
   request.server_ = FromText(aIn.getServer());
--- a/Libraries/LibNet/PlatformClient.h
+++ b/Libraries/LibNet/PlatformClient.h
@@ -21,7 +21,7 @@
   PlatformClient(HttpClient& aClient, std::string aAddress);
 
   // Reads from or writes to the table service. A write that timed out or was cut off ends as
-  // Unsure: it may have been applied.
+  // Indeterminate: it may have been applied.
   void Call(const StoreCall& aCall, StoreCallback aCallback);
   void ListInstances(ListCallback aCallback);
 
--- a/Libraries/LibNet/ServerProtocol.cpp
+++ b/Libraries/LibNet/ServerProtocol.cpp
@@ -34,7 +34,7 @@
 }
 
 HttpRequest
-MakeGrantRequest(const GrantOrder& aCommand)
+MakeGrantRequest(const GrantCommand& aCommand)
 {
   boost::json::array ranges;
   for (const auto& [first, last] : aCommand.ranges_) {
@@ -58,7 +58,7 @@
 {
   BOOST_OUTCOME_TRY(const auto value, ParseJson(aBody, "grant"));
   BOOST_OUTCOME_TRY(const auto reader, JsonReader::Create(value, ""));
-  GrantOrder command;
+  GrantCommand command;
   BOOST_OUTCOME_TRY(command.fence_, ReadNumber(reader, "fence"));
   BOOST_OUTCOME_TRY(command.generation_, ReadNumber(reader, "generation"));
   BOOST_OUTCOME_TRY(command.bootId_, ReadNumber(reader, "boot"));
@@ -110,7 +110,7 @@
 }
 
 HttpRequest
-MakeWorkRequest(const WorkOrder& aCommand)
+MakeWorkRequest(const WorkCommand& aCommand)
 {
   HttpRequest request;
   request.method_ = "POST";
@@ -127,12 +127,12 @@
 }
 
 WorkReply
-ToWorkReply(const WorkOrder& aCommand, const HttpResponse& aResponse)
+ToWorkReply(const WorkCommand& aCommand, const HttpResponse& aResponse)
 {
   WorkReply reply;
   if (aResponse.Header(kWorkHeader) != std::to_string(aCommand.id_)) {
     // The response belongs to another request and must not reach this caller.
-    reply.end_ = WorkEnd::Broken;
+    reply.outcome_ = WorkOutcome::Broken;
     return reply;
   }
   const auto notRun = aResponse.Header(kNotRunHeader);
--- a/Libraries/LibNet/ServerProtocol.h
+++ b/Libraries/LibNet/ServerProtocol.h
@@ -24,8 +24,8 @@
 inline constexpr std::string_view kRetryAfterHeader = "Latchslip-Retry-After-Ms";
 
 HttpRequest
-MakeGrantRequest(const GrantOrder& aCommand);
-FieldResult<GrantOrder>
+MakeGrantRequest(const GrantCommand& aCommand);
+FieldResult<GrantCommand>
 ParseGrantRequest(std::string_view aBody);
 std::string
 SerializeGrantReply(const GrantReply& aReply);
@@ -33,10 +33,10 @@
 ParseGrantReply(std::string_view aBody);
 
 HttpRequest
-MakeWorkRequest(const WorkOrder& aCommand);
+MakeWorkRequest(const WorkCommand& aCommand);
 // Interprets a server's response. A response with another work id counts as Broken.
 WorkReply
-ToWorkReply(const WorkOrder& aCommand, const HttpResponse& aResponse);
+ToWorkReply(const WorkCommand& aCommand, const HttpResponse& aResponse);
 
 // Parses an unsigned decimal number; returns aDefault if the text is anything else.
 std::uint64_t
--- a/Services/StandInServer/main.cpp
+++ b/Services/StandInServer/main.cpp
@@ -81,7 +81,7 @@
   }
 
   // The client disconnected; the work continues and keeps its slot.
-  void OnGone(std::uint64_t aId) override
+  void OnClientDisconnected(std::uint64_t aId) override
   {
     const auto found = workOfRequest_.find(aId);
     if (found != workOfRequest_.end()) {
--- a/Tests/LibNet/TestCallerProtocol.cpp
+++ b/Tests/LibNet/TestCallerProtocol.cpp
@@ -102,18 +102,18 @@
 
 TEST(WorkReply, AnswerIsForOtherWork_CountsAsBroken)
 {
-  WorkOrder command;
+  WorkCommand command;
   command.id_ = 5;
   HttpResponse response;
   response.headers_ = { { std::string(kWorkHeader), "4" } };
-  EXPECT_EQ(ToWorkReply(command, response).end_, WorkEnd::Broken);
+  EXPECT_EQ(ToWorkReply(command, response).outcome_, WorkOutcome::Broken);
   response.headers_[0].second = "5";
-  EXPECT_EQ(ToWorkReply(command, response).end_, WorkEnd::Answered);
+  EXPECT_EQ(ToWorkReply(command, response).outcome_, WorkOutcome::Answered);
 }
 
 TEST(GrantProtocol, WrittenAndReadAgain_IsEqual)
 {
-  GrantOrder command;
+  GrantCommand command;
   command.service_ = "rates";
   command.fence_ = ~std::uint64_t{ 0 };
   command.generation_ = 3;
