--- a/Libraries/LibNet/PeerNetwork.cpp
+++ b/Libraries/LibNet/PeerNetwork.cpp
@@ -141,7 +141,7 @@
     }
     const auto expected = ComputeProof(settings_.secret_, PeerRole::Acceptor, nonce_, *welcome);
     if (nonce_.empty() || !IsProofValid(expected, welcome->proof_)) {
-      handler_.OnPeerRefused(address_, "proof does not match the fleet's secret");
+      handler_.OnPeerRefused(address_, "its proof does not fit the fleet's secret");
       stream_->Close("authentication failed");
       return;
     }
@@ -211,7 +211,7 @@
       IsProofValid(ComputeProof(settings_.secret_, PeerRole::Dialler, challenge_, *hello),
                    hello->proof_);
     if (!isProven) {
-      handler_.OnPeerRefused(stream_->RemoteAddress(), "proof does not match the fleet's secret");
+      handler_.OnPeerRefused(stream_->RemoteAddress(), "its proof does not fit the fleet's secret");
       stream_->Close("authentication failed");
       return;
     }
