--- a/Libraries/LibDaemon/GatewayHost.cpp
+++ b/Libraries/LibDaemon/GatewayHost.cpp
@@ -78,7 +78,7 @@
     , timer_(aContext)
   {
     permits_.Client().SetListener(*this);
-    frontend_.Router().SetGroupAdmission(member_.Gate());
+    frontend_.Router().SetGroupAdmission(member_.GroupLimits());
     if (settings_.member_.apiKeyBound_) {
       frontend_.Router().SetApiKeysProvenUntil(Instant::min());
     }
--- a/Libraries/LibDaemon/GatewayMetrics.cpp
+++ b/Libraries/LibDaemon/GatewayMetrics.cpp
@@ -55,17 +55,17 @@
 }
 
 void
-WriteRoutes(std::ostream& aText, const RequestStatistics& aTally)
+WriteRoutes(std::ostream& aText, const RequestStatistics& aStatistics)
 {
   WriteType(aText, "route_answers_total", "counter");
-  for (const auto& [name, route] : aTally.Routes()) {
+  for (const auto& [name, route] : aStatistics.Routes()) {
     for (const auto& [status, count] : route.answers_) {
       aText << "latchslip_route_answers_total{route=\"" << name << "\",status=\"" << status
             << "\"} " << count << '\n';
     }
   }
   WriteType(aText, "route_refusals_total", "counter");
-  for (const auto& [name, route] : aTally.Routes()) {
+  for (const auto& [name, route] : aStatistics.Routes()) {
     WriteCounts(aText,
                 "route_refusals_total",
                 "route=\"" + name + "\",",
@@ -74,16 +74,16 @@
                 route.refusals_);
   }
   WriteType(aText, "route_latency_ms", "histogram");
-  for (const auto& [name, route] : aTally.Routes()) {
+  for (const auto& [name, route] : aStatistics.Routes()) {
     WriteHistogram(aText, "route_latency_ms", "route=\"" + name + "\",", route.latency_);
   }
 }
 
 void
-WriteGroups(std::ostream& aText, const RequestStatistics& aTally)
+WriteGroups(std::ostream& aText, const RequestStatistics& aStatistics)
 {
   WriteType(aText, "group_requests_total", "counter");
-  for (const auto& [name, group] : aTally.Groups()) {
+  for (const auto& [name, group] : aStatistics.Groups()) {
     aText << "latchslip_group_requests_total{group=\"" << name << "\",end=\"passed\"} "
           << group.admitted_ << '\n';
     WriteCounts(aText,
@@ -96,10 +96,10 @@
 }
 
 void
-WriteServers(std::ostream& aText, const RequestStatistics& aTally)
+WriteServers(std::ostream& aText, const RequestStatistics& aStatistics)
 {
   WriteType(aText, "server_sends_total", "counter");
-  for (const auto& [name, server] : aTally.Servers()) {
+  for (const auto& [name, server] : aStatistics.Servers()) {
     WriteCounts(
       aText, "server_sends_total", "server=\"" + name + "\",", "end", kAttemptEndNames, server);
   }
@@ -129,7 +129,7 @@
 
 std::string
 GatewayMetrics::Render(const LineLog& aLog,
-                       const RequestStatistics& aTally,
+                       const RequestStatistics& aStatistics,
                        const StoreCallCounts& aCalls,
                        const std::map<std::string, double>& aGauges) const
 {
@@ -140,9 +140,9 @@
   }
   WriteType(text, "latency_ms", "histogram");
   WriteHistogram(text, "latency_ms", "", latency_);
-  WriteRoutes(text, aTally);
-  WriteGroups(text, aTally);
-  WriteServers(text, aTally);
+  WriteRoutes(text, aStatistics);
+  WriteGroups(text, aStatistics);
+  WriteServers(text, aStatistics);
   WriteStoreCalls(text, aCalls);
   WriteType(text, "events_total", "counter");
   for (const auto& entry : AllEvents()) {
--- a/Libraries/LibDaemon/GatewayMetrics.h
+++ b/Libraries/LibDaemon/GatewayMetrics.h
@@ -20,10 +20,10 @@
   // instance.
   void OnAnswer(unsigned aStatus, Duration aLatency);
 
-  // Renders the metrics page. aLog supplies the event counters, aTally the counters per
+  // Renders the metrics page. aLog supplies the event counters, aStatistics the counters per
   // route, group and server, aCalls the store calls; aGauges are further values by name.
   std::string Render(const LineLog& aLog,
-                     const RequestStatistics& aTally,
+                     const RequestStatistics& aStatistics,
                      const StoreCallCounts& aCalls,
                      const std::map<std::string, double>& aGauges) const;
 
--- a/Libraries/LibFleet/FleetMember.h
+++ b/Libraries/LibFleet/FleetMember.h
@@ -161,7 +161,7 @@
   // keys can be accepted.
   bool IsServing(Instant aNow) const;
   // Admission control by the groups' limits.
-  GroupAdmission& Gate() { return limits_; }
+  GroupAdmission& GroupLimits() { return limits_; }
 
 private:
   class ServicePlacer;
--- a/Tests/LibFleet/TestConfigurationProof.cpp
+++ b/Tests/LibFleet/TestConfigurationProof.cpp
@@ -338,7 +338,7 @@
   ShowTables();
   ShowPlacer();
   Advance(milliseconds(100));
-  EXPECT_TRUE(member_.Gate().TryAdmit(now_, { "g", {}, 0, 10, 10 }, false));
+  EXPECT_TRUE(member_.GroupLimits().TryAdmit(now_, { "g", {}, 0, 10, 10 }, false));
   Advance(milliseconds(300));
   ASSERT_EQ(fleet_.usages_.size(), 1U);
   EXPECT_EQ(fleet_.usages_[0].first, kOther);
@@ -352,7 +352,7 @@
   FleetUpdate update;
   update.parts_ = { { "g", 0, 0 } };
   member_.OnUpdate(now_, update);
-  EXPECT_FALSE(member_.Gate().TryAdmit(now_, { "g", {}, 0, 10, 10 }, false));
+  EXPECT_FALSE(member_.GroupLimits().TryAdmit(now_, { "g", {}, 0, 10, 10 }, false));
 }
 
 TEST_F(MemberWithApiKeys, IsNotThePlacer_RejectsUsageReports)
--- a/Tests/LibGateway/TestGatewayRouter.cpp
+++ b/Tests/LibGateway/TestGatewayRouter.cpp
@@ -268,14 +268,14 @@
   configuration.routes_.front().latencyTarget_ = milliseconds(400);
   router.SetRoutes(now_,
                    std::make_shared<const RouteTable>(RouteTable::Create(configuration).value()));
-  const auto send = [&](GatewayRouter& aDesk, RequestNumber aNumber) {
+  const auto send = [&](GatewayRouter& aRouter, RequestNumber aNumber) {
     RoutedRequest request;
     request.number_ = aNumber;
     request.host_ = "a.example";
     request.path_ = "/key/x";
     request.key_ = 5;
     request.timeLeft_ = milliseconds(1000);
-    aDesk.OnRequest(now_, std::move(request));
+    aRouter.OnRequest(now_, std::move(request));
   };
   send(router, 7001);
   now_ += milliseconds(50);
--- a/Tests/LibMembership/TestMembership.cpp
+++ b/Tests/LibMembership/TestMembership.cpp
@@ -30,13 +30,13 @@
 
   // Advances the clock by aSpan, with heartbeats from the named instances, and returns the changes
   // of suspicion.
-  std::vector<SuspicionChange> Run(Duration aSpan, const std::vector<std::string>& aHeard)
+  std::vector<SuspicionChange> Run(Duration aSpan, const std::vector<std::string>& aSenders)
   {
     std::vector<SuspicionChange> changes;
     const auto end = now_ + aSpan;
     while (now_ < end) {
       now_ += milliseconds(50);
-      for (const auto& id : aHeard) {
+      for (const auto& id : aSenders) {
         members_.OnHeartbeat(now_, id, false);
       }
       for (const auto& change : members_.Tick(now_)) {
