--- a/Benchmarks/BenchDecisions.cpp
+++ b/Benchmarks/BenchDecisions.cpp
@@ -185,16 +185,16 @@
   double bytes = 0;
   for (auto _ : aState) {
     now += milliseconds(150);
-    for (const auto& order : keeper.Tick(now)) {
-      const auto request = MakeGrantRequest(order);
+    for (const auto& command : keeper.Tick(now)) {
+      const auto request = MakeGrantRequest(command);
       bytes = static_cast<double>(request.body_->size());
       GrantReply reply;
       reply.accepted_ = true;
       reply.bootId_ = 1;
       reply.clock_ = now.count();
       reply.fence_ = 1;
-      reply.generation_ = order.generation_;
-      keeper.OnReply(now, now, order, reply);
+      reply.generation_ = command.generation_;
+      keeper.OnReply(now, now, command, reply);
     }
   }
   aState.counters["bytes"] = bytes;
@@ -207,11 +207,11 @@
 public:
   bool SendToPeer(const InstanceId&, const PeerMessage&) override { return true; }
   void CallStore(CallTag aTag, const StoreCall&) override { lastStore_ = aTag; }
-  void SendGrant(CallTag aTag, const std::string&, const GrantCommand& aOrder) override
+  void SendGrant(CallTag aTag, const std::string&, const GrantCommand& aCommand) override
   {
-    grants_.emplace_back(aTag, aOrder);
+    grants_.emplace_back(aTag, aCommand);
   }
-  void SendWork(const WorkCommand& aOrder) override { lastWork_ = aOrder.id_; }
+  void SendWork(const WorkCommand& aCommand) override { lastWork_ = aCommand.id_; }
   void CancelWork(WorkId) override {}
   void AnswerCaller(CallerId, const WorkAnswer&) override { ++answered_; }
   void AnswerOperator(OperatorId, const OperatorAnswer&) override {}
@@ -259,13 +259,13 @@
     now_ += milliseconds(150);
     core_.Tick(now_);
     const auto grants = std::exchange(outbox_.grants_, {});
-    for (const auto& [tag, order] : grants) {
+    for (const auto& [tag, command] : grants) {
       GrantReply reply;
       reply.accepted_ = true;
       reply.bootId_ = 1;
       reply.clock_ = now_.count();
-      reply.fence_ = order.fence_;
-      reply.generation_ = order.generation_;
+      reply.fence_ = command.fence_;
+      reply.generation_ = command.generation_;
       core_.OnGrantReply(now_, tag, reply);
     }
   }
--- a/Benchmarks/BenchGateway.cpp
+++ b/Benchmarks/BenchGateway.cpp
@@ -20,7 +20,7 @@
 class CountingRequestActions : public RequestActions
 {
 public:
-  void Send(const AttemptCommand& aOrder) override { last_ = aOrder.number_; }
+  void Send(const AttemptCommand& aCommand) override { last_ = aCommand.number_; }
   void Cancel(AttemptNumber) override {}
   void Deliver(RequestNumber, AttemptNumber) override { ++delivered_; }
   void Refuse(RequestNumber, const Refusal&) override {}
--- a/Libraries/LibFleet/FleetMember.h
+++ b/Libraries/LibFleet/FleetMember.h
@@ -36,7 +36,7 @@
   // instance has.
   virtual void SetPollMode(StorePollMode aMode, const TableVersions& aKnown) = 0;
   // Sends a key command to a server; the result is passed to OnCommandEnded.
-  virtual void SendCommand(const std::string& aService, const KeyCommand& aOrder) = 0;
+  virtual void SendCommand(const std::string& aService, const KeyCommand& aCommand) = 0;
   // Sends a report to the placer at aAddress; the result is passed to OnReportAnswered.
   virtual void SendReport(const std::string& aAddress, const InstanceReport& aReport) = 0;
   // Pushes an update to other instances along the branches of an update tree.
@@ -117,7 +117,7 @@
   // Result of FleetActions::SendCommand.
   void OnCommandEnded(Instant aNow,
                       const std::string& aService,
-                      CommandNumber aOrder,
+                      CommandNumber aCommand,
                       const CommandOutcome& aOutcome);
   // A response of that incarnation of a server announced that the server is about to shut down.
   void OnServerReportedLeaving(Instant aNow,
--- a/Libraries/LibPlacement/Placer.cpp
+++ b/Libraries/LibPlacement/Placer.cpp
@@ -439,18 +439,18 @@
 std::vector<ResumeCommand>
 Placer::TakeResumeCommands(const Placement& aCurrent)
 {
-  std::vector<ResumeCommand> orders;
+  std::vector<ResumeCommand> commands;
   for (const auto& server : aCurrent.servers_) {
     const auto* report = FindReport(server);
     if (report == nullptr || !report->isWithheld_ || !report->isReachable_) {
       continue;
     }
-    orders.push_back({ report->service_, report->server_, report->fence_, report->sequence_ });
+    commands.push_back({ report->service_, report->server_, report->fence_, report->sequence_ });
     // The report is kept, so that an older one that arrives late is still recognized as
     // older.
     reports_[server.name_].isWithheld_ = false;
   }
-  return orders;
+  return commands;
 }
 
 } // namespace latchslip
--- a/Libraries/LibScenario/SimulatedFleet.h
+++ b/Libraries/LibScenario/SimulatedFleet.h
@@ -198,19 +198,19 @@
                   CallTag aTag,
                   const StoreCall& aCall);
   void RecordStored(const Transaction& aTransaction);
-  void SendGrant(SimulatedInstance& aFrom, CallTag aTag, const GrantCommand& aOrder);
+  void SendGrant(SimulatedInstance& aFrom, CallTag aTag, const GrantCommand& aCommand);
   void RefuseConnection(const std::string& aServer,
                         const std::string& aInstance,
                         std::uint64_t aIncarnation,
                         CallTag aTag);
-  void SendWork(SimulatedInstance& aFrom, const WorkCommand& aOrder);
+  void SendWork(SimulatedInstance& aFrom, const WorkCommand& aCommand);
   void ServeWork(const std::string& aInstance,
                  std::uint64_t aIncarnation,
-                 const WorkCommand& aOrder);
+                 const WorkCommand& aCommand);
   void EndWork(Server& aServer,
                const std::string& aInstance,
                std::uint64_t aIncarnation,
-               const WorkCommand& aOrder,
+               const WorkCommand& aCommand,
                std::uint64_t aBoot,
                std::uint64_t aWork);
   void ReplyWork(const std::string& aServer,
--- a/Libraries/LibScenario/SimulatedFleetParts.h
+++ b/Libraries/LibScenario/SimulatedFleetParts.h
@@ -30,11 +30,11 @@
   {
     fleet_.CallStore(*this, aTag, aCall);
   }
-  void SendGrant(CallTag aTag, const std::string&, const GrantCommand& aOrder) override
+  void SendGrant(CallTag aTag, const std::string&, const GrantCommand& aCommand) override
   {
-    fleet_.SendGrant(*this, aTag, aOrder);
+    fleet_.SendGrant(*this, aTag, aCommand);
   }
-  void SendWork(const WorkCommand& aOrder) override { fleet_.SendWork(*this, aOrder); }
+  void SendWork(const WorkCommand& aCommand) override { fleet_.SendWork(*this, aCommand); }
   void CancelWork(WorkId aId) override { fleet_.CancelWork(*this, aId); }
   void AnswerCaller(CallerId aCaller, const WorkAnswer& aAnswer) override
   {
--- a/Libraries/LibScenario/SimulatedNetwork.cpp
+++ b/Libraries/LibScenario/SimulatedNetwork.cpp
@@ -180,27 +180,27 @@
 }
 
 void
-SimulatedFleet::SendGrant(SimulatedInstance& aFrom, CallTag aTag, const GrantCommand& aOrder)
+SimulatedFleet::SendGrant(SimulatedInstance& aFrom, CallTag aTag, const GrantCommand& aCommand)
 {
   const auto instance = aFrom.name_;
   const auto incarnation = aFrom.incarnation_;
   const auto sentAt = Now();
-  Deliver(instance, aOrder.server_, [this, instance, incarnation, aTag, aOrder, sentAt] {
-    auto* server = FindServer(aOrder.server_);
+  Deliver(instance, aCommand.server_, [this, instance, incarnation, aTag, aCommand, sentAt] {
+    auto* server = FindServer(aCommand.server_);
     if (server == nullptr) {
-      RefuseConnection(aOrder.server_, instance, incarnation, aTag);
+      RefuseConnection(aCommand.server_, instance, incarnation, aTag);
       return;
     }
-    const auto reply = server->state_->OnGrant(server->ToLocalTime(Now()), aOrder);
+    const auto reply = server->state_->OnGrant(server->ToLocalTime(Now()), aCommand);
     if (reply.accepted_ && server->settings_.checksGrants_) {
-      const Instant until(aOrder.validUntil_);
+      const Instant until(aCommand.validUntil_);
       invariants_.OnGranted(Now(),
                             server->settings_.name_,
                             server->name_,
                             until - server->clockOffset_,
-                            aOrder.ranges_);
+                            aCommand.ranges_);
     }
-    Deliver(aOrder.server_, instance, [this, instance, incarnation, aTag, reply, sentAt] {
+    Deliver(aCommand.server_, instance, [this, instance, incarnation, aTag, reply, sentAt] {
       auto& side = *instances_.at(instance);
       // The HTTP client's timeout: later answers are dropped.
       if (side.incarnation_ == incarnation && Now() - sentAt <= kGrantTimeout) {
@@ -243,23 +243,23 @@
 }
 
 void
-SimulatedFleet::SendWork(SimulatedInstance& aFrom, const WorkCommand& aOrder)
+SimulatedFleet::SendWork(SimulatedInstance& aFrom, const WorkCommand& aCommand)
 {
   const auto instance = aFrom.name_;
   const auto incarnation = aFrom.incarnation_;
-  aFrom.serverOfWork_[aOrder.id_] = aOrder.server_;
-  const auto& server = *servers_.at(aOrder.server_);
+  aFrom.serverOfWork_[aCommand.id_] = aCommand.server_;
+  const auto& server = *servers_.at(aCommand.server_);
   if (!server.IsUp() && !server.isSilent_) {
     WorkReply refused;
     refused.outcome_ = WorkOutcome::NotSent;
-    ReplyWork(aOrder.server_, instance, incarnation, aOrder.id_, refused);
+    ReplyWork(aCommand.server_, instance, incarnation, aCommand.id_, refused);
     return;
   }
-  Deliver(instance, aOrder.server_, [this, instance, incarnation, aOrder] {
-    ServeWork(instance, incarnation, aOrder);
+  Deliver(instance, aCommand.server_, [this, instance, incarnation, aCommand] {
+    ServeWork(instance, incarnation, aCommand);
   });
-  const auto timeout = aOrder.request_.deadline_ - aFrom.LocalTime() + kWorkTimeoutSlack;
-  queue_.ScheduleAfter(timeout, [this, instance, incarnation, id = aOrder.id_] {
+  const auto timeout = aCommand.request_.deadline_ - aFrom.LocalTime() + kWorkTimeoutSlack;
+  queue_.ScheduleAfter(timeout, [this, instance, incarnation, id = aCommand.id_] {
     RunAtDestination(instance, [this, instance, incarnation, id] {
       auto& side = *instances_.at(instance);
       if (side.incarnation_ == incarnation && side.serverOfWork_.erase(id) != 0) {
@@ -272,25 +272,25 @@
 void
 SimulatedFleet::ServeWork(const std::string& aInstance,
                           std::uint64_t aIncarnation,
-                          const WorkCommand& aOrder)
+                          const WorkCommand& aCommand)
 {
-  auto* server = FindServer(aOrder.server_);
+  auto* server = FindServer(aCommand.server_);
   if (server == nullptr) {
     return;
   }
   if (server->isShedding_) {
     WorkReply shed;
     shed.outcome_ = WorkOutcome::Shed;
-    ReplyWork(aOrder.server_, aInstance, aIncarnation, aOrder.id_, shed);
+    ReplyWork(aCommand.server_, aInstance, aIncarnation, aCommand.id_, shed);
     return;
   }
   ServerWork work;
   work.id_ = ++server->nextWork_;
-  work.requestId_ = aOrder.request_.requestId_;
-  work.group_ = aOrder.request_.group_;
-  work.hash_ = aOrder.hash_;
-  work.fence_ = aOrder.fence_;
-  work.validUntil_ = aOrder.validUntil_;
+  work.requestId_ = aCommand.request_.requestId_;
+  work.group_ = aCommand.request_.group_;
+  work.hash_ = aCommand.hash_;
+  work.fence_ = aCommand.fence_;
+  work.validUntil_ = aCommand.validUntil_;
   const auto exceeded = server->state_->SlotsExceeded();
   WorkReply reply;
   switch (server->state_->OnWork(server->ToLocalTime(Now()), work)) {
@@ -308,9 +308,9 @@
                                 server->settings_.name_,
                                 server->name_,
                                 server->settings_.checksGrants_,
-                                aOrder.hash_,
+                                aCommand.hash_,
                                 work.id_);
-      server->workByCommand_[aOrder.id_] = work.id_;
+      server->workByCommand_[aCommand.id_] = work.id_;
       queue_.ScheduleAfter(
         server->settings_.serviceTime_,
         [this,
@@ -318,10 +318,10 @@
          boot = server->boot_,
          aInstance,
          aIncarnation,
-         aOrder,
+         aCommand,
          id = work.id_] {
-          RunAtDestination(name, [this, name, boot, aInstance, aIncarnation, aOrder, id] {
-            EndWork(*servers_.at(name), aInstance, aIncarnation, aOrder, boot, id);
+          RunAtDestination(name, [this, name, boot, aInstance, aIncarnation, aCommand, id] {
+            EndWork(*servers_.at(name), aInstance, aIncarnation, aCommand, boot, id);
           });
         });
       return;
@@ -329,21 +329,21 @@
   if (server->state_->SlotsExceeded() != exceeded) {
     invariants_.OnSlotsExceeded(Now(), server->name_);
   }
-  ReplyWork(aOrder.server_, aInstance, aIncarnation, aOrder.id_, reply);
+  ReplyWork(aCommand.server_, aInstance, aIncarnation, aCommand.id_, reply);
 }
 
 void
 SimulatedFleet::EndWork(Server& aServer,
                         const std::string& aInstance,
                         std::uint64_t aIncarnation,
-                        const WorkCommand& aOrder,
+                        const WorkCommand& aCommand,
                         std::uint64_t aBoot,
                         std::uint64_t aWork)
 {
   if (!aServer.IsUp() || aServer.boot_ != aBoot) {
     return;
   }
-  const bool isRunning = aServer.workByCommand_.erase(aOrder.id_) != 0;
+  const bool isRunning = aServer.workByCommand_.erase(aCommand.id_) != 0;
   invariants_.OnWorkEnded(aServer.settings_.name_, aServer.name_, aWork);
   if (!isRunning) {
     return;
@@ -351,15 +351,15 @@
   WorkReply reply;
   reply.outcome_ = WorkOutcome::Refused;
   if (aServer.state_->Finish(aServer.ToLocalTime(Now()), aWork)) {
-    invariants_.OnExecuted(Now(), aOrder.request_.requestId_);
+    invariants_.OnExecuted(Now(), aCommand.request_.requestId_);
     busy_[aServer.name_] += aServer.settings_.serviceTime_;
-    ++executedByGroup_[{ aServer.settings_.name_, aOrder.request_.group_ }];
+    ++executedByGroup_[{ aServer.settings_.name_, aCommand.request_.group_ }];
     reply.outcome_ = WorkOutcome::Answered;
     reply.status_ = 200;
     reply.body_ = std::make_shared<const std::string>(
-      ExpectedBody(aOrder.request_.requestId_, aOrder.request_.key_));
+      ExpectedBody(aCommand.request_.requestId_, aCommand.request_.key_));
   }
-  ReplyWork(aServer.name_, aInstance, aIncarnation, aOrder.id_, reply);
+  ReplyWork(aServer.name_, aInstance, aIncarnation, aCommand.id_, reply);
 }
 
 void
--- a/Libraries/LibStandIn/ServerState.cpp
+++ b/Libraries/LibStandIn/ServerState.cpp
@@ -19,48 +19,48 @@
 }
 
 void
-ServerState::RecordOwnership(Instant aNow, const GrantCommand& aOrder)
+ServerState::RecordOwnership(Instant aNow, const GrantCommand& aCommand)
 {
-  const Instant until(aOrder.validUntil_);
+  const Instant until(aCommand.validUntil_);
   if (!ownerships_.empty()) {
     auto& last = ownerships_.back();
-    const bool isRenewal = last.ranges_ == aOrder.ranges_ && last.until_ >= aNow;
-    if (isRenewal && aOrder.validUntil_ != 0) {
+    const bool isRenewal = last.ranges_ == aCommand.ranges_ && last.until_ >= aNow;
+    if (isRenewal && aCommand.validUntil_ != 0) {
       last.until_ = std::max(last.until_, until);
       return;
     }
     last.until_ = std::min(last.until_, aNow);
   }
-  if (until > aNow && !aOrder.ranges_.empty()) {
-    ownerships_.push_back({ aOrder.fence_, aNow, until, aOrder.ranges_ });
+  if (until > aNow && !aCommand.ranges_.empty()) {
+    ownerships_.push_back({ aCommand.fence_, aNow, until, aCommand.ranges_ });
   }
 }
 
 GrantReply
-ServerState::OnGrant(Instant aNow, const GrantCommand& aOrder)
+ServerState::OnGrant(Instant aNow, const GrantCommand& aCommand)
 {
   GrantReply reply;
   reply.bootId_ = bootId_;
   reply.clock_ = aNow.count();
   const bool isOutdated =
-    aOrder.fence_ < fence_ || (aOrder.fence_ == fence_ && aOrder.generation_ < generation_);
-  const bool isForeignBoot = aOrder.bootId_ != 0 && aOrder.bootId_ != bootId_;
+    aCommand.fence_ < fence_ || (aCommand.fence_ == fence_ && aCommand.generation_ < generation_);
+  const bool isForeignBoot = aCommand.bootId_ != 0 && aCommand.bootId_ != bootId_;
   reply.accepted_ = !checksGrants_ || (!isOutdated && !isForeignBoot);
   if (reply.accepted_) {
-    fence_ = std::max(fence_, aOrder.fence_);
-    generation_ = aOrder.generation_;
+    fence_ = std::max(fence_, aCommand.fence_);
+    generation_ = aCommand.generation_;
     if (checksGrants_) {
-      RecordOwnership(aNow, aOrder);
+      RecordOwnership(aNow, aCommand);
     }
-    validUntil_ = aOrder.validUntil_;
-    ranges_ = aOrder.ranges_;
+    validUntil_ = aCommand.validUntil_;
+    ranges_ = aCommand.ranges_;
   }
   reply.fence_ = fence_;
   reply.generation_ = generation_;
   for (const auto& [id, running] : running_) {
-    const bool isForeign = running.isOrphaned_ || running.work_.fence_ < aOrder.fence_;
+    const bool isForeign = running.isOrphaned_ || running.work_.fence_ < aCommand.fence_;
     reply.foreignRunning_ += isForeign ? 1 : 0;
-    reply.releasedRunning_ += CoversHash(aOrder.ranges_, running.work_.hash_) ? 0 : 1;
+    reply.releasedRunning_ += CoversHash(aCommand.ranges_, running.work_.hash_) ? 0 : 1;
   }
   return reply;
 }
--- a/Libraries/LibStandIn/ServerState.h
+++ b/Libraries/LibStandIn/ServerState.h
@@ -65,7 +65,7 @@
   // Accepts a grant unless its fence or generation is older than the current one, or it is meant
   // for another boot of the server. The reply counts running work that is orphaned or has an older
   // fence (foreign), and running work for keys outside the new ranges (released).
-  GrantReply OnGrant(Instant aNow, const GrantCommand& aOrder);
+  GrantReply OnGrant(Instant aNow, const GrantCommand& aCommand);
   StartResult OnWork(Instant aNow, const ServerWork& aWork);
   // Completes the work and records its execution. False if the work isn't running, or if the server
   // no longer owns the key and therefore drops the work without effect.
@@ -96,7 +96,7 @@
     bool isOrphaned_ = false;
   };
 
-  void RecordOwnership(Instant aNow, const GrantCommand& aOrder);
+  void RecordOwnership(Instant aNow, const GrantCommand& aCommand);
 
   unsigned slots_;
   bool checksGrants_;
--- a/Services/StandInServer/main.cpp
+++ b/Services/StandInServer/main.cpp
@@ -99,13 +99,13 @@
 
   void Grant(const std::string& aBody, const HttpResponder& aRespond)
   {
-    const auto order = ParseGrantRequest(aBody);
-    if (!order) {
-      aRespond(MakeHttpResponse(400, order.error().Describe()));
+    const auto command = ParseGrantRequest(aBody);
+    if (!command) {
+      aRespond(MakeHttpResponse(400, command.error().Describe()));
       return;
     }
     const auto before = state_.Ownerships().size();
-    const auto reply = state_.OnGrant(Now(), order.value());
+    const auto reply = state_.OnGrant(Now(), command.value());
     const auto& spans = state_.Ownerships();
     // A new grant can shorten the preceding ownership period, so that line is written again.
     if (spans.size() > before && before > 0) {
--- a/Tests/LibFleet/FleetMemberFixture.h
+++ b/Tests/LibFleet/FleetMemberFixture.h
@@ -64,9 +64,9 @@
     hasPolledWithLongWaits_ = hasPolledWithLongWaits_ || aMode == StorePollMode::LongWaits;
     pollFrom_ = aKnown;
   }
-  void SendCommand(const std::string&, const KeyCommand& aOrder) override
+  void SendCommand(const std::string&, const KeyCommand& aCommand) override
   {
-    orders_.push_back(aOrder);
+    commands_.push_back(aCommand);
   }
   void SendReport(const std::string& aAddress, const InstanceReport& aReport) override
   {
@@ -108,7 +108,7 @@
   std::vector<Transaction> transactions_;
   StorePollMode pollMode_ = StorePollMode::LongWaits;
   TableVersions pollFrom_{};
-  std::vector<KeyCommand> orders_;
+  std::vector<KeyCommand> commands_;
   std::vector<std::string> reports_;
   InstanceReport lastReport_;
   bool hasSetPollMode_ = false;
--- a/Tests/LibFleet/TestFleetMember.cpp
+++ b/Tests/LibFleet/TestFleetMember.cpp
@@ -85,14 +85,14 @@
     member_.OnReport(now_, report);
     for (int step = 0; step < 16; ++step) {
       const auto written = fleet_.transactions_.size();
-      fleet_.orders_.clear();
+      fleet_.commands_.clear();
       Advance(milliseconds(50));
       if (fleet_.transactions_.size() > written) {
         Acknowledge(version++);
       }
-      const auto orders = fleet_.orders_;
-      for (const auto& order : orders) {
-        member_.OnCommandEnded(now_, "rates", order.number_, { CommandStatus::Done });
+      const auto commands = fleet_.commands_;
+      for (const auto& command : commands) {
+        member_.OnCommandEnded(now_, "rates", command.number_, { CommandStatus::Done });
       }
     }
   }
@@ -171,12 +171,12 @@
   Advance(seconds(3));
   EXPECT_EQ(fleet_.pollMode_, StorePollMode::ShortWaits);
   ASSERT_EQ(fleet_.transactions_.size(), 2U);
-  EXPECT_TRUE(fleet_.orders_.empty());
+  EXPECT_TRUE(fleet_.commands_.empty());
   EXPECT_EQ(fleet_.transactions_[1].conditions_,
             (std::vector<RowStamp>{ { "placer", 10 }, { "ownership/rates", 0 } }));
   Acknowledge(11);
   Advance(milliseconds(100));
-  EXPECT_FALSE(fleet_.orders_.empty());
+  EXPECT_FALSE(fleet_.commands_.empty());
   EXPECT_TRUE(fleet_.ownership_);
 }
 
@@ -236,10 +236,10 @@
   FleetUpdate update;
   update.placer_ = Row{ "placer", 30, Placer("i2", kOther) };
   member_.OnUpdate(now_, update);
-  const auto orders = fleet_.orders_.size();
+  const auto commands = fleet_.commands_.size();
   Advance(seconds(10));
   EXPECT_FALSE(member_.IsPlacer());
-  EXPECT_EQ(fleet_.orders_.size(), orders);
+  EXPECT_EQ(fleet_.commands_.size(), commands);
 }
 
 TEST_F(FleetMemberTest, PlacerIsIsolatedAndItsCommandsAreAnswered_StopsInTime)
@@ -251,21 +251,21 @@
   Advance(seconds(1));
   member_.OnStoreLost(now_);
   std::size_t answered = 0;
-  const auto answerOrders = [&](Duration aTime) {
+  const auto answerCommands = [&](Duration aTime) {
     const auto end = now_ + aTime;
     while (now_ < end) {
       Advance(milliseconds(50));
-      for (; answered < fleet_.orders_.size(); ++answered) {
+      for (; answered < fleet_.commands_.size(); ++answered) {
         member_.OnCommandEnded(
-          now_, "rates", fleet_.orders_[answered].number_, { CommandStatus::Done, "" });
+          now_, "rates", fleet_.commands_[answered].number_, { CommandStatus::Done, "" });
       }
     }
   };
-  answerOrders(seconds(7));
-  const auto orders = fleet_.orders_.size();
-  EXPECT_GT(orders, 64U);
-  answerOrders(seconds(20));
-  EXPECT_EQ(fleet_.orders_.size(), orders);
+  answerCommands(seconds(7));
+  const auto commands = fleet_.commands_.size();
+  EXPECT_GT(commands, 64U);
+  answerCommands(seconds(20));
+  EXPECT_EQ(fleet_.commands_.size(), commands);
 }
 
 TEST_F(FleetMemberTest, PlacerLosesTheStoreButMostInstancesReport_Continues)
@@ -278,13 +278,13 @@
   for (int round = 0; round < 400; ++round) {
     member_.OnReport(now_, ReportOf("i2", kOther));
     Advance(milliseconds(50));
-    for (; answered < fleet_.orders_.size(); ++answered) {
+    for (; answered < fleet_.commands_.size(); ++answered) {
       member_.OnCommandEnded(
-        now_, "rates", fleet_.orders_[answered].number_, { CommandStatus::Done, "" });
+        now_, "rates", fleet_.commands_[answered].number_, { CommandStatus::Done, "" });
     }
   }
   // Sixty-four ranges, renewed every five thirds of a second for twenty seconds.
-  EXPECT_GT(fleet_.orders_.size(), 600U);
+  EXPECT_GT(fleet_.commands_.size(), 600U);
 }
 
 TEST_F(FleetMemberTest, WriteIsAnsweredAfterTheClaimWasLost_IsNotTakenForALaterWrite)
@@ -313,9 +313,9 @@
   Acknowledge(11);
   member_.OnStoreLost(now_);
   Advance(seconds(7));
-  const auto orders = fleet_.orders_.size();
+  const auto commands = fleet_.commands_.size();
   Advance(seconds(5));
-  EXPECT_EQ(fleet_.orders_.size(), orders);
+  EXPECT_EQ(fleet_.commands_.size(), commands);
 }
 
 TEST_F(FleetMemberTest, PlacerAnswersReports_PollsOnlyTheConfiguration)
--- a/Tests/LibFleet/TestStoreReturn.cpp
+++ b/Tests/LibFleet/TestStoreReturn.cpp
@@ -152,9 +152,9 @@
   PlaceKeys();
   Show(FleetTable::Fleet, After(9), {});
   EXPECT_FALSE(member_.IsPlacer());
-  const auto orders = fleet_.orders_.size();
+  const auto commands = fleet_.commands_.size();
   Advance(milliseconds(600));
-  EXPECT_EQ(fleet_.orders_.size(), orders);
+  EXPECT_EQ(fleet_.commands_.size(), commands);
   ASSERT_EQ(LastTransaction().writes_.front().key_, "placer");
   EXPECT_EQ(LastTransaction().conditions_,
             (std::vector<RowStamp>{ { "placer", 0 }, { "ownership/rates", 0 } }));
@@ -165,9 +165,9 @@
   PlaceKeys();
   Show(FleetTable::Fleet, After(9), { { "placer", After(8), Placer("i2", kOther) } });
   EXPECT_FALSE(member_.IsPlacer());
-  const auto orders = fleet_.orders_.size();
+  const auto commands = fleet_.commands_.size();
   Advance(milliseconds(600));
-  EXPECT_EQ(fleet_.orders_.size(), orders);
+  EXPECT_EQ(fleet_.commands_.size(), commands);
 }
 
 TEST_F(FleetMemberAfterStoreRestore, StartedAfterTheRestore_PlacerDelaysCommandsForOwnersOfACopy)
@@ -182,9 +182,9 @@
   Advance(milliseconds(100));
   Acknowledge(After(11));
   Advance(seconds(5));
-  EXPECT_TRUE(fleet_.orders_.empty());
+  EXPECT_TRUE(fleet_.commands_.empty());
   Advance(seconds(8));
-  EXPECT_FALSE(fleet_.orders_.empty());
+  EXPECT_FALSE(fleet_.commands_.empty());
 }
 
 // An unacknowledged grant may be accepted 12 s late and be valid for 5.1 s from then. The instance
@@ -193,14 +193,14 @@
 {
   PlaceKeys();
   const auto isOfS1 = [](const KeyCommand& aCommand) { return aCommand.server_ == "s1"; };
-  const auto grant = std::find_if(fleet_.orders_.begin(), fleet_.orders_.end(), isOfS1);
-  ASSERT_NE(grant, fleet_.orders_.end());
+  const auto grant = std::find_if(fleet_.commands_.begin(), fleet_.commands_.end(), isOfS1);
+  ASSERT_NE(grant, fleet_.commands_.end());
   const auto keys = grant->Span();
   member_.OnCommandEnded(now_, "rates", grant->number_, { CommandStatus::Unanswered, "" });
   const auto latest = now_ + seconds(12) + milliseconds(5100);
   Show(FleetTable::Fleet, After(9), {});
   Show(FleetTable::Servers, After(9), { { "s2", After(3), "ready" } });
-  auto answered = fleet_.orders_.size();
+  auto answered = fleet_.commands_.size();
   auto version = std::uint64_t{ 10 };
   const auto isPassedOn = [&](const KeyCommand& aCommand) {
     return !aCommand.isRelease_ && aCommand.server_ == "s2" && aCommand.Span().Overlaps(keys);
@@ -212,11 +212,11 @@
     if (fleet_.transactions_.size() > written) {
       Acknowledge(After(++version));
     }
-    for (; answered < fleet_.orders_.size(); ++answered) {
-      const auto order = fleet_.orders_[answered];
-      isServed = isServed || isPassedOn(order);
-      const auto end = isOfS1(order) ? CommandStatus::NotSent : CommandStatus::Done;
-      member_.OnCommandEnded(now_, "rates", order.number_, { end, "" });
+    for (; answered < fleet_.commands_.size(); ++answered) {
+      const auto command = fleet_.commands_[answered];
+      isServed = isServed || isPassedOn(command);
+      const auto end = isOfS1(command) ? CommandStatus::NotSent : CommandStatus::Done;
+      member_.OnCommandEnded(now_, "rates", command.number_, { end, "" });
     }
   }
   EXPECT_TRUE(isServed);
--- a/Tests/LibGateway/TestSlowStartLimiter.cpp
+++ b/Tests/LibGateway/TestSlowStartLimiter.cpp
@@ -49,7 +49,7 @@
 {
   constexpr std::size_t kInstances = 74;
   constexpr double kRate = 5.8;
-  constexpr std::size_t kMostInASecond = 16;
+  constexpr std::size_t kMaxPerSecond = 16;
   std::minstd_rand random(GetParam());
   std::uniform_real_distribution<double> draw(0, 1);
   std::vector<SlowStartLimiter> shares(kInstances);
@@ -65,8 +65,8 @@
       }
     }
   }
-  for (std::size_t first = 0; first + kMostInASecond < sends.size(); ++first) {
-    EXPECT_GT(sends[first + kMostInASecond] - sends[first], seconds(1));
+  for (std::size_t first = 0; first + kMaxPerSecond < sends.size(); ++first) {
+    EXPECT_GT(sends[first + kMaxPerSecond] - sends[first], seconds(1));
   }
   EXPECT_GT(sends.size(), 5U);
 }
--- a/Tests/LibPermit/TestPermitDispatcher.cpp
+++ b/Tests/LibPermit/TestPermitDispatcher.cpp
@@ -229,9 +229,9 @@
     actions_.answers_.clear();
     Pass(milliseconds(1));
   }
-  constexpr std::size_t kMost = 5;
-  for (std::size_t first = 0; first + kMost < sends.size(); ++first) {
-    EXPECT_GE(sends[first + kMost] - sends[first], seconds(1));
+  constexpr std::size_t kMaxSends = 5;
+  for (std::size_t first = 0; first + kMaxSends < sends.size(); ++first) {
+    EXPECT_GE(sends[first + kMaxSends] - sends[first], seconds(1));
   }
   EXPECT_GE(sends.size(), 15U);
 }
--- a/Tests/Platform/TestPlatformCodec.cpp
+++ b/Tests/Platform/TestPlatformCodec.cpp
@@ -33,14 +33,14 @@
     exchange.end_ = ExchangeEnd::Complete;
     exchange.response_.status_ = aStatus;
     exchange.response_.headers_ = std::move(aHeaders);
-    return codec_.DecodeAttempt(order_, exchange);
+    return codec_.DecodeAttempt(command_, exchange);
   }
 
   AttemptOutcome DecodeEnd(ExchangeEnd aEnd) const
   {
     HttpExchange exchange;
     exchange.end_ = aEnd;
-    return codec_.DecodeAttempt(order_, exchange);
+    return codec_.DecodeAttempt(command_, exchange);
   }
 
   unsigned StatusOf(RefusalReason aReason, bool aIsNotRun) const
@@ -49,7 +49,7 @@
   }
 
   const PlatformCodec codec_;
-  const AttemptCommand order_{ 1, 1, "i-1", "10.0.0.1:80", milliseconds(345) };
+  const AttemptCommand command_{ 1, 1, "i-1", "10.0.0.1:80", milliseconds(345) };
 };
 
 TEST_F(AttemptCodec, ClientRequest_IsDecodedForRouting)
@@ -74,7 +74,7 @@
 
 TEST_F(AttemptCodec, RequestIsForwarded_OnlyHopByHopDeadlineAndServerHeadersDiffer)
 {
-  const auto attempt = codec_.EncodeAttempt(MakeClientRequest(), order_);
+  const auto attempt = codec_.EncodeAttempt(MakeClientRequest(), command_);
   EXPECT_EQ(attempt.method_, "POST");
   EXPECT_EQ(attempt.target_, "/puka/2?x=1");
   EXPECT_EQ(*attempt.body_, "body");
@@ -105,16 +105,16 @@
   auto request = MakeClientRequest();
   request.headers_.emplace_back("authorization", "Bearer key1");
   request.headers_.emplace_back("x-tenant", "another");
-  auto order = order_;
-  order.group_ = "yefi";
-  order.hidesApiKey_ = true;
-  const auto attempt = codec_.EncodeAttempt(request, order);
+  auto command = command_;
+  command.group_ = "yefi";
+  command.hidesApiKey_ = true;
+  const auto attempt = codec_.EncodeAttempt(request, command);
   EXPECT_EQ(attempt.Header("X-Tenant"), "yefi");
   EXPECT_TRUE(attempt.Header("Authorization").empty());
-  order.group_ = "";
-  EXPECT_TRUE(codec_.EncodeAttempt(request, order).Header("X-Tenant").empty());
+  command.group_ = "";
+  EXPECT_TRUE(codec_.EncodeAttempt(request, command).Header("X-Tenant").empty());
   // Without groups the gateway does not use the header and passes it on.
-  EXPECT_EQ(codec_.EncodeAttempt(request, order_).Header("Authorization"), "Bearer key1");
+  EXPECT_EQ(codec_.EncodeAttempt(request, command_).Header("Authorization"), "Bearer key1");
 }
 
 TEST_F(AttemptCodec, ServerAnnouncesLeaving_IsReadFromAnyAnswerOfTheExpectedIncarnation)
