--- a/Libraries/LibFleet/FleetStore.h
+++ b/Libraries/LibFleet/FleetStore.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "LibFleet/RowMirror.h"
+#include "LibFleet/TableReplica.h"
 #include "LibStore/Row.h"
 
 #include <array>
--- a/Libraries/LibFleet/FleetView.cpp
+++ b/Libraries/LibFleet/FleetView.cpp
@@ -24,8 +24,8 @@
 FleetView::Merge(Instant aNow, const TableView& aView)
 {
   UpdateEpoch(aNow, aView.version_);
-  const bool isNew = !mirror_.IsKnown(aView.table_);
-  const auto changes = mirror_.Apply(aView);
+  const bool isNew = !replica_.IsKnown(aView.table_);
+  const auto changes = replica_.Apply(aView);
   if (!changes) {
     return false;
   }
@@ -297,7 +297,7 @@
 RowVersion
 FleetView::ConfigurationVersion() const
 {
-  const auto* row = mirror_.Find(FleetTable::Configuration, configurationKey_);
+  const auto* row = replica_.Find(FleetTable::Configuration, configurationKey_);
   return row == nullptr ? 0 : row->version_;
 }
 
@@ -308,8 +308,8 @@
   for (const auto table : { FleetTable::Configuration, FleetTable::Servers }) {
     const auto index = static_cast<std::size_t>(table);
     const auto has = aVersions.at(index);
-    if (mirror_.IsKnown(table) && (has == 0 || mirror_.LastChangeOf(table) > has)) {
-      update.views_.push_back(mirror_.Since(table, has));
+    if (replica_.IsKnown(table) && (has == 0 || replica_.LastChangeOf(table) > has)) {
+      update.views_.push_back(replica_.Since(table, has));
     }
   }
   const auto known = aVersions.at(static_cast<std::size_t>(FleetTable::Fleet));
@@ -331,8 +331,8 @@
   for (const auto& [service, owned] : owners_) {
     fleet = std::max(fleet, owned.version_);
   }
-  return { mirror_.VersionOf(FleetTable::Configuration),
-           mirror_.VersionOf(FleetTable::Servers),
+  return { replica_.VersionOf(FleetTable::Configuration),
+           replica_.VersionOf(FleetTable::Servers),
            fleet };
 }
 
@@ -341,7 +341,7 @@
 {
   auto versions = Versions();
   for (const auto table : { FleetTable::Configuration, FleetTable::Servers }) {
-    versions.at(static_cast<std::size_t>(table)) = mirror_.LastChangeOf(table);
+    versions.at(static_cast<std::size_t>(table)) = replica_.LastChangeOf(table);
   }
   return versions;
 }
--- a/Libraries/LibFleet/FleetView.h
+++ b/Libraries/LibFleet/FleetView.h
@@ -4,7 +4,7 @@
 #include "LibBase/NameTable.h"
 #include "LibFleet/FleetUpdate.h"
 #include "LibFleet/PlacerElection.h"
-#include "LibFleet/RowMirror.h"
+#include "LibFleet/TableReplica.h"
 #include "LibGateway/RoutingTable.h"
 #include "LibGateway/ServerDirectory.h"
 #include "LibKeys/KeyOwnership.h"
@@ -100,7 +100,7 @@
   // The changes of a table since aVersion.
   TableView ChangesSince(FleetTable aTable, RowVersion aVersion) const
   {
-    return mirror_.Since(aTable, aVersion);
+    return replica_.Since(aTable, aVersion);
   }
   // All changes since aVersions.
   FleetUpdate UpdateSince(const TableVersions& aVersions) const;
@@ -114,7 +114,7 @@
   TableVersions Versions() const;
   // Version of the last known change of each table.
   TableVersions LastChanges() const;
-  bool IsKnown(FleetTable aTable) const { return mirror_.IsKnown(aTable); }
+  bool IsKnown(FleetTable aTable) const { return replica_.IsKnown(aTable); }
   const std::shared_ptr<const RouteTable>& Routes() const { return routes_; }
   ServerDirectory& Directory() { return directory_; }
   const ServerDirectory& Directory() const { return directory_; }
@@ -149,7 +149,7 @@
   FleetViewListener& listener_;
   EventSink& events_;
   // The configuration and the server records.
-  RowMirror mirror_;
+  TableReplica replica_;
   ServerDirectory directory_;
   // No value before the first version is known.
   std::optional<StoreEpoch> epoch_;
--- a/Libraries/LibFleet/RowMirror.cpp
+++ b/Libraries/LibFleet/TableReplica.cpp
@@ -1,4 +1,4 @@
-#include "LibFleet/RowMirror.h"
+#include "LibFleet/TableReplica.h"
 
 #include "LibStore/StoreEpoch.h"
 
@@ -16,7 +16,7 @@
 } // namespace
 
 std::optional<std::vector<RowChange>>
-RowMirror::Apply(const TableView& aView)
+TableReplica::Apply(const TableView& aView)
 {
   std::vector<RowChange> changes;
   auto& table = tables_.at(static_cast<std::size_t>(aView.table_));
@@ -56,7 +56,7 @@
 }
 
 void
-RowMirror::ApplyWhole(Table& aTable, const TableView& aView, std::vector<RowChange>& aChanges)
+TableReplica::ApplyWhole(Table& aTable, const TableView& aView, std::vector<RowChange>& aChanges)
 {
   std::set<std::string> present;
   for (const auto& change : aView.rows_) {
@@ -84,7 +84,7 @@
 }
 
 void
-RowMirror::Remember(Table& aTable, const std::vector<RowChange>& aChanges)
+TableReplica::Remember(Table& aTable, const std::vector<RowChange>& aChanges)
 {
   aTable.changes_.insert(aTable.changes_.end(), aChanges.begin(), aChanges.end());
   while (aTable.changes_.size() > kMaxChanges) {
@@ -94,7 +94,7 @@
 }
 
 TableView
-RowMirror::Since(FleetTable aTable, RowVersion aVersion) const
+TableReplica::Since(FleetTable aTable, RowVersion aVersion) const
 {
   const auto& table = Of(aTable);
   if (aVersion == 0 || aVersion < table.changesFrom_) {
@@ -110,7 +110,7 @@
 }
 
 const Row*
-RowMirror::Find(FleetTable aTable, const std::string& aKey) const
+TableReplica::Find(FleetTable aTable, const std::string& aKey) const
 {
   const auto& rows = Of(aTable).rows_;
   const auto row = rows.find(aKey);
@@ -118,7 +118,7 @@
 }
 
 TableView
-RowMirror::Whole(FleetTable aTable) const
+TableReplica::Whole(FleetTable aTable) const
 {
   TableView view{ aTable, VersionOf(aTable), true, 0, {} };
   for (const auto& [key, row] : Of(aTable).rows_) {
--- a/Libraries/LibFleet/RowMirror.h
+++ b/Libraries/LibFleet/TableReplica.h
@@ -53,7 +53,7 @@
 // A copy of the store's tables, fed with snapshots and changes from the store or from other
 // instances. Versions never go back. It remembers the latest changes, so that it can pass them to
 // other instances.
-class RowMirror
+class TableReplica
 {
 public:
   // Applies a view and returns the resulting changes; none if the copy is as new as the view. No
--- a/Tests/CountedEvents.h
+++ b/Tests/CountingEventSink.h
@@ -7,7 +7,7 @@
 namespace latchslip {
 
 // Counts recorded events by kind.
-class CountedEvents : public EventSink
+class CountingEventSink : public EventSink
 {
 public:
   void Record(Event aEvent, std::string_view) override { ++counts_[aEvent]; }
--- a/Tests/LibFleet/FleetMemberFixture.h
+++ b/Tests/LibFleet/FleetMemberFixture.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "../CountedEvents.h"
+#include "../CountingEventSink.h"
 #include "LibFleet/FleetMember.h"
 
 #include <gtest/gtest.h>
@@ -212,7 +212,7 @@
 
   std::optional<Duration> apiKeyBound_;
   Instant now_ = seconds(100);
-  CountedEvents events_;
+  CountingEventSink events_;
   MinimalDecoder decoder_;
   RecordingFleetActions fleet_;
   FleetMember member_{
--- a/Tests/LibFleet/TestFleetParts.cpp
+++ b/Tests/LibFleet/TestFleetParts.cpp
@@ -2,7 +2,7 @@
 #include "LibFleet/FleetUpdate.h"
 #include "LibFleet/PlacerElection.h"
 #include "LibFleet/PlacerMonitor.h"
-#include "LibFleet/RowMirror.h"
+#include "LibFleet/TableReplica.h"
 
 #include <gtest/gtest.h>
 
@@ -18,27 +18,27 @@
   return { FleetTable::Servers, aVersion, aIsWhole, aBase, std::move(aRows) };
 }
 
-class RowMirrorOfTwoRows : public testing::Test
+class TableReplicaOfTwoRows : public testing::Test
 {
 protected:
-  RowMirrorOfTwoRows()
+  TableReplicaOfTwoRows()
   {
-    mirror_.Apply(
+    replica_.Apply(
       MakeView(10, true, 0, { { { "a", 4, "old" }, false }, { { "b", 9, "b" }, false } }));
   }
 
   std::string ValueOf(const std::string& aKey) const
   {
-    const auto* row = mirror_.Find(FleetTable::Servers, aKey);
+    const auto* row = replica_.Find(FleetTable::Servers, aKey);
     return row == nullptr ? "" : row->value_;
   }
 
-  RowMirror mirror_;
+  TableReplica replica_;
 };
 
-TEST_F(RowMirrorOfTwoRows, ChangesAreAdjacent_AreApplied)
+TEST_F(TableReplicaOfTwoRows, ChangesAreAdjacent_AreApplied)
 {
-  const auto changes = mirror_.Apply(
+  const auto changes = replica_.Apply(
     MakeView(12, false, 10, { { { "a", 11, "new" }, false }, { { "b", 12, "" }, true } }));
   ASSERT_TRUE(changes);
   EXPECT_EQ(changes->size(), 2U);
@@ -46,46 +46,46 @@
   EXPECT_EQ(ValueOf("b"), "");
 }
 
-TEST_F(RowMirrorOfTwoRows, NothingChangesForAWhile_LastChangeStays)
+TEST_F(TableReplicaOfTwoRows, NothingChangesForAWhile_LastChangeStays)
 {
-  mirror_.Apply(MakeView(15, false, 10, {}));
-  EXPECT_EQ(mirror_.VersionOf(FleetTable::Servers), 15U);
-  EXPECT_EQ(mirror_.LastChangeOf(FleetTable::Servers), 9U);
+  replica_.Apply(MakeView(15, false, 10, {}));
+  EXPECT_EQ(replica_.VersionOf(FleetTable::Servers), 15U);
+  EXPECT_EQ(replica_.LastChangeOf(FleetTable::Servers), 9U);
 }
 
-TEST_F(RowMirrorOfTwoRows, OlderViewArrives_IsIgnored)
+TEST_F(TableReplicaOfTwoRows, OlderViewArrives_IsIgnored)
 {
-  EXPECT_TRUE(mirror_.Apply(MakeView(9, true, 0, {}))->empty());
+  EXPECT_TRUE(replica_.Apply(MakeView(9, true, 0, {}))->empty());
   EXPECT_EQ(ValueOf("a"), "old");
 }
 
-TEST_F(RowMirrorOfTwoRows, ChangesStartAfterTheKnownVersion_AreRejected)
+TEST_F(TableReplicaOfTwoRows, ChangesStartAfterTheKnownVersion_AreRejected)
 {
-  EXPECT_FALSE(mirror_.Apply(MakeView(14, false, 12, { { { "a", 13, "new" }, false } })));
+  EXPECT_FALSE(replica_.Apply(MakeView(14, false, 12, { { { "a", 13, "new" }, false } })));
   EXPECT_EQ(ValueOf("a"), "old");
-  EXPECT_EQ(mirror_.VersionOf(FleetTable::Servers), 10U);
+  EXPECT_EQ(replica_.VersionOf(FleetTable::Servers), 10U);
 }
 
-TEST_F(RowMirrorOfTwoRows, ChangesOverlap_NewerRowStays)
+TEST_F(TableReplicaOfTwoRows, ChangesOverlap_NewerRowStays)
 {
-  mirror_.Apply(MakeView(12, false, 10, { { { "a", 12, "newest" }, false } }));
-  mirror_.Apply(MakeView(13, false, 10, { { { "a", 11, "older" }, false } }));
+  replica_.Apply(MakeView(12, false, 10, { { { "a", 12, "newest" }, false } }));
+  replica_.Apply(MakeView(13, false, 10, { { { "a", 11, "older" }, false } }));
   EXPECT_EQ(ValueOf("a"), "newest");
 }
 
-TEST_F(RowMirrorOfTwoRows, WholeTableLacksARow_RowIsRemoved)
+TEST_F(TableReplicaOfTwoRows, WholeTableLacksARow_RowIsRemoved)
 {
-  const auto changes = mirror_.Apply(MakeView(20, true, 0, { { { "a", 4, "old" }, false } }));
+  const auto changes = replica_.Apply(MakeView(20, true, 0, { { { "a", 4, "old" }, false } }));
   ASSERT_EQ(changes->size(), 1U);
   EXPECT_TRUE(changes->front().isRemoved_);
   EXPECT_EQ(ValueOf("b"), "");
 }
 
-TEST_F(RowMirrorOfTwoRows, ChangesSinceARecentVersion_AreIncremental)
+TEST_F(TableReplicaOfTwoRows, ChangesSinceARecentVersion_AreIncremental)
 {
-  mirror_.Apply(MakeView(12, false, 10, { { { "a", 12, "new" }, false } }));
-  mirror_.Apply(MakeView(14, false, 12, { { { "b", 14, "" }, true } }));
-  const auto changes = mirror_.Since(FleetTable::Servers, 12);
+  replica_.Apply(MakeView(12, false, 10, { { { "a", 12, "new" }, false } }));
+  replica_.Apply(MakeView(14, false, 12, { { { "b", 14, "" }, true } }));
+  const auto changes = replica_.Since(FleetTable::Servers, 12);
   EXPECT_FALSE(changes.isWhole_);
   EXPECT_EQ(changes.base_, 12U);
   EXPECT_EQ(changes.version_, 14U);
@@ -93,35 +93,35 @@
   EXPECT_TRUE(changes.rows_.front().isRemoved_);
 }
 
-TEST_F(RowMirrorOfTwoRows, ChangesSinceAnOldVersion_AreTheWholeTable)
+TEST_F(TableReplicaOfTwoRows, ChangesSinceAnOldVersion_AreTheWholeTable)
 {
-  mirror_.Apply(MakeView(12, false, 10, { { { "a", 12, "new" }, false } }));
-  EXPECT_TRUE(mirror_.Since(FleetTable::Servers, 9).isWhole_);
-  EXPECT_TRUE(mirror_.Since(FleetTable::Servers, 0).isWhole_);
+  replica_.Apply(MakeView(12, false, 10, { { { "a", 12, "new" }, false } }));
+  EXPECT_TRUE(replica_.Since(FleetTable::Servers, 9).isWhole_);
+  EXPECT_TRUE(replica_.Since(FleetTable::Servers, 0).isWhole_);
 }
 
-TEST_F(RowMirrorOfTwoRows, TableIsReadAgain_ItsDifferencesAreChanges)
+TEST_F(TableReplicaOfTwoRows, TableIsReadAgain_ItsDifferencesAreChanges)
 {
-  mirror_.Apply(MakeView(20, true, 0, { { { "a", 18, "new" }, false } }));
-  const auto changes = mirror_.Since(FleetTable::Servers, 10);
+  replica_.Apply(MakeView(20, true, 0, { { { "a", 18, "new" }, false } }));
+  const auto changes = replica_.Since(FleetTable::Servers, 10);
   EXPECT_FALSE(changes.isWhole_);
   EXPECT_EQ(changes.rows_.size(), 2U);
-  EXPECT_EQ(mirror_.LastChangeOf(FleetTable::Servers), 20U);
+  EXPECT_EQ(replica_.LastChangeOf(FleetTable::Servers), 20U);
 }
 
-TEST_F(RowMirrorOfTwoRows, ManyChanges_OldestAreDropped)
+TEST_F(TableReplicaOfTwoRows, ManyChanges_OldestAreDropped)
 {
   for (RowVersion version = 11; version < 3000; ++version) {
-    mirror_.Apply(MakeView(version, false, version - 1, { { { "a", version, "x" }, false } }));
+    replica_.Apply(MakeView(version, false, version - 1, { { { "a", version, "x" }, false } }));
   }
-  EXPECT_FALSE(mirror_.Since(FleetTable::Servers, 2500).isWhole_);
-  EXPECT_TRUE(mirror_.Since(FleetTable::Servers, 20).isWhole_);
+  EXPECT_FALSE(replica_.Since(FleetTable::Servers, 2500).isWhole_);
+  EXPECT_TRUE(replica_.Since(FleetTable::Servers, 20).isWhole_);
 }
 
-TEST(RowMirror, ChangesArriveBeforeTheTable_AreRejected)
+TEST(TableReplica, ChangesArriveBeforeTheTable_AreRejected)
 {
-  RowMirror mirror;
-  EXPECT_FALSE(mirror.Apply(MakeView(3, false, 0, {})));
+  TableReplica replica;
+  EXPECT_FALSE(replica.Apply(MakeView(3, false, 0, {})));
 }
 
 class PlacerElectionOfTwo : public testing::Test
--- a/Tests/LibFleet/TestStoreReturn.cpp
+++ b/Tests/LibFleet/TestStoreRestore.cpp
@@ -223,15 +223,15 @@
   EXPECT_GE(now_, latest);
 }
 
-TEST(RowMirror, TableIsReadInALaterEpoch_OnlyOtherWritesAreChanges)
+TEST(TableReplica, TableIsReadInALaterEpoch_OnlyOtherWritesAreChanges)
 {
-  RowMirror mirror;
+  TableReplica replica;
   const auto show = [&](RowVersion aVersion, std::vector<Row> aRows) {
     TableView view{ FleetTable::Servers, aVersion, true, 0, {} };
     for (auto& row : aRows) {
       view.rows_.push_back({ std::move(row), false });
     }
-    return mirror.Apply(view).value();
+    return replica.Apply(view).value();
   };
   show(90, { { "a", 3, "x" }, { "b", 80, "y" }, { "c", 85, "z" } });
   const auto changes =
@@ -239,8 +239,8 @@
   ASSERT_EQ(changes.size(), 2U);
   EXPECT_EQ(changes[0].row_.value_, "w");
   EXPECT_TRUE(changes[1].isRemoved_);
-  EXPECT_EQ(mirror.Find(FleetTable::Servers, "a")->version_, MakeVersion(1, 3));
-  EXPECT_EQ(mirror.VersionOf(FleetTable::Servers), MakeVersion(1, 50));
+  EXPECT_EQ(replica.Find(FleetTable::Servers, "a")->version_, MakeVersion(1, 3));
+  EXPECT_EQ(replica.VersionOf(FleetTable::Servers), MakeVersion(1, 50));
 }
 
 } // namespace
--- a/Tests/LibGateway/RecordingActions.h
+++ b/Tests/LibGateway/RecordingActions.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "../SilentEvents.h"
+#include "../NullEventSink.h"
 #include "LibGateway/GatewayRouter.h"
 
 #include <map>
--- a/Tests/LibGateway/TestCallerGroups.cpp
+++ b/Tests/LibGateway/TestCallerGroups.cpp
@@ -138,7 +138,7 @@
   std::uint64_t revision_ = 0;
   std::uint64_t version_ = 0;
   RequestNumber lastRequest_ = 0;
-  SilentEvents events_;
+  NullEventSink events_;
   RecordingActions actions_;
   ServerDirectory directory_;
   NullPermitSource permits_;
--- a/Tests/LibGateway/TestGatewayRouter.cpp
+++ b/Tests/LibGateway/TestGatewayRouter.cpp
@@ -1,4 +1,4 @@
-#include "../CountedEvents.h"
+#include "../CountingEventSink.h"
 #include "LibGateway/GatewayRouter.h"
 #include "RecordingActions.h"
 
@@ -156,7 +156,7 @@
   Instant now_ = seconds(100);
   std::uint64_t revision_ = 0;
   RequestNumber lastRequest_ = 0;
-  CountedEvents events_;
+  CountingEventSink events_;
   RecordingActions actions_;
   ServerDirectory directory_;
   NullPermitSource permits_;
@@ -650,7 +650,7 @@
 
 TEST(GatewayRouter, NoConfigurationForAMoment_IsRefusedAsNotRun)
 {
-  SilentEvents events;
+  NullEventSink events;
   RecordingActions actions;
   const ServerDirectory directory;
   NullPermitSource permits;
--- a/Tests/LibGateway/TestPermitRequests.cpp
+++ b/Tests/LibGateway/TestPermitRequests.cpp
@@ -99,7 +99,7 @@
 
   Instant now_ = seconds(100);
   RequestNumber lastRequest_ = 0;
-  SilentEvents events_;
+  NullEventSink events_;
   RecordingActions actions_;
   RecordingPermitSource permits_;
   ServerDirectory directory_;
--- a/Tests/LibPermit/TestPermitClient.cpp
+++ b/Tests/LibPermit/TestPermitClient.cpp
@@ -1,4 +1,4 @@
-#include "../SilentEvents.h"
+#include "../NullEventSink.h"
 #include "LibPermit/PermitClient.h"
 
 #include <gtest/gtest.h>
@@ -76,7 +76,7 @@
   }
 
   Instant now_ = seconds(100);
-  SilentEvents events_;
+  NullEventSink events_;
   RecordedClient recorded_;
   PermitClient client_{ recorded_, events_ };
 };
--- a/Tests/SilentEvents.h
+++ b/Tests/NullEventSink.h
@@ -5,7 +5,7 @@
 namespace latchslip {
 
 // Discards events, for tests that don't check them.
-class SilentEvents : public EventSink
+class NullEventSink : public EventSink
 {
 public:
   void Record(Event, std::string_view) override {}
--- a/Tests/Platform/TestPlatformStore.cpp
+++ b/Tests/Platform/TestPlatformStore.cpp
@@ -1,4 +1,4 @@
-#include "../SilentEvents.h"
+#include "../NullEventSink.h"
 #include "FleetDocuments.h"
 #include "LibNet/MonotonicClock.h"
 #include "LibStore/StoreEpoch.h"
@@ -37,7 +37,7 @@
 
   boost::asio::io_context context_{ 1 };
   std::unique_ptr<StandInStore> store_ = StandInStore::Create(context_, Loopback(kPort)).value();
-  SilentEvents events_;
+  NullEventSink events_;
   std::unique_ptr<FleetStore> client_ = CreatePlatformStore(context_, Loopback(kPort), events_);
 };
 
