--- a/Benchmarks/BenchDecisions.cpp
+++ b/Benchmarks/BenchDecisions.cpp
@@ -88,7 +88,7 @@
   const auto batch = static_cast<ClaimId>(aState.range(0));
   ClaimTiming timing;
   timing.batch_ = batch;
-  ClaimRegistry book("instance-1#0123abcd", timing);
+  ClaimRegistry registry("instance-1#0123abcd", timing);
   Instant now = seconds(1);
   ClaimId id = 0;
   std::size_t transactions = 0;
@@ -96,20 +96,20 @@
     now += seconds(1);
     for (ClaimId count = 0; count < batch; ++count) {
       ++id;
-      book.Submit(now, id, "claim/bookings/web/" + std::to_string(id), "instance-2#0123abcd/1");
+      registry.Submit(now, id, "claim/bookings/web/" + std::to_string(id), "instance-2#0123abcd/1");
     }
-    const auto call = book.NextCall(now);
+    const auto call = registry.NextCall(now);
     StoreReply reply;
     reply.status_ = StoreStatus::Done;
-    benchmark::DoNotOptimize(book.OnReply(now, reply));
+    benchmark::DoNotOptimize(registry.OnReply(now, reply));
     transactions += call ? 1 : 0;
     for (ClaimId count = 0; count < batch; ++count) {
-      book.Close(id - count, "answered 200");
+      registry.Close(id - count, "answered 200");
     }
     // The closing writes are batched with later transactions; here they are committed at once.
     now += seconds(1);
-    if (book.NextCall(now)) {
-      book.OnReply(now, reply);
+    if (registry.NextCall(now)) {
+      registry.OnReply(now, reply);
     }
   }
   aState.counters["claims_per_transaction"] =
--- a/Libraries/LibDaemon/GatewayHost.cpp
+++ b/Libraries/LibDaemon/GatewayHost.cpp
@@ -277,8 +277,8 @@
   void ReadConfigurationVersion() override
   {
     store_.ReadConfigurationVersion(
-      [this, askedAt = MonotonicNow()](std::optional<RowVersion> aVersion) {
-        member_.OnConfigurationRead(MonotonicNow(), askedAt, aVersion);
+      [this, requestedAt = MonotonicNow()](std::optional<RowVersion> aVersion) {
+        member_.OnConfigurationRead(MonotonicNow(), requestedAt, aVersion);
       });
   }
 
--- a/Libraries/LibDaemon/PermitLinks.cpp
+++ b/Libraries/LibDaemon/PermitLinks.cpp
@@ -16,7 +16,7 @@
 using tcp = asio::ip::tcp;
 
 // Many round trips within a region; after it the client uses another dispatcher.
-constexpr Duration kDialTimeout = milliseconds(300);
+constexpr Duration kConnectTimeout = milliseconds(300);
 // The caller id of this instance at its own dispatcher.
 constexpr CallerId kLocalCaller = 0;
 
@@ -144,16 +144,16 @@
     asio::post(context_, [this] { client_.OnLinkUp(MonotonicNow(), self_); });
     return;
   }
-  const auto dial = ++lastDial_;
-  pendingDials_[aDispatcher] = dial;
+  const auto attempt = ++lastAttempt_;
+  pendingAttempts_[aDispatcher] = attempt;
   const auto endpoint = ParseAddress(PermitAddressOf(aDispatcher));
   if (!endpoint) {
     events_.Record(Event::PeerRefused, "reason=\"" + endpoint.error().Describe() + "\"");
-    asio::post(context_, [this, aDispatcher, dial] { OnDialFailed(aDispatcher, dial); });
+    asio::post(context_, [this, aDispatcher, attempt] { OnConnectFailed(aDispatcher, attempt); });
     return;
   }
   auto socket = std::make_shared<tcp::socket>(context_);
-  auto timer = std::make_shared<asio::steady_timer>(context_, kDialTimeout);
+  auto timer = std::make_shared<asio::steady_timer>(context_, kConnectTimeout);
   timer->async_wait([socket](error_code aError) {
     if (!aError) {
       error_code ignored;
@@ -161,34 +161,36 @@
     }
   });
   socket->async_connect(endpoint.value(),
-                        [this, aDispatcher, dial, socket, timer](error_code aError) {
+                        [this, aDispatcher, attempt, socket, timer](error_code aError) {
                           timer->cancel();
                           if (aError || !socket->is_open()) {
-                            OnDialFailed(aDispatcher, dial);
+                            OnConnectFailed(aDispatcher, attempt);
                           } else {
-                            OnDialled(aDispatcher, dial, std::move(*socket));
+                            OnConnected(aDispatcher, attempt, std::move(*socket));
                           }
                         });
 }
 
 void
-PermitLinks::OnDialFailed(const std::string& aDispatcher, std::uint64_t aDial)
+PermitLinks::OnConnectFailed(const std::string& aDispatcher, std::uint64_t aAttempt)
 {
-  if (const auto dial = pendingDials_.find(aDispatcher);
-      dial != pendingDials_.end() && dial->second == aDial) {
-    pendingDials_.erase(dial);
+  if (const auto attempt = pendingAttempts_.find(aDispatcher);
+      attempt != pendingAttempts_.end() && attempt->second == aAttempt) {
+    pendingAttempts_.erase(attempt);
     client_.OnLinkDown(MonotonicNow(), aDispatcher);
   }
 }
 
 void
-PermitLinks::OnDialled(const std::string& aDispatcher, std::uint64_t aDial, tcp::socket aSocket)
+PermitLinks::OnConnected(const std::string& aDispatcher,
+                         std::uint64_t aAttempt,
+                         tcp::socket aSocket)
 {
-  const auto dial = pendingDials_.find(aDispatcher);
-  if (dial == pendingDials_.end() || dial->second != aDial) {
+  const auto attempt = pendingAttempts_.find(aDispatcher);
+  if (attempt == pendingAttempts_.end() || attempt->second != aAttempt) {
     return;
   }
-  pendingDials_.erase(dial);
+  pendingAttempts_.erase(attempt);
   auto stream = std::make_shared<FrameStream>(std::move(aSocket));
   dispatcherLinks_[aDispatcher] = { stream, {} };
   stream->Start([this, aDispatcher](
@@ -220,7 +222,7 @@
 void
 PermitLinks::Disconnect(const std::string& aDispatcher)
 {
-  pendingDials_.erase(aDispatcher);
+  pendingAttempts_.erase(aDispatcher);
   if (const auto link = dispatcherLinks_.find(aDispatcher); link != dispatcherLinks_.end()) {
     const auto stream = link->second.stream_;
     dispatcherLinks_.erase(link);
--- a/Libraries/LibDaemon/PermitLinks.h
+++ b/Libraries/LibDaemon/PermitLinks.h
@@ -65,10 +65,10 @@
 
   void Accept();
   void OnAccepted(boost::asio::ip::tcp::socket aSocket);
-  void OnDialled(const std::string& aDispatcher,
-                 std::uint64_t aDial,
-                 boost::asio::ip::tcp::socket aSocket);
-  void OnDialFailed(const std::string& aDispatcher, std::uint64_t aDial);
+  void OnConnected(const std::string& aDispatcher,
+                   std::uint64_t aAttempt,
+                   boost::asio::ip::tcp::socket aSocket);
+  void OnConnectFailed(const std::string& aDispatcher, std::uint64_t aAttempt);
   // Decodes a batch. On malformed bytes closes the stream and returns std::nullopt.
   std::optional<PermitBatch> ReadBatch(std::span<const std::uint8_t> aBytes, FrameStream& aStream);
   void OnCallerFrame(CallerId aCaller, std::span<const std::uint8_t> aBytes);
@@ -92,13 +92,13 @@
   // Open links to dispatchers, by the dispatcher's address.
   std::map<std::string, Link> dispatcherLinks_;
   // Number of the connection attempt in progress, by the dispatcher's address.
-  std::map<std::string, std::uint64_t> pendingDials_;
+  std::map<std::string, std::uint64_t> pendingAttempts_;
   // Links accepted from other instances.
   std::map<CallerId, Link> callerLinks_;
   // Messages between this instance's own client and dispatcher.
   PermitBatch localBatch_;
   CallerId lastCaller_ = 0;
-  std::uint64_t lastDial_ = 0;
+  std::uint64_t lastAttempt_ = 0;
   bool isFlushScheduled_ = false;
 };
 
--- a/Libraries/LibFleet/FleetMember.h
+++ b/Libraries/LibFleet/FleetMember.h
@@ -141,8 +141,8 @@
                        Duration aRoundTrip = Duration(0),
                        const std::string& aFrom = {});
   // Result of FleetActions::ReadConfigurationVersion; no value if the store did not answer.
-  // aAskedAt is the time at which the read was sent.
-  void OnConfigurationRead(Instant aNow, Instant aAskedAt, std::optional<RowVersion> aVersion);
+  // aRequestedAt is the time at which the read was sent.
+  void OnConfigurationRead(Instant aNow, Instant aRequestedAt, std::optional<RowVersion> aVersion);
   // Handles another instance's usage of the groups' limits and returns the admitted shares of those
   // groups. No value if this instance is not the placer, which is the limit coordinator.
   std::optional<AdmittedShares> OnUsage(Instant aNow, const UsageReport& aReport);
--- a/Libraries/LibFleet/FleetMemberConfiguration.cpp
+++ b/Libraries/LibFleet/FleetMemberConfiguration.cpp
@@ -69,14 +69,16 @@
 }
 
 void
-FleetMember::OnConfigurationRead(Instant aNow, Instant aAskedAt, std::optional<RowVersion> aVersion)
+FleetMember::OnConfigurationRead(Instant aNow,
+                                 Instant aRequestedAt,
+                                 std::optional<RowVersion> aVersion)
 {
   isProofReadPending_ = false;
   const bool isOfThisEpoch = aVersion && EpochOf(*aVersion) == view_.Epoch();
-  if (!isOfThisEpoch || view_.Epoch() != proofEpoch_ || aAskedAt < proofsValidFrom_) {
+  if (!isOfThisEpoch || view_.Epoch() != proofEpoch_ || aRequestedAt < proofsValidFrom_) {
     return;
   }
-  AddProof(aNow, aAskedAt, *aVersion);
+  AddProof(aNow, aRequestedAt, *aVersion);
 }
 
 void
--- a/Libraries/LibFleet/FleetUpdate.cpp
+++ b/Libraries/LibFleet/FleetUpdate.cpp
@@ -123,8 +123,8 @@
   BOOST_OUTCOME_TRY(const auto reader, JsonReader::Create(value, ""));
   FleetUpdate update;
   BOOST_OUTCOME_TRY(update.pausesUpdates_, reader.FlagOr("last_for_now", false));
-  BOOST_OUTCOME_TRY(const auto sight, reader.TextOr("store", "none"));
-  const auto known = kStoreReachabilityNames.ValueOf(sight);
+  BOOST_OUTCOME_TRY(const auto reachability, reader.TextOr("store", "none"));
+  const auto known = kStoreReachabilityNames.ValueOf(reachability);
   if (!known) {
     return FieldError{ "store", "must be none, lost or heard" };
   }
--- a/Libraries/LibGateway/GatewayRouter.cpp
+++ b/Libraries/LibGateway/GatewayRouter.cpp
@@ -28,7 +28,7 @@
 constexpr double kConfigurationWaitPerTimeLeft = 0.08;
 // Within this time of its first configuration an instance also learns of the servers and of the
 // owners of keys: about as long as reading a table of the store takes.
-constexpr Duration kStartupLearnTime = milliseconds(200);
+constexpr Duration kStartupDiscoveryTime = milliseconds(200);
 // Assumed time left of a request without a route and without a time limit of its client.
 constexpr Duration kAssumedTimeLeft = seconds(1);
 // Reserved for the way back of the answer when a server is sent its time limit.
@@ -656,7 +656,7 @@
 std::optional<Duration>
 GatewayRouter::ExpectedStartupWait(Instant aNow) const
 {
-  const auto until = firstRoutesAt_ + kStartupLearnTime;
+  const auto until = firstRoutesAt_ + kStartupDiscoveryTime;
   return aNow < until ? std::optional(Duration(until - aNow)) : std::nullopt;
 }
 
--- a/Libraries/LibGateway/ServerLoad.cpp
+++ b/Libraries/LibGateway/ServerLoad.cpp
@@ -75,8 +75,8 @@
   inFlight_.erase(sent);
   health_.OnEnded(aNow, aResult);
   if (aResult == SendResult::Answered) {
-    LearnLatency(latency);
-    LearnLimit(aNow, isLate, wasFull);
+    UpdateMeanLatency(latency);
+    AdaptLimit(aNow, isLate, wasFull);
   } else if (aResult == SendResult::Shed || aResult == SendResult::Broken) {
     Shrink(aNow, kShedShrinkFactor);
   }
@@ -182,7 +182,7 @@
 }
 
 void
-ServerLoad::LearnLatency(Duration aLatency)
+ServerLoad::UpdateMeanLatency(Duration aLatency)
 {
   ++work_.answers_;
   work_.busy_ += aLatency;
@@ -190,7 +190,7 @@
 }
 
 void
-ServerLoad::LearnLimit(Instant aNow, bool aIsLate, bool aWasFull)
+ServerLoad::AdaptLimit(Instant aNow, bool aIsLate, bool aWasFull)
 {
   if (aIsLate) {
     lastLateAt_ = aNow;
--- a/Libraries/LibGateway/ServerLoad.h
+++ b/Libraries/LibGateway/ServerLoad.h
@@ -68,9 +68,9 @@
   std::size_t Limit() const { return static_cast<std::size_t>(limit_); }
 
 private:
-  void LearnLatency(Duration aLatency);
+  void UpdateMeanLatency(Duration aLatency);
   // Adapts the limit to whether an answer was in time.
-  void LearnLimit(Instant aNow, bool aIsLate, bool aWasFull);
+  void AdaptLimit(Instant aNow, bool aIsLate, bool aWasFull);
   void Shrink(Instant aNow, double aFactor);
   bool IsOverdue(Instant aNow) const;
 
--- a/Libraries/LibInstance/DispatchController.cpp
+++ b/Libraries/LibInstance/DispatchController.cpp
@@ -491,7 +491,7 @@
 void
 DispatchController::RejectWaiting(Instant aNow, HeldServer& aHeld, Reason aReason)
 {
-  for (const auto id : aHeld.UnsentWork()) {
+  for (const auto id : aHeld.PendingWork()) {
     aHeld.queue_.Remove(id);
     Answer(aNow, aHeld.workItems_.at(id), MakeNotRun(aReason, kOwnerChangeRetry));
     Drop(aHeld, id);
--- a/Libraries/LibInstance/HeldServer.cpp
+++ b/Libraries/LibInstance/HeldServer.cpp
@@ -80,7 +80,7 @@
 }
 
 std::vector<WorkId>
-HeldServer::UnsentWork() const
+HeldServer::PendingWork() const
 {
   std::vector<WorkId> ids;
   for (const auto& [id, work] : workItems_) {
--- a/Libraries/LibInstance/HeldServer.h
+++ b/Libraries/LibInstance/HeldServer.h
@@ -69,7 +69,7 @@
   bool MayHaveRunningWork() const;
 
   // Returns the work that waits for its claim or for a slot.
-  std::vector<WorkId> UnsentWork() const;
+  std::vector<WorkId> PendingWork() const;
   // Returns the work that was abandoned before a moment.
   std::vector<WorkId> AbandonedBefore(Instant aMoment) const;
 
--- a/Libraries/LibMembership/Membership.cpp
+++ b/Libraries/LibMembership/Membership.cpp
@@ -274,11 +274,11 @@
 bool
 Membership::HasMajorityContact(Instant aNow, Duration aBound) const
 {
-  const auto heard = std::count_if(peers_.begin(), peers_.end(), [&](const auto& aEntry) {
+  const auto inContact = std::count_if(peers_.begin(), peers_.end(), [&](const auto& aEntry) {
     return IsListed(aEntry.first) && aNow - aEntry.second.lastContactAt_ <= aBound;
   });
   const auto total = Peers().size() + 1;
-  return (static_cast<std::size_t>(heard) + 1) * 2 > total;
+  return (static_cast<std::size_t>(inContact) + 1) * 2 > total;
 }
 
 std::optional<InstanceId>
--- a/Libraries/LibNet/PeerNetwork.cpp
+++ b/Libraries/LibNet/PeerNetwork.cpp
@@ -19,7 +19,7 @@
 using boost::system::error_code;
 using tcp = asio::ip::tcp;
 
-constexpr Duration kRedialDelay = milliseconds(200);
+constexpr Duration kReconnectDelay = milliseconds(200);
 constexpr Duration kHandshakeTimeout = seconds(2);
 
 // Returns a frame handler that decodes messages; a malformed message closes the stream.
@@ -37,14 +37,14 @@
   };
 }
 
-// The outgoing link to one peer; redials when it closes.
-class DialledLink : public std::enable_shared_from_this<DialledLink>
+// The outgoing link to one peer; reconnects when it closes.
+class OutgoingLink : public std::enable_shared_from_this<OutgoingLink>
 {
 public:
-  DialledLink(asio::io_context& aContext,
-              const PeerNetwork::Settings& aSettings,
-              PeerHandler& aHandler,
-              std::string aAddress)
+  OutgoingLink(asio::io_context& aContext,
+               const PeerNetwork::Settings& aSettings,
+               PeerHandler& aHandler,
+               std::string aAddress)
     : context_(aContext)
     , settings_(aSettings)
     , handler_(aHandler)
@@ -53,7 +53,7 @@
   {
   }
 
-  void Dial()
+  void Connect()
   {
     const auto endpoint = ParseAddress(address_);
     if (isStopped_ || !endpoint) {
@@ -64,7 +64,7 @@
     StartHandshakeTimer(socket);
     socket->async_connect(endpoint.value(), [self = shared_from_this(), socket](error_code aError) {
       if (aError || self->isStopped_) {
-        self->ScheduleRedial();
+        self->ScheduleReconnect();
         return;
       }
       self->OnConnected(std::move(*socket));
@@ -87,7 +87,7 @@
 
 private:
   // Bounds connecting and the handshake. Without it an address that drops packets would block the
-  // link from being redialled.
+  // link from being reconnected.
   void StartHandshakeTimer(const std::shared_ptr<tcp::socket>& aSocket)
   {
     timer_.expires_after(kHandshakeTimeout);
@@ -103,15 +103,15 @@
     });
   }
 
-  void ScheduleRedial()
+  void ScheduleReconnect()
   {
     if (isStopped_) {
       return;
     }
-    timer_.expires_after(kRedialDelay);
+    timer_.expires_after(kReconnectDelay);
     timer_.async_wait([self = shared_from_this()](error_code aError) {
       if (!aError) {
-        self->Dial();
+        self->Connect();
       }
     });
   }
@@ -130,7 +130,7 @@
   {
     if (const auto* challenge = std::get_if<PeerChallenge>(&aMessage)) {
       PeerHello hello{ settings_.self_, settings_.hall_, MakeNonce(), "" };
-      hello.proof_ = ComputeProof(settings_.secret_, PeerRole::Dialler, challenge->nonce_, hello);
+      hello.proof_ = ComputeProof(settings_.secret_, PeerRole::Initiator, challenge->nonce_, hello);
       nonce_ = hello.nonce_;
       stream_->Send(EncodeWire(hello));
       return;
@@ -158,7 +158,7 @@
     if (std::exchange(isUp_, false)) {
       handler_.OnPeerDown(peer_);
     }
-    ScheduleRedial();
+    ScheduleReconnect();
   }
 
   asio::io_context& context_;
@@ -174,7 +174,7 @@
   bool isStopped_ = false;
 };
 
-// An incoming link dialled by a peer; after the handshake it is used only for receiving.
+// An incoming link that a peer opened; after the handshake it is used only for receiving.
 class AcceptedLink : public std::enable_shared_from_this<AcceptedLink>
 {
 public:
@@ -208,7 +208,7 @@
     const auto* hello = std::get_if<PeerHello>(&aMessage);
     const bool isProven =
       hello != nullptr &&
-      IsProofValid(ComputeProof(settings_.secret_, PeerRole::Dialler, challenge_, *hello),
+      IsProofValid(ComputeProof(settings_.secret_, PeerRole::Initiator, challenge_, *hello),
                    hello->proof_);
     if (!isProven) {
       handler_.OnPeerRefused(stream_->RemoteAddress(), "its proof does not fit the fleet's secret");
@@ -273,8 +273,8 @@
     for (const auto& peer : aPeers) {
       auto& link = links_[peer.name_];
       if (!link) {
-        link = std::make_shared<DialledLink>(context_, settings_, handler_, peer.peerAddress_);
-        link->Dial();
+        link = std::make_shared<OutgoingLink>(context_, settings_, handler_, peer.peerAddress_);
+        link->Connect();
       }
     }
   }
@@ -312,7 +312,7 @@
   tcp::acceptor acceptor_;
   Settings settings_;
   PeerHandler& handler_;
-  std::map<std::string, std::shared_ptr<DialledLink>> links_;
+  std::map<std::string, std::shared_ptr<OutgoingLink>> links_;
   std::uint64_t bytesSent_ = 0;
   std::uint64_t controlBytesSent_ = 0;
 };
--- a/Libraries/LibNet/PeerNetwork.h
+++ b/Libraries/LibNet/PeerNetwork.h
@@ -26,8 +26,8 @@
 };
 
 // Full mesh of links between instances: framed Cap'n Proto messages over TCP. Each instance
-// dials every other instance and sends only on the link that it dialled. Both ends first
-// authenticate with the fleet's shared secret. Broken links are redialled.
+// connects to every other instance and sends only on the link that it opened. Both ends first
+// authenticate with the fleet's shared secret. Broken links are reopened.
 class PeerNetwork
 {
 public:
@@ -45,7 +45,7 @@
                                                           PeerHandler& aHandler);
   virtual ~PeerNetwork() = default;
 
-  // Dials new peers and closes the links to peers that are no longer listed.
+  // Connects to new peers and closes the links to peers that are no longer listed.
   virtual void SetPeers(const std::vector<ListedInstance>& aPeers) = 0;
 
   // Sends a message on an open link. Returns false, with nothing sent, if there is no link to
--- a/Libraries/LibNet/PeerProof.cpp
+++ b/Libraries/LibNet/PeerProof.cpp
@@ -35,7 +35,7 @@
              const PeerHello& aHello)
 {
   std::string text;
-  Append(text, aRole == PeerRole::Dialler ? "dialler" : "acceptor");
+  Append(text, aRole == PeerRole::Initiator ? "dialler" : "acceptor");
   Append(text, aChallenge);
   Append(text, aHello.nonce_);
   Append(text, aHello.id_);
--- a/Libraries/LibNet/PeerProof.h
+++ b/Libraries/LibNet/PeerProof.h
@@ -13,7 +13,7 @@
 // The ends of a link: the instance that opened the connection, and the one that accepted it.
 enum class PeerRole
 {
-  Dialler,
+  Initiator,
   Acceptor,
 };
 
--- a/Libraries/LibScenario/Script.cpp
+++ b/Libraries/LibScenario/Script.cpp
@@ -245,17 +245,17 @@
 ScriptRunner::ExpectOutcome(ScriptReader& aReader)
 {
   BOOST_OUTCOME_TRY(const auto id, aReader.ReadWord("the id of a request"));
-  BOOST_OUTCOME_TRY(const auto wanted, aReader.ReadWord("an outcome"));
-  const auto outcome = kRequestOutcomeNames.ValueOf(wanted.text_);
+  BOOST_OUTCOME_TRY(const auto expected, aReader.ReadWord("an outcome"));
+  const auto outcome = kRequestOutcomeNames.ValueOf(expected.text_);
   if (!outcome) {
-    return ErrorAt(wanted, "no outcome is named \"" + wanted.text_ + "\"");
+    return ErrorAt(expected, "no outcome is named \"" + expected.text_ + "\"");
   }
   const auto found = fleet_->OutcomeOf(id.text_);
   if (!found) {
     return ErrorAt(id, "the request \"" + id.text_ + "\" has no answer");
   }
   if (*found != *outcome) {
-    return ErrorAt(wanted,
+    return ErrorAt(expected,
                    "the outcome is " + std::string(kRequestOutcomeNames.NameOf(*found)) + " for " +
                      std::string(kReasonNames.NameOf(fleet_->ReasonOf(id.text_))));
   }
--- a/Libraries/LibScenario/SimulatedFleet.cpp
+++ b/Libraries/LibScenario/SimulatedFleet.cpp
@@ -438,7 +438,7 @@
   const auto id = ++nextCaller_;
   auto& confirmation = confirmations_[aPlan];
   confirmation.status_ = 0;
-  confirmation.askedAt_ = Now();
+  confirmation.requestedAt_ = Now();
   planOfOperator_[id] = "confirm " + aPlan;
   instance.core_->OnConfirm(instance.LocalTime(), id, confirmation.plan_);
 }
@@ -460,7 +460,7 @@
 SimulatedFleet::ConfirmationTime(const std::string& aPlan) const
 {
   const auto& confirmation = confirmations_.at(aPlan);
-  return confirmation.answeredAt_ - confirmation.askedAt_;
+  return confirmation.answeredAt_ - confirmation.requestedAt_;
 }
 
 std::optional<RequestOutcome>
--- a/Libraries/LibScenario/SimulatedFleet.h
+++ b/Libraries/LibScenario/SimulatedFleet.h
@@ -174,7 +174,7 @@
     std::string plan_;
     unsigned status_ = 0;
     std::string answer_;
-    Instant askedAt_{ 0 };
+    Instant requestedAt_{ 0 };
     Instant answeredAt_{ 0 };
   };
 
--- a/Libraries/LibScenario/SimulatedNetwork.cpp
+++ b/Libraries/LibScenario/SimulatedNetwork.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr std::uint64_t kMinDelayMicros = 200;
-constexpr std::uint64_t kDelaySpreadMicros = 800;
+constexpr std::uint64_t kDelayJitterMicros = 800;
 constexpr Duration kGrantTimeout = milliseconds(450);
 constexpr Duration kStoreTimeout = seconds(2);
 constexpr Duration kWorkTimeoutSlack = seconds(1);
@@ -46,7 +46,7 @@
 Duration
 SimulatedFleet::NetworkDelay()
 {
-  return Duration(kMinDelayMicros + random_() % kDelaySpreadMicros);
+  return Duration(kMinDelayMicros + random_() % kDelayJitterMicros);
 }
 
 bool
--- a/Tests/LibDaemon/TestLineLog.cpp
+++ b/Tests/LibDaemon/TestLineLog.cpp
@@ -95,13 +95,13 @@
   metrics.OnAnswer(200, milliseconds(30));
   metrics.OnAnswer(200, milliseconds(90));
   metrics.OnAnswer(503, milliseconds(1));
-  RequestStatistics tally;
-  tally.OnAnswer("a.example/rates/", 200, milliseconds(30));
-  tally.OnRefusal("a.example/rates/", RefusalReason::NoOwner, milliseconds(60));
-  tally.OnAttempt("s1", AttemptEnd::WrongServer);
+  RequestStatistics statistics;
+  statistics.OnAnswer("a.example/rates/", 200, milliseconds(30));
+  statistics.OnRefusal("a.example/rates/", RefusalReason::NoOwner, milliseconds(60));
+  statistics.OnAttempt("s1", AttemptEnd::WrongServer);
   StoreCallCounts calls{};
   calls[1][2] = 7;
-  const auto text = metrics.Render(log, tally, calls, { { "requests_waiting", 3 } });
+  const auto text = metrics.Render(log, statistics, calls, { { "requests_waiting", 3 } });
   EXPECT_NE(text.find("latchslip_answers_total{status=\"200\"} 2\n"), std::string::npos) << text;
   EXPECT_NE(text.find("latchslip_latency_ms_bucket{le=\"50\"} 2\n"), std::string::npos) << text;
   EXPECT_NE(text.find("latchslip_latency_ms_bucket{le=\"+Inf\"} 3\n"), std::string::npos);
--- a/Tests/LibFleet/TestConfigurationProof.cpp
+++ b/Tests/LibFleet/TestConfigurationProof.cpp
@@ -85,9 +85,9 @@
   {
     Instant at_;
     std::size_t to_;
-    // An update with a version, or the response to a request sent at askedAt_.
+    // An update with a version, or the response to a request sent at requestedAt_.
     RowVersion updateVersion_ = 0;
-    Instant askedAt_{ 0 };
+    Instant requestedAt_{ 0 };
     std::optional<ConfigurationProof> proof_;
     std::optional<RowVersion> read_;
   };
@@ -158,10 +158,10 @@
         freshness.OnKnown(message.updateVersion_);
       }
       if (message.read_ && *message.read_ > 0) {
-        freshness.OnProof(message.askedAt_, *message.read_);
+        freshness.OnProof(message.requestedAt_, *message.read_);
       }
       if (message.proof_) {
-        freshness.OnProof(message.askedAt_ - message.proof_->age_, message.proof_->version_);
+        freshness.OnProof(message.requestedAt_ - message.proof_->age_, message.proof_->version_);
       }
     }
   }
@@ -237,12 +237,12 @@
   EXPECT_EQ(fleet_.configurationReads_, 1);
   EXPECT_TRUE(member_.IsReady());
   EXPECT_FALSE(member_.IsServing(now_));
-  const auto askedAt = now_;
-  member_.OnConfigurationRead(now_ + milliseconds(4), askedAt, 5);
+  const auto requestedAt = now_;
+  member_.OnConfigurationRead(now_ + milliseconds(4), requestedAt, 5);
   EXPECT_TRUE(member_.IsServing(now_));
   ASSERT_TRUE(fleet_.apiKeysUntil_);
-  EXPECT_LE(*fleet_.apiKeysUntil_, askedAt + kBound);
-  EXPECT_FALSE(member_.IsServing(askedAt + kBound));
+  EXPECT_LE(*fleet_.apiKeysUntil_, requestedAt + kBound);
+  EXPECT_FALSE(member_.IsServing(requestedAt + kBound));
 }
 
 TEST_F(MemberWithApiKeys, PlacerSendsProofs_DoesNotReadThemFromTheStore)
--- a/Tests/LibFleet/TestFleetRoster.cpp
+++ b/Tests/LibFleet/TestFleetRoster.cpp
@@ -64,10 +64,10 @@
   const auto change = placers_.ChangesSince(12345);
   EXPECT_TRUE(change.isWhole_);
   EXPECT_EQ(change.joined_.size(), static_cast<std::size_t>(kInstances));
-  FleetRoster strange;
-  strange.Put({ "10.9.9.9:9", "hall-1", 1 });
-  strange.Apply(change);
-  EXPECT_EQ(strange.Peers(), placers_.Peers());
+  FleetRoster other;
+  other.Put({ "10.9.9.9:9", "hall-1", 1 });
+  other.Apply(change);
+  EXPECT_EQ(other.Peers(), placers_.Peers());
 }
 
 TEST_F(RosterOfALargeFleet, InstanceLeavesAndReturns_NothingHasChanged)
--- a/Tests/LibFleet/TestLargeFleetMember.cpp
+++ b/Tests/LibFleet/TestLargeFleetMember.cpp
@@ -49,9 +49,9 @@
     update.storeReachability_ = aReachability;
     const auto end = now_ + aTime;
     while (now_ < end) {
-      const auto asked = fleet_.fetches_.size();
+      const auto fetches = fleet_.fetches_.size();
       Advance(milliseconds(50));
-      if (fleet_.fetches_.size() > asked) {
+      if (fleet_.fetches_.size() > fetches) {
         member_.OnUpdateFetched(now_, update);
       }
     }
--- a/Tests/LibFleet/TestReaderPoller.cpp
+++ b/Tests/LibFleet/TestReaderPoller.cpp
@@ -17,7 +17,7 @@
   {
     for (const auto end = now_ + aTime; now_ < end; now_ += milliseconds(50)) {
       if (const auto address = readerPoller_.NextReader(now_, readers_, random_)) {
-        ++asked_[*address];
+        ++fetches_[*address];
         readerPoller_.OnAnswer(now_,
                                *address,
                                aIsAnswered ? StoreReachability::Reachable
@@ -33,7 +33,7 @@
                                          { "d:1", "other", 1 } };
   std::minstd_rand random_{ 1 };
   ReaderPoller readerPoller_;
-  std::map<std::string, int> asked_;
+  std::map<std::string, int> fetches_;
 };
 
 TEST_F(ReaderPollerWithFourReaders, PlacerIsReliable_SendsNoRequest)
@@ -47,8 +47,8 @@
   readerPoller_.OnPlacerUnreliable(now_);
   Advance(seconds(10), true);
   EXPECT_TRUE(readerPoller_.AreReadersReliable(now_));
-  EXPECT_EQ(asked_["a:1"] + asked_["b:1"], 20);
-  EXPECT_EQ(asked_["c:1"] + asked_["d:1"], 0);
+  EXPECT_EQ(fetches_["a:1"] + fetches_["b:1"], 20);
+  EXPECT_EQ(fetches_["c:1"] + fetches_["d:1"], 0);
 }
 
 TEST_F(ReaderPollerWithFourReaders, NoReaderAnswers_AsksOtherHallsAndBecomesUnreliable)
@@ -56,11 +56,11 @@
   readerPoller_.OnPlacerUnreliable(now_);
   Advance(milliseconds(650), false);
   EXPECT_TRUE(readerPoller_.AreReadersReliable(now_));
-  EXPECT_GE(asked_["a:1"] + asked_["b:1"] + asked_["c:1"] + asked_["d:1"], 3);
+  EXPECT_GE(fetches_["a:1"] + fetches_["b:1"] + fetches_["c:1"] + fetches_["d:1"], 3);
   Advance(milliseconds(100), false);
   EXPECT_FALSE(readerPoller_.AreReadersReliable(now_));
   Advance(seconds(10), false);
-  EXPECT_GT(asked_["c:1"] + asked_["d:1"], 10);
+  EXPECT_GT(fetches_["c:1"] + fetches_["d:1"], 10);
   EXPECT_FALSE(readerPoller_.AreReadersReliable(now_));
 }
 
@@ -101,14 +101,14 @@
 TEST_F(ReaderPollerWithFourReaders, StoreIsDownForAll_RequestRateStaysAsUsual)
 {
   readerPoller_.OnPlacerUnreliable(now_);
-  int asked = 0;
+  int fetches = 0;
   for (const auto end = now_ + seconds(10); now_ < end; now_ += milliseconds(50)) {
     if (const auto address = readerPoller_.NextReader(now_, readers_, random_)) {
-      ++asked;
+      ++fetches;
       readerPoller_.OnAnswer(now_, *address, StoreReachability::Unreachable);
     }
   }
-  EXPECT_LE(asked, 24);
+  EXPECT_LE(fetches, 24);
   EXPECT_TRUE(readerPoller_.AreReadersReliable(now_));
 }
 
--- a/Tests/LibGateway/TestGatewayRouter.cpp
+++ b/Tests/LibGateway/TestGatewayRouter.cpp
@@ -580,22 +580,22 @@
 TEST_F(RouterOfThreeServers, OneTargetOfASplitRouteIsFull_ItsRequestsAreRefusedAndNotRerouted)
 {
   // The target with a tenth of the weight answers nothing; the other has capacity.
-  constexpr int kAsked = 200;
+  constexpr int kRequests = 200;
   int toPlain = 0;
-  for (int index = 0; index < kAsked; ++index) {
+  for (int index = 0; index < kRequests; ++index) {
     const auto request = SendRequest("/split/x");
     if (SendsOf(request) == 1 && SendOf(request).server_ != "o1") {
       ++toPlain;
       Answer(request, 200);
     }
   }
-  EXPECT_EQ(toPlain, kAsked * 9 / 10);
+  EXPECT_EQ(toPlain, kRequests * 9 / 10);
   const auto sent = actions_.sent_.size();
-  ASSERT_LT(sent, static_cast<std::size_t>(kAsked));
+  ASSERT_LT(sent, static_cast<std::size_t>(kRequests));
   now_ += milliseconds(200);
   router_.OnTime(now_);
   EXPECT_EQ(actions_.sent_.size(), sent);
-  EXPECT_EQ(actions_.refused_.size(), kAsked - sent);
+  EXPECT_EQ(actions_.refused_.size(), kRequests - sent);
   for (const auto& [request, refusal] : actions_.refused_) {
     EXPECT_TRUE(refusal.isNotRun_) << request;
   }
--- a/Tests/LibGateway/TestRateLimit.cpp
+++ b/Tests/LibGateway/TestRateLimit.cpp
@@ -84,8 +84,8 @@
   std::uniform_int_distribution<int> draw(0, 5000);
   for (auto& limit : limits) {
     // Each instance learns the limit from an answer of its own.
-    const auto told = kNow + milliseconds(draw(random));
-    limit.OnAdvertised(told, told, kRate, 1.0 / kInstances);
+    const auto advertisedAt = kNow + milliseconds(draw(random));
+    limit.OnAdvertised(advertisedAt, advertisedAt, kRate, 1.0 / kInstances);
   }
   double sent = 0;
   for (auto now = kNow + seconds(10); now < kNow + seconds(10) + kTime; now += milliseconds(10)) {
--- a/Tests/LibKeys/PlacerWorld.h
+++ b/Tests/LibKeys/PlacerWorld.h
@@ -101,7 +101,7 @@
   // knows only what is in the store.
   Placer& TakeOver()
   {
-    auto& placer = TakeOverKnowing(stored_);
+    auto& placer = TakeOverFrom(stored_);
     if (stored_ && stored_->epoch_ < epoch_) {
       placer.placer_.BlockUntilLostGrantsExpire(now_);
     }
@@ -109,7 +109,7 @@
   }
 
   // Like TakeOver, for an instance that has received all writes.
-  Placer& TakeOverRemembering() { return TakeOverKnowing(latest_); }
+  Placer& TakeOverRemembering() { return TakeOverFrom(latest_); }
 
   void TakeCopy() { copy_ = stored_; }
   // Restores the store from the copy, in a new epoch.
@@ -176,7 +176,7 @@
   std::minstd_rand random_;
 
 private:
-  Placer& TakeOverKnowing(const std::optional<KeyOwnership>& aOwnership)
+  Placer& TakeOverFrom(const std::optional<KeyOwnership>& aOwnership)
   {
     placers_.push_back(std::make_unique<Placer>(*this, settings_));
     auto& placer = *placers_.back();
--- a/Tests/LibNet/TestCodec.cpp
+++ b/Tests/LibNet/TestCodec.cpp
@@ -134,21 +134,21 @@
 
 TEST_F(PeerProofOfHello, SameSecret_IsValid)
 {
-  const auto proof = ComputeProof("secret-secret-16", PeerRole::Dialler, "challenge", hello_);
-  EXPECT_TRUE(
-    IsProofValid(ComputeProof("secret-secret-16", PeerRole::Dialler, "challenge", hello_), proof));
+  const auto proof = ComputeProof("secret-secret-16", PeerRole::Initiator, "challenge", hello_);
+  EXPECT_TRUE(IsProofValid(
+    ComputeProof("secret-secret-16", PeerRole::Initiator, "challenge", hello_), proof));
 }
 
 TEST_F(PeerProofOfHello, AnythingDiffers_IsInvalid)
 {
-  const auto proof = ComputeProof("secret-secret-16", PeerRole::Dialler, "challenge", hello_);
+  const auto proof = ComputeProof("secret-secret-16", PeerRole::Initiator, "challenge", hello_);
   auto other = hello_;
   other.id_ = "i2#a";
   for (const auto& wrong :
-       { ComputeProof("another-secret-x", PeerRole::Dialler, "challenge", hello_),
+       { ComputeProof("another-secret-x", PeerRole::Initiator, "challenge", hello_),
          ComputeProof("secret-secret-16", PeerRole::Acceptor, "challenge", hello_),
-         ComputeProof("secret-secret-16", PeerRole::Dialler, "replayed", hello_),
-         ComputeProof("secret-secret-16", PeerRole::Dialler, "challenge", other),
+         ComputeProof("secret-secret-16", PeerRole::Initiator, "replayed", hello_),
+         ComputeProof("secret-secret-16", PeerRole::Initiator, "challenge", other),
          std::string() }) {
     EXPECT_FALSE(IsProofValid(proof, wrong));
   }
--- a/Utilities/LatchslipLoad/LoadRun.cpp
+++ b/Utilities/LatchslipLoad/LoadRun.cpp
@@ -29,7 +29,7 @@
     , settings_(aSettings)
     , client_(HttpClient::Create(aContext, kConnectionsPerTarget))
     , random_(std::seed_seq{ aSettings.seed_ })
-    , paceTimer_(aContext)
+    , sendTimer_(aContext)
   {
   }
 
@@ -62,8 +62,8 @@
     if (sent_ >= settings_.requests_) {
       return;
     }
-    paceTimer_.expires_after(milliseconds(1));
-    paceTimer_.async_wait([this](boost::system::error_code) { SendDueRequests(); });
+    sendTimer_.expires_after(milliseconds(1));
+    sendTimer_.async_wait([this](boost::system::error_code) { SendDueRequests(); });
   }
 
   void RunWorker()
@@ -214,7 +214,7 @@
   const LoadSettings& settings_;
   std::unique_ptr<HttpClient> client_;
   absl::BitGen random_;
-  boost::asio::steady_timer paceTimer_;
+  boost::asio::steady_timer sendTimer_;
   Instant startedAt_{ 0 };
   std::size_t sent_ = 0;
   std::size_t probes_ = 0;
