--- a/Libraries/LibGateway/GatewayRouter.cpp
+++ b/Libraries/LibGateway/GatewayRouter.cpp
@@ -26,7 +26,7 @@
 // client's time: an instance receives it within some 0.2 s of its start. The wait is less than a
 // quarter of the latency targets, which are above a third of that time.
 constexpr double kConfigurationWaitPerTimeLeft = 0.08;
-// Within this time of its first configuration an instance also learns of the servers and of the
+// Within this time of its first configuration an instance also receives the servers and the
 // owners of keys: about as long as reading a table of the store takes.
 constexpr Duration kStartupDiscoveryTime = milliseconds(200);
 // Assumed time left of a request without a route and without a time limit of its client.
--- a/Libraries/LibGateway/PermitSource.h
+++ b/Libraries/LibGateway/PermitSource.h
@@ -11,7 +11,7 @@
 public:
   virtual ~PermitSource() = default;
 
-  // Whether the dispatcher of the service can be asked for permits; if not, the instance chooses
+  // Whether the dispatcher of the service accepts permit requests; if not, the instance chooses
   // servers by its local state alone.
   virtual bool CanRequestPermit(const std::string& aService) const = 0;
   // Sends a permit request.
--- a/Libraries/LibGateway/RefusalStreak.h
+++ b/Libraries/LibGateway/RefusalStreak.h
@@ -6,7 +6,7 @@
 
 // Measures how long requests for one server or service have been refused without a break. A
 // shortage that has lasted for some time is expected to last as long again, so that a refused
-// client is told to retry after that time.
+// client is given that time as its retry delay.
 class RefusalStreak
 {
 public:
@@ -21,8 +21,8 @@
   }
 
 private:
-  // A series ends after this long without a refusal: several times the shortest delay after which
-  // refused clients are told to retry.
+  // A series ends after this long without a refusal: several times the shortest retry delay
+  // that refused clients are given.
   static constexpr Duration kStreakTimeout = milliseconds(500);
 
   Instant since_{ 0 };
--- a/Libraries/LibInstance/InstanceContext.h
+++ b/Libraries/LibInstance/InstanceContext.h
@@ -24,7 +24,7 @@
   Duration reportRepeatInterval_ = milliseconds(200);
   Duration storePollInterval_ = seconds(1);
   // A view that neither the store nor a peer has confirmed for this long is not served from,
-  // unless a majority of the instances was heard from within the same time.
+  // unless a majority of the instances was in contact within the same time.
   Duration maxViewAge_ = seconds(3);
   // How long a request may be retried while its key has no reachable owner.
   Duration maxParkedTime_ = seconds(1);
--- a/Tests/LibGateway/TestRateLimit.cpp
+++ b/Tests/LibGateway/TestRateLimit.cpp
@@ -83,7 +83,7 @@
   std::minstd_rand random(1);
   std::uniform_int_distribution<int> draw(0, 5000);
   for (auto& limit : limits) {
-    // Each instance learns the limit from an answer of its own.
+    // Each instance reads the limit from an answer to one of its own requests.
     const auto advertisedAt = kNow + milliseconds(draw(random));
     limit.OnAdvertised(advertisedAt, advertisedAt, kRate, 1.0 / kInstances);
   }
--- a/Tests/Platform/Soak/GuaranteeChecker.h
+++ b/Tests/Platform/Soak/GuaranteeChecker.h
@@ -38,7 +38,7 @@
     announcements_.OnRateLimitPassedOn(aRequest);
   }
   AnnouncementChecker& Announcements() { return announcements_; }
-  // The client was told that the request was not executed and never will be.
+  // The client received a refusal: the request was not executed and never will be.
   void OnRefused(const std::string& aRequest);
   // The client received a 2xx answer with this body and signature.
   void OnSuccess(const std::string& aRequest,
