--- a/Libraries/LibDaemon/GatewayHost.cpp
+++ b/Libraries/LibDaemon/GatewayHost.cpp
@@ -188,21 +188,21 @@
       isClosing_ = true;
       clientServer_->BeginClose();
     }
-    const bool isQuiet = frontend_.Router().InFlight() == 0 && clientServer_->Connections() == 0;
-    if (!stop_.IsComplete(aNow, settings_.stopGrace_, isQuiet)) {
+    const bool isIdle = frontend_.Router().InFlight() == 0 && clientServer_->Connections() == 0;
+    if (!stop_.IsComplete(aNow, settings_.stopGrace_, isIdle)) {
       return false;
     }
-    FinishStop(isQuiet);
+    FinishStop(isIdle);
     return true;
   }
 
-  void FinishStop(bool aIsQuiet)
+  void FinishStop(bool aIsIdle)
   {
     readyServer_->BeginClose();
     peerServer_->BeginClose();
     permits_.Close();
     store_.Stop();
-    events_.Record(Event::InstanceStopped, aIsQuiet ? "reason=quiet" : "reason=grace");
+    events_.Record(Event::InstanceStopped, aIsIdle ? "reason=quiet" : "reason=grace");
     events_.Flush();
     context_.stop();
   }
--- a/Libraries/LibDaemon/StopSequence.cpp
+++ b/Libraries/LibDaemon/StopSequence.cpp
@@ -39,13 +39,13 @@
 }
 
 bool
-StopSequence::IsComplete(Instant aNow, Duration aGrace, bool aIsQuiet) const
+StopSequence::IsComplete(Instant aNow, Duration aGrace, bool aIsIdle) const
 {
   const auto stage = StageAt(aNow);
   if (stage == StopStage::None || stage == StopStage::AwaitingBalancer) {
     return false;
   }
-  const bool isDone = stage == StopStage::Closing && aIsQuiet;
+  const bool isDone = stage == StopStage::Closing && aIsIdle;
   return isDone || aNow - beganAt_ >= aGrace - kStopMargin;
 }
 
--- a/Libraries/LibDaemon/StopSequence.h
+++ b/Libraries/LibDaemon/StopSequence.h
@@ -29,8 +29,8 @@
 
   StopStage StageAt(Instant aNow) const;
   // Returns whether the shutdown is complete. aGrace is the maximum time from Begin() to the
-  // end; aIsQuiet means that no request is in flight and no client is connected.
-  bool IsComplete(Instant aNow, Duration aGrace, bool aIsQuiet) const;
+  // end; aIsIdle means that no request is in flight and no client is connected.
+  bool IsComplete(Instant aNow, Duration aGrace, bool aIsIdle) const;
 
 private:
   Instant beganAt_ = Instant::max();
--- a/Tests/LibDaemon/TestStopSequence.cpp
+++ b/Tests/LibDaemon/TestStopSequence.cpp
@@ -44,12 +44,12 @@
   EXPECT_EQ(stop_.StageAt(kBegin + kGrace), StopStage::Closing);
 }
 
-TEST_F(BegunStop, QuietBeforeClosing_IsNotComplete)
+TEST_F(BegunStop, IdleBeforeClosing_IsNotComplete)
 {
   EXPECT_FALSE(stop_.IsComplete(kBegin + milliseconds(2599), kGrace, true));
 }
 
-TEST_F(BegunStop, QuietWhileClosing_IsComplete)
+TEST_F(BegunStop, IdleWhileClosing_IsComplete)
 {
   EXPECT_TRUE(stop_.IsComplete(kBegin + milliseconds(2600), kGrace, true));
 }
