--- a/Libraries/LibDaemon/Settings.cpp
+++ b/Libraries/LibDaemon/Settings.cpp
@@ -126,7 +126,7 @@
   BOOST_OUTCOME_TRY(const auto text, RequireNonEmpty(aFlag, aValue));
   if (!ParseAddress(text)) {
     return FieldError{ "--" + std::string(aFlag),
-                       "\"" + text + "\" is not an IP number and a port, like 10.0.0.7:8080" };
+                       "\"" + text + "\" is not an IP address and a port, such as 10.0.0.7:8080" };
   }
   return text;
 }
--- a/Libraries/LibFleet/FleetReport.h
+++ b/Libraries/LibFleet/FleetReport.h
@@ -19,7 +19,7 @@
 struct InstanceReport
 {
   std::string instance_;
-  // Peer address of the sender, IP number and port.
+  // Peer address of the sender, IP address and port.
   std::string address_;
   // Requests for each key of each keyed service since the last report, by service.
   std::map<std::string, std::vector<KeyCount>> keyCounts_;
--- a/Libraries/LibFleet/PlacerElection.h
+++ b/Libraries/LibFleet/PlacerElection.h
@@ -17,7 +17,7 @@
   std::string instance_;
   // Differs between two runs of the same instance.
   std::string run_;
-  // Peer address, IP number and port.
+  // Peer address, IP address and port.
   std::string address_;
 
   bool operator==(const PlacerRow&) const = default;
--- a/Libraries/LibFleet/UpdateTree.h
+++ b/Libraries/LibFleet/UpdateTree.h
@@ -11,7 +11,7 @@
 // An instance of the fleet as other instances see it.
 struct FleetPeer
 {
-  // Peer address, IP number and port.
+  // Peer address, IP address and port.
   std::string address_;
   // Data hall.
   std::string hall_;
--- a/Libraries/LibKeys/KeyOwnership.h
+++ b/Libraries/LibKeys/KeyOwnership.h
@@ -10,7 +10,7 @@
 
 namespace latchslip {
 
-// A key of a sharded service, in [0, kLastKey].
+// A key of a keyed service, in [0, kLastKey].
 using KeyNumber = std::uint32_t;
 
 inline constexpr KeyNumber kLastKey = 65535;
@@ -64,8 +64,7 @@
   // Whether this ownership was written after the other one, by epoch and fence. Two writes with the
   // same last fence compare as equal, because not every write issues a fence.
   bool IsLaterThan(const KeyOwnership& aOther) const;
-  // Whether this ownership was written after the other one, by epoch and last fence. Neither is
-  // later when both are equal, because not every write issues a fence.
+  // The range that contains the key; null when the key has no owner.
   const KeyRange* Find(KeyNumber aKey) const;
   bool operator==(const KeyOwnership&) const = default;
 };
--- a/Libraries/LibKeys/OwnershipPlacer.h
+++ b/Libraries/LibKeys/OwnershipPlacer.h
@@ -38,7 +38,7 @@
   KeyBalancerSettings balancer_;
 };
 
-// Places the keys of one sharded service: commits the owners of all ranges to the store and then
+// Places the keys of one keyed service: commits the owners of all ranges to the store and then
 // sends the commands that put them into effect. Owned and driven by FleetMember. Performs no I/O
 // itself; it acts through PlacerActions.
 // Safety: a change is committed before any command for it is sent, and every change of owner raises
--- a/Libraries/LibMembership/Membership.h
+++ b/Libraries/LibMembership/Membership.h
@@ -29,7 +29,7 @@
 struct ListedInstance
 {
   std::string name_;
-  // Peer address, IP number and port.
+  // Peer address, IP address and port.
   std::string peerAddress_;
   std::string hall_;
   bool leaving_ = false;
--- a/Libraries/LibNet/Address.cpp
+++ b/Libraries/LibNet/Address.cpp
@@ -11,7 +11,7 @@
 ParseAddress(const std::string& aAddress)
 {
   const FieldError error{ aAddress.empty() ? "address" : aAddress,
-                          "is not an IP number and a port, like 10.0.0.7:8080" };
+                          "is not an IP address and a port, such as 10.0.0.7:8080" };
   const auto colon = aAddress.rfind(':');
   if (colon == std::string::npos) {
     return error;
--- a/Libraries/LibNet/HttpServer.h
+++ b/Libraries/LibNet/HttpServer.h
@@ -37,7 +37,7 @@
   virtual void OnClientDisconnected(std::uint64_t aId) = 0;
 };
 
-// An HTTP/1.1 listener on one IP number and port.
+// An HTTP/1.1 listener on one IP address and port.
 class HttpServer
 {
 public:
