--- a/Libraries/LibDaemon/GatewayCodec.h
+++ b/Libraries/LibDaemon/GatewayCodec.h
@@ -10,7 +10,7 @@
 namespace latchslip {
 
 // Converts between the gateway's own request, attempt and command types and the HTTP messages
-// of one platform. Each platform has its own implementation; GatewayFront and GatewayHost
+// of one platform. Each platform has its own implementation; GatewayFrontend and GatewayHost
 // call it.
 class GatewayCodec
 {
@@ -21,9 +21,9 @@
   virtual RoutedRequest DecodeRequest(RequestNumber aNumber, const HttpRequest& aRequest) const = 0;
   // Builds the request that is sent to the backend server for one attempt.
   virtual HttpRequest EncodeAttempt(const HttpRequest& aRequest,
-                                    const AttemptOrder& aOrder) const = 0;
+                                    const AttemptOrder& aCommand) const = 0;
   // Classifies how an attempt ended, from the server's response or the lack of one.
-  virtual AttemptOutcome DecodeAttempt(const AttemptOrder& aOrder,
+  virtual AttemptOutcome DecodeAttempt(const AttemptOrder& aCommand,
                                        const HttpExchange& aExchange) const = 0;
   // Converts a server's response to the one that is sent to the client.
   virtual HttpResponse EncodeAnswer(HttpResponse aAnswer) const = 0;
@@ -36,8 +36,9 @@
 
   // Convert a command about keys (grant or release) to the request that is sent to a server,
   // and the exchange back to the command's outcome.
-  virtual HttpRequest EncodeOrder(const KeyOrder& aOrder) const = 0;
-  virtual OrderOutcome DecodeOrder(const KeyOrder& aOrder, const HttpExchange& aExchange) const = 0;
+  virtual HttpRequest EncodeOrder(const KeyOrder& aCommand) const = 0;
+  virtual OrderOutcome DecodeOrder(const KeyOrder& aCommand,
+                                   const HttpExchange& aExchange) const = 0;
 };
 
 } // namespace latchslip
--- a/Libraries/LibDaemon/GatewayFront.cpp
+++ b/Libraries/LibDaemon/GatewayFrontend.cpp
@@ -1,4 +1,4 @@
-#include "LibDaemon/GatewayFront.h"
+#include "LibDaemon/GatewayFrontend.h"
 
 #include "LibNet/MonotonicClock.h"
 
@@ -7,7 +7,7 @@
 namespace {
 
 // Connections per backend server. The router's own limits on requests in flight are far lower.
-constexpr std::size_t kMostConnections = 64;
+constexpr std::size_t kMaxConnections = 64;
 // Many round trips within a region; after it the attempt counts as not sent and another server
 // is tried.
 constexpr Duration kConnectTimeout = milliseconds(150);
@@ -17,20 +17,20 @@
 
 } // namespace
 
-GatewayFront::GatewayFront(boost::asio::io_context& aContext,
-                           RequestDeskSettings aSettings,
-                           const GatewayCodec& aCodec,
-                           const ServerDirectory& aDirectory,
-                           PermitSource& aPermits,
-                           EventSink& aEvents,
-                           GatewayMetrics& aMetrics,
-                           KeyObserver aObserver,
-                           LeavingObserver aLeavingObserver)
+GatewayFrontend::GatewayFrontend(boost::asio::io_context& aContext,
+                                 RequestDeskSettings aSettings,
+                                 const GatewayCodec& aCodec,
+                                 const ServerDirectory& aDirectory,
+                                 PermitSource& aPermits,
+                                 EventSink& aEvents,
+                                 GatewayMetrics& aMetrics,
+                                 KeyObserver aKeyObserver,
+                                 LeavingObserver aLeavingObserver)
   : codec_(aCodec)
   , metrics_(aMetrics)
-  , observer_(std::move(aObserver))
+  , keyObserver_(std::move(aKeyObserver))
   , leavingObserver_(std::move(aLeavingObserver))
-  , client_(HttpClient::Create(aContext, kMostConnections))
+  , client_(HttpClient::Create(aContext, kMaxConnections))
   , desk_(std::move(aSettings), aDirectory, *this, aPermits, aEvents)
   , timer_(
       aContext,
@@ -40,7 +40,7 @@
 }
 
 void
-GatewayFront::OnRequest(std::uint64_t aId, HttpRequest aRequest, HttpResponder aRespond)
+GatewayFrontend::OnRequest(std::uint64_t aId, HttpRequest aRequest, HttpResponder aRespond)
 {
   auto routed = codec_.DecodeRequest(aId, aRequest);
   const auto now = MonotonicNow();
@@ -50,7 +50,7 @@
 }
 
 void
-GatewayFront::OnGone(std::uint64_t aId)
+GatewayFrontend::OnClientDisconnected(std::uint64_t aId)
 {
   requests_.erase(aId);
   desk_.OnClientGone(MonotonicNow(), aId);
@@ -58,34 +58,34 @@
 }
 
 void
-GatewayFront::Send(const AttemptOrder& aOrder)
+GatewayFrontend::Send(const AttemptOrder& aCommand)
 {
-  const auto request = requests_.find(aOrder.request_);
+  const auto request = requests_.find(aCommand.request_);
   if (request == requests_.end()) {
     return;
   }
   ExchangeOptions options;
-  options.timeout_ = aOrder.timeLeft_ + kExchangeGrace;
+  options.timeout_ = aCommand.timeLeft_ + kExchangeGrace;
   options.connectTimeout_ = kConnectTimeout;
   options.echoHeader_ = codec_.EchoHeader();
-  const auto number = aOrder.number_;
+  const auto number = aCommand.number_;
   auto& attempt = attempts_[number];
-  attempt.order_ = aOrder;
+  attempt.command_ = aCommand;
   attempt.exchange_ = client_->Send(
-    aOrder.address_,
-    codec_.EncodeAttempt(request->second.request_, aOrder),
+    aCommand.address_,
+    codec_.EncodeAttempt(request->second.request_, aCommand),
     std::move(options),
     [this, number](HttpExchange aExchange) { OnExchangeEnded(number, std::move(aExchange)); });
 }
 
 void
-GatewayFront::OnExchangeEnded(AttemptNumber aAttempt, HttpExchange aExchange)
+GatewayFrontend::OnExchangeEnded(AttemptNumber aAttempt, HttpExchange aExchange)
 {
   const auto attempt = attempts_.find(aAttempt);
   if (attempt == attempts_.end()) {
     return;
   }
-  const auto outcome = codec_.DecodeAttempt(attempt->second.order_, aExchange);
+  const auto outcome = codec_.DecodeAttempt(attempt->second.command_, aExchange);
   attempt->second.answer_ = std::move(aExchange.response_);
   desk_.OnAttemptEnded(MonotonicNow(), aAttempt, outcome);
   attempts_.erase(aAttempt);
@@ -93,7 +93,7 @@
 }
 
 void
-GatewayFront::Cancel(AttemptNumber aAttempt)
+GatewayFrontend::Cancel(AttemptNumber aAttempt)
 {
   const auto attempt = attempts_.find(aAttempt);
   if (attempt == attempts_.end()) {
@@ -104,13 +104,13 @@
 }
 
 void
-GatewayFront::Deliver(RequestNumber aRequest, AttemptNumber aAttempt)
+GatewayFrontend::Deliver(RequestNumber aRequest, AttemptNumber aAttempt)
 {
   Respond(aRequest, codec_.EncodeAnswer(std::move(attempts_.at(aAttempt).answer_)));
 }
 
 void
-GatewayFront::Refuse(RequestNumber aRequest, const Refusal& aRefusal)
+GatewayFrontend::Refuse(RequestNumber aRequest, const Refusal& aRefusal)
 {
   if (const auto request = requests_.find(aRequest); request != requests_.end()) {
     Respond(aRequest, codec_.EncodeRefusal(request->second.routed_, aRefusal));
@@ -118,7 +118,7 @@
 }
 
 void
-GatewayFront::Respond(RequestNumber aRequest, HttpResponse aResponse)
+GatewayFrontend::Respond(RequestNumber aRequest, HttpResponse aResponse)
 {
   const auto request = requests_.find(aRequest);
   if (request == requests_.end()) {
--- a/Libraries/LibDaemon/GatewayFront.h
+++ b/Libraries/LibDaemon/GatewayFrontend.h
@@ -5,7 +5,7 @@
 #include "LibDaemon/LeavingObserver.h"
 #include "LibFleet/FleetMember.h"
 #include "LibGateway/RequestDesk.h"
-#include "LibNet/DueTimer.h"
+#include "LibNet/DeadlineTimer.h"
 #include "LibNet/HttpServer.h"
 
 #include <functional>
@@ -15,10 +15,10 @@
 
 namespace latchslip {
 
-// Reverse proxy of the gateway: receives HTTP requests of clients, forwards them to backend
-// servers and returns the responses. The request router decides on routing, retries and
+// HTTP frontend of the gateway, a reverse proxy: receives HTTP requests of clients, forwards them
+// to backend servers and returns the responses. The request router decides on routing, retries and
 // refusals; this class does the I/O for it.
-class GatewayFront
+class GatewayFrontend
   : public HttpHandler
   , private RequestActions
 {
@@ -26,18 +26,18 @@
   // Called for each request that names a key, to count the load per key.
   using KeyObserver = std::function<void(const std::string& aService, KeyNumber aKey)>;
 
-  GatewayFront(boost::asio::io_context& aContext,
-               RequestDeskSettings aSettings,
-               const GatewayCodec& aCodec,
-               const ServerDirectory& aDirectory,
-               PermitSource& aPermits,
-               EventSink& aEvents,
-               GatewayMetrics& aMetrics,
-               KeyObserver aObserver,
-               LeavingObserver aLeavingObserver);
+  GatewayFrontend(boost::asio::io_context& aContext,
+                  RequestDeskSettings aSettings,
+                  const GatewayCodec& aCodec,
+                  const ServerDirectory& aDirectory,
+                  PermitSource& aPermits,
+                  EventSink& aEvents,
+                  GatewayMetrics& aMetrics,
+                  KeyObserver aKeyObserver,
+                  LeavingObserver aLeavingObserver);
 
   void OnRequest(std::uint64_t aId, HttpRequest aRequest, HttpResponder aRespond) override;
-  void OnGone(std::uint64_t aId) override;
+  void OnClientDisconnected(std::uint64_t aId) override;
 
   RequestDesk& Desk() { return desk_; }
   const RequestDesk& Desk() const { return desk_; }
@@ -60,12 +60,12 @@
   // An attempt in flight to a backend server.
   struct RunningAttempt
   {
-    AttemptOrder order_;
+    AttemptOrder command_;
     ExchangeId exchange_ = 0;
     HttpResponse answer_;
   };
 
-  void Send(const AttemptOrder& aOrder) override;
+  void Send(const AttemptOrder& aCommand) override;
   void Cancel(AttemptNumber aAttempt) override;
   void Deliver(RequestNumber aRequest, AttemptNumber aAttempt) override;
   void Refuse(RequestNumber aRequest, const Refusal& aRefusal) override;
@@ -77,17 +77,20 @@
   {
     leavingObserver_(aServer, aLife);
   }
-  void CountKey(const std::string& aService, KeyNumber aKey) override { observer_(aService, aKey); }
+  void CountKey(const std::string& aService, KeyNumber aKey) override
+  {
+    keyObserver_(aService, aKey);
+  }
   void OnExchangeEnded(AttemptNumber aAttempt, HttpExchange aExchange);
   void Respond(RequestNumber aRequest, HttpResponse aResponse);
 
   const GatewayCodec& codec_;
   GatewayMetrics& metrics_;
-  KeyObserver observer_;
+  KeyObserver keyObserver_;
   LeavingObserver leavingObserver_;
   std::unique_ptr<HttpClient> client_;
   RequestDesk desk_;
-  DueTimer timer_;
+  DeadlineTimer timer_;
   std::unordered_map<RequestNumber, ClientRequest> requests_;
   std::unordered_map<AttemptNumber, RunningAttempt> attempts_;
 };
--- a/Libraries/LibDaemon/GatewayHost.cpp
+++ b/Libraries/LibDaemon/GatewayHost.cpp
@@ -1,6 +1,6 @@
 #include "LibDaemon/GatewayHost.h"
 
-#include "LibDaemon/PeerCalls.h"
+#include "LibDaemon/PeerRpc.h"
 #include "LibDaemon/PermitLinks.h"
 #include "LibDaemon/StopSequence.h"
 #include "LibNet/MonotonicClock.h"
@@ -14,21 +14,21 @@
 namespace asio = boost::asio;
 
 // Period of the timer that runs the fleet member's periodic tasks.
-constexpr Duration kStep = milliseconds(50);
+constexpr Duration kTickInterval = milliseconds(50);
 // Period at which idle connections that servers are about to close are dropped.
 constexpr Duration kPruneInterval = seconds(1);
 // Timeout of a command (grant or release) to a backend server.
-constexpr Duration kOrderTimeout = milliseconds(1500);
-constexpr Duration kOrderConnectTimeout = milliseconds(300);
+constexpr Duration kCommandTimeout = milliseconds(1500);
+constexpr Duration kCommandConnectTimeout = milliseconds(300);
 // A command connection is reused only within this time, in which servers almost never close
 // it. The commands that renew the leases of one server follow each other within one tick.
-constexpr Duration kOrderIdle = 3 * kStep;
+constexpr Duration kMaxCommandIdleTime = 3 * kTickInterval;
 // Command connections per backend server; covers the commands that the placer sends to one
 // server at once.
-constexpr std::size_t kMostOrderConnections = 64;
+constexpr std::size_t kMaxCommandConnections = 64;
 
 std::vector<std::string>
-NamesOf(const std::vector<RoutedService>& aServices)
+ServiceNames(const std::vector<RoutedService>& aServices)
 {
   std::vector<std::string> names;
   names.reserve(aServices.size());
@@ -61,9 +61,9 @@
                settings_.peerAddress_,
                settings_.permitPort_,
                member_.Directory(),
-               NoteLeaving(),
+               MakeLeavingObserver(),
                aEvents)
-    , front_(
+    , frontend_(
         aContext,
         settings_.desk_,
         aCodec,
@@ -72,15 +72,15 @@
         aEvents,
         metrics_,
         [this](const std::string& aService, KeyNumber aKey) { member_.CountKey(aService, aKey); },
-        NoteLeaving())
-    , orders_(HttpClient::Create(aContext, kMostOrderConnections))
+        MakeLeavingObserver())
+    , commandClient_(HttpClient::Create(aContext, kMaxCommandConnections))
     , peers_(aContext, member_, [this] { return RenderMetrics(); })
     , timer_(aContext)
   {
     permits_.Client().SetListener(*this);
-    front_.Desk().SetGroupGate(member_.Gate());
+    frontend_.Desk().SetGroupGate(member_.Gate());
     if (settings_.member_.apiKeyBound_) {
-      front_.Desk().SetApiKeysProvenUntil(Instant::min());
+      frontend_.Desk().SetApiKeysProvenUntil(Instant::min());
     }
   }
 
@@ -93,19 +93,19 @@
     HttpLimits limits;
     limits.connections_ = settings_.clientConnections_;
     BOOST_OUTCOME_TRY(clientServer_,
-                      HttpServer::Create(aContext, settings_.clientAddress_, limits, front_));
+                      HttpServer::Create(aContext, settings_.clientAddress_, limits, frontend_));
     if (settings_.permitPort_ != 0) {
       BOOST_OUTCOME_TRY(permits_.Listen());
     }
     store_.Start(*this);
-    Step();
+    Tick();
     return outcome::success();
   }
 
   void Reload(const GatewayHostSettings& aSettings) override
   {
     settings_.stopGrace_ = aSettings.stopGrace_;
-    front_.Desk().SetRetryTerms(aSettings.desk_.retries_);
+    frontend_.Desk().SetRetryTerms(aSettings.desk_.retries_);
     events_.Record(Event::SettingsReloaded, "");
   }
 
@@ -132,7 +132,7 @@
       constexpr unsigned kNotReady = 503;
       aRespond(MakeHttpResponse(host_.IsReady() ? kReady : kNotReady, ""));
     }
-    void OnGone(std::uint64_t) override {}
+    void OnClientDisconnected(std::uint64_t) override {}
 
   private:
     AsioGatewayHost& host_;
@@ -144,43 +144,43 @@
   {
     return metrics_.Render(
       events_,
-      front_.Desk().Tally(),
+      frontend_.Desk().Tally(),
       store_.Calls(),
-      { { "requests_under_way", static_cast<double>(front_.Desk().UnderWay()) },
-        { "requests_waiting", static_cast<double>(front_.Desk().Waiting()) },
+      { { "requests_under_way", static_cast<double>(frontend_.Desk().UnderWay()) },
+        { "requests_waiting", static_cast<double>(frontend_.Desk().Waiting()) },
         { "is_placer", member_.IsPlacer() ? 1 : 0 },
         { "is_ready", IsReady() ? 1 : 0 },
         { "servers_listed", static_cast<double>(member_.Directory().All().size()) } });
   }
 
-  void Step()
+  void Tick()
   {
     const auto now = MonotonicNow();
     member_.OnTime(now);
     permits_.OnTime();
     if (now >= nextPrune_) {
       nextPrune_ = now + kPruneInterval;
-      front_.PruneIdle();
-      orders_->PruneIdle();
+      frontend_.PruneIdle();
+      commandClient_->PruneIdle();
     }
-    front_.ArmTimer();
+    frontend_.ArmTimer();
     events_.Flush();
-    if (ContinueLeaving(now)) {
+    if (AdvanceStop(now)) {
       return;
     }
-    timer_.expires_after(kStep);
+    timer_.expires_after(kTickInterval);
     timer_.async_wait([this](boost::system::error_code aError) {
       if (!aError) {
-        Step();
+        Tick();
       }
     });
   }
 
   // Advances a planned stop, if one has begun. Returns true once the stop is complete.
-  bool ContinueLeaving(Instant aNow)
+  bool AdvanceStop(Instant aNow)
   {
     const auto stage = stop_.StageAt(aNow);
-    if (stage == StopStage::None || stage == StopStage::Unnoticed) {
+    if (stage == StopStage::None || stage == StopStage::AwaitingBalancer) {
       return false;
     }
     clientServer_->BeginDrain();
@@ -188,15 +188,15 @@
       isClosing_ = true;
       clientServer_->BeginClose();
     }
-    const bool isQuiet = front_.Desk().UnderWay() == 0 && clientServer_->Connections() == 0;
-    if (!stop_.IsOver(aNow, settings_.stopGrace_, isQuiet)) {
+    const bool isQuiet = frontend_.Desk().UnderWay() == 0 && clientServer_->Connections() == 0;
+    if (!stop_.IsComplete(aNow, settings_.stopGrace_, isQuiet)) {
       return false;
     }
-    End(isQuiet);
+    FinishStop(isQuiet);
     return true;
   }
 
-  void End(bool aIsQuiet)
+  void FinishStop(bool aIsQuiet)
   {
     readyServer_->BeginClose();
     peerServer_->BeginClose();
@@ -228,29 +228,30 @@
     });
   }
 
-  LeavingObserver NoteLeaving()
+  LeavingObserver MakeLeavingObserver()
   {
     return [this](const std::string& aServer, std::uint64_t aLife) {
       member_.OnServerReportedLeaving(MonotonicNow(), aServer, aLife);
     };
   }
 
-  void SendCommand(const std::string& aService, const KeyOrder& aOrder) override
+  void SendCommand(const std::string& aService, const KeyOrder& aCommand) override
   {
     ExchangeOptions options;
-    options.timeout_ = kOrderTimeout;
-    options.connectTimeout_ = kOrderConnectTimeout;
-    options.mostIdle_ = kOrderIdle;
-    orders_->Send(aOrder.address_,
-                  codec_.EncodeOrder(aOrder),
-                  std::move(options),
-                  [this, aService, aOrder](const HttpExchange& aExchange) {
-                    const auto outcome = codec_.DecodeOrder(aOrder, aExchange);
-                    if (outcome.isLeaving_) {
-                      member_.OnServerReportedLeaving(MonotonicNow(), aOrder.server_, aOrder.life_);
-                    }
-                    member_.OnOrderEnded(MonotonicNow(), aService, aOrder.number_, outcome);
-                  });
+    options.timeout_ = kCommandTimeout;
+    options.connectTimeout_ = kCommandConnectTimeout;
+    options.maxIdleTime_ = kMaxCommandIdleTime;
+    commandClient_->Send(
+      aCommand.address_,
+      codec_.EncodeOrder(aCommand),
+      std::move(options),
+      [this, aService, aCommand](const HttpExchange& aExchange) {
+        const auto outcome = codec_.DecodeOrder(aCommand, aExchange);
+        if (outcome.isLeaving_) {
+          member_.OnServerReportedLeaving(MonotonicNow(), aCommand.server_, aCommand.life_);
+        }
+        member_.OnOrderEnded(MonotonicNow(), aService, aCommand.number_, outcome);
+      });
   }
 
   void SendReport(const std::string& aAddress, const InstanceReport& aReport) override
@@ -263,9 +264,9 @@
     store_.SetPollMode(aHow, aKnown);
   }
 
-  void SendUpdate(const std::vector<UpdateBranch>& aBranches, const FleetUpdate& aNews) override
+  void SendUpdate(const std::vector<UpdateBranch>& aBranches, const FleetUpdate& aUpdate) override
   {
-    peers_.SendUpdate(aBranches, aNews);
+    peers_.SendUpdate(aBranches, aUpdate);
   }
 
   void FetchUpdate(const std::string& aAddress, const TableVersions& aVersions) override
@@ -286,32 +287,32 @@
     peers_.SendUsage(aAddress, aReport);
   }
 
-  void OnApiKeysProven(Instant aUntil) override { front_.Desk().SetApiKeysProvenUntil(aUntil); }
+  void OnApiKeysProven(Instant aUntil) override { frontend_.Desk().SetApiKeysProvenUntil(aUntil); }
 
   void OnRoutes(std::shared_ptr<const RouteTable> aRoutes) override
   {
     ApplyLimits(aRoutes->Configuration().limits_);
     permits_.Dispatcher().SetRoutes(MonotonicNow(), aRoutes);
-    permits_.Client().SetServices(MonotonicNow(), NamesOf(aRoutes->Configuration().services_));
-    front_.Desk().SetRoutes(MonotonicNow(), std::move(aRoutes));
+    permits_.Client().SetServices(MonotonicNow(), ServiceNames(aRoutes->Configuration().services_));
+    frontend_.Desk().SetRoutes(MonotonicNow(), std::move(aRoutes));
   }
 
   void OnDirectoryChanged() override
   {
     permits_.Dispatcher().OnDirectoryChanged(MonotonicNow());
-    front_.Desk().OnDirectoryChanged(MonotonicNow());
+    frontend_.Desk().OnDirectoryChanged(MonotonicNow());
   }
 
   void OnOwnership(const KeyOwnership& aOwnership) override
   {
-    front_.Desk().SetOwnership(MonotonicNow(), aOwnership);
+    frontend_.Desk().SetOwnership(MonotonicNow(), aOwnership);
   }
 
-  void OnStalenessChanged(bool aIsStale) override { front_.Desk().SetNewsStale(aIsStale); }
+  void OnStalenessChanged(bool aIsStale) override { frontend_.Desk().SetNewsStale(aIsStale); }
 
   void OnInstances(const std::map<std::string, FleetPeer>& aPeers) override
   {
-    front_.Desk().SetInstances(aPeers.size());
+    frontend_.Desk().SetInstances(aPeers.size());
     if (settings_.permitPort_ != 0) {
       permits_.Client().SetPeers(MonotonicNow(), aPeers);
     }
@@ -320,28 +321,28 @@
   // PermitListener: passes results of permit requests to the router.
   void OnPermit(Instant aNow, AttemptNumber aNumber, const std::string& aServer) override
   {
-    front_.Desk().OnPermit(aNow, aNumber, aServer);
-    front_.ArmTimer();
+    frontend_.Desk().OnPermit(aNow, aNumber, aServer);
+    frontend_.ArmTimer();
   }
   void OnPermitDelayed(Instant aNow, AttemptNumber aNumber) override
   {
-    front_.Desk().OnPermitDelayed(aNow, aNumber);
-    front_.ArmTimer();
+    frontend_.Desk().OnPermitDelayed(aNow, aNumber);
+    frontend_.ArmTimer();
   }
   void OnPermitDenied(Instant aNow, AttemptNumber aNumber, Duration aWait) override
   {
-    front_.Desk().OnPermitDenied(aNow, aNumber, aWait);
-    front_.ArmTimer();
+    frontend_.Desk().OnPermitDenied(aNow, aNumber, aWait);
+    frontend_.ArmTimer();
   }
   void OnAskLost(Instant aNow, AttemptNumber aNumber) override
   {
-    front_.Desk().OnAskLost(aNow, aNumber);
-    front_.ArmTimer();
+    frontend_.Desk().OnAskLost(aNow, aNumber);
+    frontend_.ArmTimer();
   }
 
   ServerWork TakeWorkOf(const std::string& aServer) override
   {
-    return front_.Desk().TakeWorkOf(aServer);
+    return frontend_.Desk().TakeWorkOf(aServer);
   }
 
   // FleetStoreListener: passes changes of the store to FleetMember.
@@ -357,9 +358,9 @@
   FleetMember member_;
   GatewayMetrics metrics_;
   PermitLinks permits_;
-  GatewayFront front_;
-  std::unique_ptr<HttpClient> orders_;
-  PeerCalls peers_;
+  GatewayFrontend frontend_;
+  std::unique_ptr<HttpClient> commandClient_;
+  PeerRpc peers_;
   ReadyHandler ready_{ *this };
   std::unique_ptr<HttpServer> clientServer_;
   std::unique_ptr<HttpServer> readyServer_;
--- a/Libraries/LibDaemon/GatewayHost.h
+++ b/Libraries/LibDaemon/GatewayHost.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "LibDaemon/GatewayFront.h"
+#include "LibDaemon/GatewayFrontend.h"
 #include "LibDaemon/LineLog.h"
 #include "LibFleet/FleetMember.h"
 #include "LibFleet/FleetStore.h"
--- a/Libraries/LibDaemon/InstanceHost.cpp
+++ b/Libraries/LibDaemon/InstanceHost.cpp
@@ -15,22 +15,22 @@
 constexpr Duration kGrantTimeout = milliseconds(450);
 // Added to the deadline of a request in flight: a response this late is still accepted before
 // the connection is closed.
-constexpr Duration kWorkSlack = seconds(1);
+constexpr Duration kWorkAnswerGrace = seconds(1);
 constexpr std::size_t kPlatformConnections = 16;
 // Connections per backend server. Requests in flight are already bounded by the server's slots,
 // for which a declaration must provide enough connections; this is only a last safeguard.
 constexpr std::size_t kServerConnections = 1100;
 // Requests of operators are small, so their listener has a low body limit.
-constexpr std::size_t kOperatorBodyBytes = 4UL * 1024 * 1024;
+constexpr std::size_t kMaxOperatorBodyBytes = 4UL * 1024 * 1024;
 constexpr std::size_t kOperatorConnections = 64;
 
 } // namespace
 
 // Handles HTTP requests of callers.
-class InstanceHost::CallerSide : public HttpHandler
+class InstanceHost::CallerHandler : public HttpHandler
 {
 public:
-  explicit CallerSide(InstanceHost& aHost)
+  explicit CallerHandler(InstanceHost& aHost)
     : host_(aHost)
   {
   }
@@ -51,7 +51,7 @@
     host_.core_.OnCaller(now, aId, request.value());
   }
 
-  void OnGone(std::uint64_t aId) override
+  void OnClientDisconnected(std::uint64_t aId) override
   {
     waiting_.erase(aId);
     host_.core_.OnCallerGone(Now(), aId);
@@ -80,10 +80,10 @@
 };
 
 // Handles HTTP requests of operators; all but metrics and health require the operator token.
-class InstanceHost::OperatorSide : public HttpHandler
+class InstanceHost::OperatorHandler : public HttpHandler
 {
 public:
-  explicit OperatorSide(InstanceHost& aHost)
+  explicit OperatorHandler(InstanceHost& aHost)
     : host_(aHost)
   {
   }
@@ -112,7 +112,7 @@
     Serve(aId, route, aRequest, std::move(aRespond));
   }
 
-  void OnGone(std::uint64_t aId) override { waiting_.erase(aId); }
+  void OnClientDisconnected(std::uint64_t aId) override { waiting_.erase(aId); }
 
   void Answer(OperatorId aOperator, const OperatorAnswer& aAnswer)
   {
@@ -174,8 +174,8 @@
           aSettings.timing_,
           *this,
           events_)
-  , callers_(std::make_unique<CallerSide>(*this))
-  , operators_(std::make_unique<OperatorSide>(*this))
+  , callers_(std::make_unique<CallerHandler>(*this))
+  , operators_(std::make_unique<OperatorHandler>(*this))
 {
 }
 
@@ -192,7 +192,7 @@
     callerServer_,
     HttpServer::Create(context_, settings_.callerAddress_, settings_.callerLimits_, *callers_));
   HttpLimits limits;
-  limits.bodyBytes_ = kOperatorBodyBytes;
+  limits.bodyBytes_ = kMaxOperatorBodyBytes;
   limits.connections_ = kOperatorConnections;
   BOOST_OUTCOME_TRY(operatorServer_,
                     HttpServer::Create(context_, settings_.operatorAddress_, limits, *operators_));
@@ -219,7 +219,7 @@
     }
     PollList();
     core_.Tick(Now());
-    CheckLeaving();
+    AdvanceStop();
     ScheduleTick();
   });
 }
@@ -228,13 +228,13 @@
 InstanceHost::PollList()
 {
   const auto now = Now();
-  if (isListOut_ || now - listPolledAt_ < settings_.listPoll_) {
+  if (isListPending_ || now - listPolledAt_ < settings_.listPoll_) {
     return;
   }
   listPolledAt_ = now;
-  isListOut_ = true;
+  isListPending_ = true;
   platform_.ListInstances([this](std::optional<std::vector<ListedInstance>> aList) {
-    isListOut_ = false;
+    isListPending_ = false;
     if (!aList) {
       return;
     }
@@ -255,7 +255,7 @@
 }
 
 void
-InstanceHost::CheckLeaving()
+InstanceHost::AdvanceStop()
 {
   if (leavingSince_ == Instant{ 0 }) {
     return;
@@ -265,10 +265,10 @@
     isClosing_ = true;
     callerServer_->BeginClose();
   }
-  const bool isOver = isClosing_ && core_.MayStop() && callerServer_->Connections() == 0;
-  if (isOver || waited >= settings_.drainTimeout_) {
+  const bool isComplete = isClosing_ && core_.MayStop() && callerServer_->Connections() == 0;
+  if (isComplete || waited >= settings_.drainTimeout_) {
     events_.Record(Event::InstanceStopped,
-                   isOver ? "reason=all-work-ended" : "reason=drain-timeout");
+                   isComplete ? "reason=all-work-ended" : "reason=drain-timeout");
     context_.stop();
   }
 }
@@ -302,49 +302,53 @@
 }
 
 void
-InstanceHost::SendGrant(CallTag aTag, const std::string& aAddress, const GrantOrder& aOrder)
+InstanceHost::SendGrant(CallTag aTag, const std::string& aAddress, const GrantOrder& aCommand)
 {
-  serverClient_->Send(
-    aAddress, MakeGrantRequest(aOrder), kGrantTimeout, [this, aTag](const HttpExchange& aExchange) {
-      if (aExchange.isRefused_) {
-        core_.OnConnectionRefused(Now(), aTag);
-      }
-      if (aExchange.end_ != ExchangeEnd::Complete || aExchange.response_.status_ != 200) {
-        return;
-      }
-      const auto reply = ParseGrantReply(*aExchange.response_.body_);
-      if (reply) {
-        core_.OnGrantReply(Now(), aTag, reply.value());
-      }
-    });
+  serverClient_->Send(aAddress,
+                      MakeGrantRequest(aCommand),
+                      kGrantTimeout,
+                      [this, aTag](const HttpExchange& aExchange) {
+                        if (aExchange.isRefused_) {
+                          core_.OnConnectionRefused(Now(), aTag);
+                        }
+                        if (aExchange.end_ != ExchangeEnd::Complete ||
+                            aExchange.response_.status_ != 200) {
+                          return;
+                        }
+                        const auto reply = ParseGrantReply(*aExchange.response_.body_);
+                        if (reply) {
+                          core_.OnGrantReply(Now(), aTag, reply.value());
+                        }
+                      });
 }
 
 void
-InstanceHost::SendWork(const WorkOrder& aOrder)
+InstanceHost::SendWork(const WorkOrder& aCommand)
 {
-  addressOfWork_[aOrder.id_] = aOrder.address_;
-  const auto timeout = std::max(aOrder.request_.deadline_ - Now(), Duration{ 0 }) + kWorkSlack;
-  serverClient_->Send(aOrder.address_,
-                      MakeWorkRequest(aOrder),
+  workAddresses_[aCommand.id_] = aCommand.address_;
+  const auto timeout =
+    std::max(aCommand.request_.deadline_ - Now(), Duration{ 0 }) + kWorkAnswerGrace;
+  serverClient_->Send(aCommand.address_,
+                      MakeWorkRequest(aCommand),
                       timeout,
-                      [this, aOrder](const HttpExchange& aExchange) {
-                        addressOfWork_.erase(aOrder.id_);
+                      [this, aCommand](const HttpExchange& aExchange) {
+                        workAddresses_.erase(aCommand.id_);
                         WorkReply reply;
                         reply.end_ = WorkEnd::Broken;
                         if (aExchange.end_ == ExchangeEnd::NotSent) {
                           reply.end_ = WorkEnd::NotSent;
                         } else if (aExchange.end_ == ExchangeEnd::Complete) {
-                          reply = ToWorkReply(aOrder, aExchange.response_);
+                          reply = ToWorkReply(aCommand, aExchange.response_);
                         }
-                        core_.OnWorkReply(Now(), aOrder.id_, reply);
+                        core_.OnWorkReply(Now(), aCommand.id_, reply);
                       });
 }
 
 void
 InstanceHost::CancelWork(WorkId aId)
 {
-  const auto found = addressOfWork_.find(aId);
-  if (found == addressOfWork_.end()) {
+  const auto found = workAddresses_.find(aId);
+  if (found == workAddresses_.end()) {
     return;
   }
   HttpRequest request;
--- a/Libraries/LibDaemon/InstanceHost.h
+++ b/Libraries/LibDaemon/InstanceHost.h
@@ -33,8 +33,8 @@
   void BeginLeaving();
 
 private:
-  class CallerSide;
-  class OperatorSide;
+  class CallerHandler;
+  class OperatorHandler;
 
   InstanceHost(boost::asio::io_context& aContext, const DaemonSettings& aSettings);
   FieldResult<void> Open();
@@ -42,13 +42,13 @@
   static Instant Now();
   void ScheduleTick();
   void PollList();
-  void CheckLeaving();
+  void AdvanceStop();
   std::string RenderMetrics() const;
 
   bool SendToPeer(const InstanceId& aTo, const PeerMessage& aMessage) override;
   void CallStore(CallTag aTag, const StoreCall& aCall) override;
-  void SendGrant(CallTag aTag, const std::string& aAddress, const GrantOrder& aOrder) override;
-  void SendWork(const WorkOrder& aOrder) override;
+  void SendGrant(CallTag aTag, const std::string& aAddress, const GrantOrder& aCommand) override;
+  void SendWork(const WorkOrder& aCommand) override;
   void CancelWork(WorkId aId) override;
   void AnswerCaller(CallerId aCaller, const WorkAnswer& aAnswer) override;
   void AnswerOperator(OperatorId aOperator, const OperatorAnswer& aAnswer) override;
@@ -68,13 +68,13 @@
   PlatformClient platform_;
   InstanceCore core_;
   std::unique_ptr<PeerNetwork> peers_;
-  std::unique_ptr<CallerSide> callers_;
-  std::unique_ptr<OperatorSide> operators_;
+  std::unique_ptr<CallerHandler> callers_;
+  std::unique_ptr<OperatorHandler> operators_;
   std::unique_ptr<HttpServer> callerServer_;
   std::unique_ptr<HttpServer> operatorServer_;
-  std::map<WorkId, std::string> addressOfWork_;
+  std::map<WorkId, std::string> workAddresses_;
   Instant listPolledAt_{ 0 };
-  bool isListOut_ = false;
+  bool isListPending_ = false;
   Instant leavingSince_{ 0 };
   bool isClosing_ = false;
 };
--- a/Libraries/LibDaemon/LineLog.cpp
+++ b/Libraries/LibDaemon/LineLog.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 // Minimum interval between two LogLinesDropped lines.
-constexpr Duration kTellInterval = seconds(1);
+constexpr Duration kDropReportInterval = seconds(1);
 
 enum class LineClass
 {
@@ -46,15 +46,15 @@
 } // namespace
 
 bool
-LineLog::Allowance::Take(Instant aNow, double aPerSecond)
+LineLog::LineRateLimiter::Take(Instant aNow, double aPerSecond)
 {
-  const auto past = ToSeconds(aNow - filledAt_);
-  left_ = std::min(aPerSecond, left_ + past * aPerSecond);
-  filledAt_ = aNow;
-  if (left_ < 1) {
+  const auto past = ToSeconds(aNow - refilledAt_);
+  tokens_ = std::min(aPerSecond, tokens_ + past * aPerSecond);
+  refilledAt_ = aNow;
+  if (tokens_ < 1) {
     return false;
   }
-  left_ -= 1;
+  tokens_ -= 1;
   return true;
 }
 
@@ -78,24 +78,25 @@
     ++counts_.at(number);
   }
   const auto kind = ClassOf(aEvent);
-  const auto perSecond = kind == LineClass::State ? limits_.stateLines_ : limits_.requestLines_;
-  if (!allowances_.at(static_cast<std::size_t>(kind)).Take(now, perSecond)) {
+  const auto perSecond =
+    kind == LineClass::State ? limits_.stateLinesPerSecond_ : limits_.requestLinesPerSecond_;
+  if (!rateLimiters_.at(static_cast<std::size_t>(kind)).Take(now, perSecond)) {
     ++dropped_;
     return;
   }
-  TellDropped(now);
+  ReportDropped(now);
   Append(now, aEvent, aDetail);
 }
 
 void
-LineLog::TellDropped(Instant aNow)
+LineLog::ReportDropped(Instant aNow)
 {
-  if (dropped_ == toldDropped_ || aNow < nextTell_) {
+  if (dropped_ == reportedDropped_ || aNow < nextDropReport_) {
     return;
   }
-  nextTell_ = aNow + kTellInterval;
-  const auto count = dropped_ - toldDropped_;
-  toldDropped_ = dropped_;
+  nextDropReport_ = aNow + kDropReportInterval;
+  const auto count = dropped_ - reportedDropped_;
+  reportedDropped_ = dropped_;
   Append(aNow, Event::LogLinesDropped, "count=" + std::to_string(count));
 }
 
@@ -114,25 +115,25 @@
   std::replace_if(
     line.begin(), line.end(), [](unsigned char aByte) { return aByte < ' '; }, '?');
   line += '\n';
-  if (waiting_.size() + line.size() > limits_.waitingBytes_) {
+  if (buffer_.size() + line.size() > limits_.maxBufferedBytes_) {
     ++dropped_;
     return;
   }
-  waiting_ += line;
+  buffer_ += line;
 }
 
 void
 LineLog::Flush()
 {
-  while (!waiting_.empty()) {
-    const auto count = ::write(descriptor_, waiting_.data(), waiting_.size());
+  while (!buffer_.empty()) {
+    const auto count = ::write(descriptor_, buffer_.data(), buffer_.size());
     if (count < 0 && errno == EINTR) {
       continue;
     }
     if (count <= 0) {
       return;
     }
-    waiting_.erase(0, static_cast<std::size_t>(count));
+    buffer_.erase(0, static_cast<std::size_t>(count));
   }
 }
 
--- a/Libraries/LibDaemon/LineLog.h
+++ b/Libraries/LibDaemon/LineLog.h
@@ -13,12 +13,12 @@
 struct LineLogLimits
 {
   // Lines per second about single requests; lines above it are dropped and counted.
-  double requestLines_ = 150;
+  double requestLinesPerSecond_ = 150;
   // Lines per second about state changes. Higher, because a fleet of hundreds of servers
   // lists all of them within seconds.
-  double stateLines_ = 600;
+  double stateLinesPerSecond_ = 600;
   // Bytes buffered while the reader of the descriptor is slow or stuck.
-  std::size_t waitingBytes_ = 256UL * 1024;
+  std::size_t maxBufferedBytes_ = 256UL * 1024;
 };
 
 // Event sink that writes each event as one line of "name=value" pairs to a file descriptor.
@@ -41,27 +41,27 @@
 
 private:
   // Token bucket with a capacity of one second's lines.
-  struct Allowance
+  struct LineRateLimiter
   {
-    double left_ = 0;
-    Instant filledAt_{ 0 };
+    double tokens_ = 0;
+    Instant refilledAt_{ 0 };
 
     bool Take(Instant aNow, double aPerSecond);
   };
 
   void Append(Instant aNow, Event aEvent, std::string_view aDetail);
-  void TellDropped(Instant aNow);
+  void ReportDropped(Instant aNow);
 
   int descriptor_;
   std::string instance_;
   LineLogLimits limits_;
   // Indexed by line class: successful requests, failed requests, state changes.
-  std::array<Allowance, 3> allowances_;
+  std::array<LineRateLimiter, 3> rateLimiters_;
   std::array<std::uint64_t, 1000> counts_{};
-  std::string waiting_;
+  std::string buffer_;
   std::uint64_t dropped_ = 0;
-  std::uint64_t toldDropped_ = 0;
-  Instant nextTell_{ 0 };
+  std::uint64_t reportedDropped_ = 0;
+  Instant nextDropReport_{ 0 };
 };
 
 } // namespace latchslip
--- a/Libraries/LibDaemon/Metrics.cpp
+++ b/Libraries/LibDaemon/Metrics.cpp
@@ -25,8 +25,8 @@
 struct Metrics::Latency
 {
   MomentSet moments_;
-  QuantileSet half_{ accumulators::quantile_probability = 0.5 };
-  QuantileSet most_{ accumulators::quantile_probability = 0.99 };
+  QuantileSet median_{ accumulators::quantile_probability = 0.5 };
+  QuantileSet p99_{ accumulators::quantile_probability = 0.99 };
 };
 
 Metrics::Metrics()
@@ -43,8 +43,8 @@
   ++reasons_[static_cast<std::size_t>(aAnswer.reason_)];
   const auto micros = static_cast<double>(aLatency.count());
   latency_->moments_(micros);
-  latency_->half_(micros);
-  latency_->most_(micros);
+  latency_->median_(micros);
+  latency_->p99_(micros);
 }
 
 std::string
@@ -62,8 +62,9 @@
   if (accumulators::count(latency_->moments_) > 0) {
     text << "latchslip_latency_mean_us " << accumulators::mean(latency_->moments_) << '\n'
          << "latchslip_latency_max_us " << accumulators::max(latency_->moments_) << '\n'
-         << "latchslip_latency_p50_us " << accumulators::p_square_quantile(latency_->half_) << '\n'
-         << "latchslip_latency_p99_us " << accumulators::p_square_quantile(latency_->most_) << '\n';
+         << "latchslip_latency_p50_us " << accumulators::p_square_quantile(latency_->median_)
+         << '\n'
+         << "latchslip_latency_p99_us " << accumulators::p_square_quantile(latency_->p99_) << '\n';
   }
   return text.str();
 }
--- a/Libraries/LibDaemon/PeerCalls.cpp
+++ b/Libraries/LibDaemon/PeerRpc.cpp
@@ -1,4 +1,4 @@
-#include "LibDaemon/PeerCalls.h"
+#include "LibDaemon/PeerRpc.h"
 
 #include "LibNet/Deflate.h"
 #include "LibNet/MonotonicClock.h"
@@ -9,24 +9,24 @@
 
 constexpr std::string_view kReportPath = "/v1/fleet/report";
 // Fetches the rows that the caller lacks.
-constexpr std::string_view kSincePath = "/v1/fleet/since";
+constexpr std::string_view kFetchPath = "/v1/fleet/since";
 constexpr std::string_view kMetricsPath = "/metrics";
 // Pushes an update.
-constexpr std::string_view kNewsPath = "/v1/fleet/news";
+constexpr std::string_view kUpdatePath = "/v1/fleet/news";
 // Reports usage of the groups with limits to the limit coordinator.
-constexpr std::string_view kUsesPath = "/v1/fleet/uses";
+constexpr std::string_view kUsagePath = "/v1/fleet/uses";
 // Many round trips within a region, and less than the report interval.
 constexpr Duration kPeerTimeout = milliseconds(600);
 // Longer updates are whole tables for a starting instance. Their timeout covers several of
 // them at once over a slow connection.
-constexpr std::size_t kBulkBytes = 16UL * 1024;
+constexpr std::size_t kBulkUpdateBytes = 16UL * 1024;
 constexpr Duration kBulkTimeout = seconds(4);
 // Updates of at least this size are compressed. Shorter ones hold one or two changes and fit
 // into one packet.
-constexpr std::size_t kLeastDeflated = 1024;
+constexpr std::size_t kMinDeflateBytes = 1024;
 // Upper bound of a decompressed update; the tables of 10,000 servers are about 3 MB.
-constexpr std::size_t kMostNewsBytes = 64UL * 1024 * 1024;
-constexpr std::size_t kMostConnections = 4;
+constexpr std::size_t kMaxUpdateBytes = 64UL * 1024 * 1024;
+constexpr std::size_t kMaxConnections = 4;
 constexpr unsigned kOk = 200;
 constexpr unsigned kBadRequest = 400;
 constexpr unsigned kNotFound = 404;
@@ -35,19 +35,19 @@
 // Serializes an update, compressed if long. The receiver recognizes plain JSON by its opening
 // brace.
 std::string
-PackNews(const FleetUpdate& aNews)
+PackUpdate(const FleetUpdate& aUpdate)
 {
-  auto text = SerializeUpdate(aNews);
-  return text.size() < kLeastDeflated ? text : Deflate(text);
+  auto text = SerializeUpdate(aUpdate);
+  return text.size() < kMinDeflateBytes ? text : Deflate(text);
 }
 
 FieldResult<FleetUpdate>
-UnpackNews(std::string_view aBytes)
+UnpackUpdate(std::string_view aBytes)
 {
   if (aBytes.starts_with('{')) {
     return ParseUpdate(aBytes);
   }
-  BOOST_OUTCOME_TRY(const auto text, Inflate(aBytes, kMostNewsBytes));
+  BOOST_OUTCOME_TRY(const auto text, Inflate(aBytes, kMaxUpdateBytes));
   return ParseUpdate(text);
 }
 
@@ -70,7 +70,7 @@
 // Parses the body of an answer; std::nullopt if the call failed or the body is malformed.
 template<typename T>
 std::optional<T>
-ReadAnswer(const HttpExchange& aExchange, FieldResult<T> (*aParse)(std::string_view))
+ParseAnswer(const HttpExchange& aExchange, FieldResult<T> (*aParse)(std::string_view))
 {
   if (!IsOk(aExchange)) {
     return std::nullopt;
@@ -81,100 +81,100 @@
 
 } // namespace
 
-PeerCalls::PeerCalls(boost::asio::io_context& aContext, FleetMember& aMember, MetricsPage aMetrics)
+PeerRpc::PeerRpc(boost::asio::io_context& aContext, FleetMember& aMember, MetricsPage aMetrics)
   : member_(aMember)
   , metrics_(std::move(aMetrics))
-  , client_(HttpClient::Create(aContext, kMostConnections))
+  , client_(HttpClient::Create(aContext, kMaxConnections))
 {
 }
 
 void
-PeerCalls::SendReport(const std::string& aAddress, const InstanceReport& aReport)
+PeerRpc::SendReport(const std::string& aAddress, const InstanceReport& aReport)
 {
   client_->Send(aAddress,
                 MakePost(kReportPath, SerializeReport(aReport)),
                 kPeerTimeout,
                 [this, sentAt = MonotonicNow()](const HttpExchange& aExchange) {
-                  const auto answer = ReadAnswer(aExchange, ParseReportAnswer);
+                  const auto answer = ParseAnswer(aExchange, ParseReportAnswer);
                   const auto now = MonotonicNow();
                   member_.OnReportAnswered(now, answer, now - sentAt);
                 });
 }
 
 void
-PeerCalls::SendUpdate(const std::vector<UpdateBranch>& aBranches, const FleetUpdate& aNews)
+PeerRpc::SendUpdate(const std::vector<UpdateBranch>& aBranches, const FleetUpdate& aUpdate)
 {
   if (!aBranches.empty()) {
-    PassOn(aBranches, std::make_shared<const std::string>(PackNews(aNews)));
+    Forward(aBranches, std::make_shared<const std::string>(PackUpdate(aUpdate)));
   }
 }
 
 // An instance that misses an update detects it from the answer to its next report.
 void
-PeerCalls::PassOn(const std::vector<UpdateBranch>& aBranches,
-                  const std::shared_ptr<const std::string>& aNews)
+PeerRpc::Forward(const std::vector<UpdateBranch>& aBranches,
+                 const std::shared_ptr<const std::string>& aUpdate)
 {
   for (const auto& branch : aBranches) {
-    if (silent_.IsUnresponsive(MonotonicNow(), branch.to_)) {
-      PassOnTo({ branch.to_, {} }, aNews);
-      PassOn(SplitForwarding(branch.forwardTo_), aNews);
+    if (unresponsivePeers_.IsUnresponsive(MonotonicNow(), branch.to_)) {
+      ForwardTo({ branch.to_, {} }, aUpdate);
+      Forward(SplitForwarding(branch.forwardTo_), aUpdate);
     } else {
-      PassOnTo(branch, aNews);
+      ForwardTo(branch, aUpdate);
     }
   }
 }
 
 void
-PeerCalls::PassOnTo(const UpdateBranch& aBranch, const std::shared_ptr<const std::string>& aNews)
+PeerRpc::ForwardTo(const UpdateBranch& aBranch, const std::shared_ptr<const std::string>& aUpdate)
 {
-  const auto timeout = aNews->size() > kBulkBytes ? kBulkTimeout : kPeerTimeout;
+  const auto timeout = aUpdate->size() > kBulkUpdateBytes ? kBulkTimeout : kPeerTimeout;
   client_->Send(aBranch.to_,
-                MakePost(kNewsPath, EncodeUpdateMessage(aBranch.forwardTo_, *aNews)),
+                MakePost(kUpdatePath, EncodeUpdateMessage(aBranch.forwardTo_, *aUpdate)),
                 timeout,
-                [this, aBranch, aNews](const HttpExchange& aExchange) {
-                  const bool isTaken = IsOk(aExchange);
-                  silent_.OnSent(MonotonicNow(), aBranch.to_, isTaken);
-                  if (!isTaken) {
-                    PassOn(SplitForwarding(aBranch.forwardTo_), aNews);
+                [this, aBranch, aUpdate](const HttpExchange& aExchange) {
+                  const bool isAccepted = IsOk(aExchange);
+                  unresponsivePeers_.OnSent(MonotonicNow(), aBranch.to_, isAccepted);
+                  if (!isAccepted) {
+                    Forward(SplitForwarding(aBranch.forwardTo_), aUpdate);
                   }
                 });
 }
 
 void
-PeerCalls::FetchUpdate(const std::string& aAddress, const TableVersions& aVersions)
+PeerRpc::FetchUpdate(const std::string& aAddress, const TableVersions& aVersions)
 {
   client_->Send(aAddress,
-                MakePost(kSincePath, SerializeVersions(aVersions)),
+                MakePost(kFetchPath, SerializeVersions(aVersions)),
                 kPeerTimeout,
                 [this, aAddress, sentAt = MonotonicNow()](const HttpExchange& aExchange) {
-                  const auto news = ReadAnswer(aExchange, UnpackNews);
+                  const auto update = ParseAnswer(aExchange, UnpackUpdate);
                   const auto now = MonotonicNow();
-                  member_.OnUpdateFetched(now, news, now - sentAt, aAddress);
+                  member_.OnUpdateFetched(now, update, now - sentAt, aAddress);
                 });
 }
 
 void
-PeerCalls::SendUsage(const std::string& aAddress, const UseReport& aReport)
+PeerRpc::SendUsage(const std::string& aAddress, const UseReport& aReport)
 {
   client_->Send(aAddress,
-                MakePost(kUsesPath, SerializeUseReport(aReport)),
+                MakePost(kUsagePath, SerializeUseReport(aReport)),
                 kPeerTimeout,
                 [this](const HttpExchange& aExchange) {
-                  member_.OnUsageAnswered(MonotonicNow(), ReadAnswer(aExchange, ParseParts));
+                  member_.OnUsageAnswered(MonotonicNow(), ParseAnswer(aExchange, ParseParts));
                 });
 }
 
 void
-PeerCalls::OnRequest(std::uint64_t, HttpRequest aRequest, HttpResponder aRespond)
+PeerRpc::OnRequest(std::uint64_t, HttpRequest aRequest, HttpResponder aRespond)
 {
   if (aRequest.target_ == kReportPath) {
-    aRespond(AnswerReport(aRequest));
-  } else if (aRequest.target_ == kNewsPath) {
-    aRespond(TakeNews(aRequest));
-  } else if (aRequest.target_ == kUsesPath) {
-    aRespond(AnswerUses(aRequest));
-  } else if (aRequest.target_ == kSincePath) {
-    aRespond(AnswerNews(aRequest));
+    aRespond(HandleReport(aRequest));
+  } else if (aRequest.target_ == kUpdatePath) {
+    aRespond(HandleUpdate(aRequest));
+  } else if (aRequest.target_ == kUsagePath) {
+    aRespond(HandleUsage(aRequest));
+  } else if (aRequest.target_ == kFetchPath) {
+    aRespond(HandleFetch(aRequest));
   } else if (aRequest.target_ == kMetricsPath) {
     auto page = MakeHttpResponse(kOk, metrics_());
     page.contentType_ = "text/plain; version=0.0.4";
@@ -185,7 +185,7 @@
 }
 
 HttpResponse
-PeerCalls::AnswerReport(const HttpRequest& aRequest)
+PeerRpc::HandleReport(const HttpRequest& aRequest)
 {
   const auto report = ParseReport(*aRequest.body_);
   if (!report) {
@@ -196,19 +196,19 @@
 }
 
 HttpResponse
-PeerCalls::AnswerUses(const HttpRequest& aRequest)
+PeerRpc::HandleUsage(const HttpRequest& aRequest)
 {
   const auto report = ParseUseReport(*aRequest.body_);
   if (!report) {
     return MakeHttpResponse(kBadRequest, report.error().Describe());
   }
-  const auto parts = member_.OnUsage(MonotonicNow(), report.value());
-  return parts ? MakeHttpResponse(kOk, SerializeParts(*parts))
-               : MakeHttpResponse(kConflict, "is not the placer\n");
+  const auto shares = member_.OnUsage(MonotonicNow(), report.value());
+  return shares ? MakeHttpResponse(kOk, SerializeParts(*shares))
+                : MakeHttpResponse(kConflict, "is not the placer\n");
 }
 
 HttpResponse
-PeerCalls::TakeNews(const HttpRequest& aRequest)
+PeerRpc::HandleUpdate(const HttpRequest& aRequest)
 {
   auto message = DecodeUpdateMessage(*aRequest.body_);
   if (!message) {
@@ -216,23 +216,23 @@
   }
   const auto text = std::make_shared<const std::string>(std::move(message.value().update_));
   // Forwarded before it is parsed, because parsing takes longer on a slow instance.
-  PassOn(SplitForwarding(message.value().forwardTo_), text);
-  const auto news = UnpackNews(*text);
-  if (!news) {
-    return MakeHttpResponse(kBadRequest, news.error().Describe());
+  Forward(SplitForwarding(message.value().forwardTo_), text);
+  const auto update = UnpackUpdate(*text);
+  if (!update) {
+    return MakeHttpResponse(kBadRequest, update.error().Describe());
   }
-  member_.OnUpdate(MonotonicNow(), news.value());
+  member_.OnUpdate(MonotonicNow(), update.value());
   return MakeHttpResponse(kOk, "");
 }
 
 HttpResponse
-PeerCalls::AnswerNews(const HttpRequest& aRequest) const
+PeerRpc::HandleFetch(const HttpRequest& aRequest) const
 {
   const auto versions = ParseVersions(*aRequest.body_);
   if (!versions) {
     return MakeHttpResponse(kBadRequest, versions.error().Describe());
   }
-  return MakeHttpResponse(kOk, PackNews(member_.UpdateSince(MonotonicNow(), versions.value())));
+  return MakeHttpResponse(kOk, PackUpdate(member_.UpdateSince(MonotonicNow(), versions.value())));
 }
 
 } // namespace latchslip
--- a/Libraries/LibDaemon/PeerCalls.h
+++ b/Libraries/LibDaemon/PeerRpc.h
@@ -14,41 +14,41 @@
 // HTTP calls between gateway instances, client and server side: reports to the placer, usage
 // reports to the limit coordinator, and updates of the store's tables, which are forwarded
 // along an update tree. Also serves the metrics page.
-class PeerCalls : public HttpHandler
+class PeerRpc : public HttpHandler
 {
 public:
   // Renders the metrics page.
   using MetricsPage = std::function<std::string()>;
 
-  PeerCalls(boost::asio::io_context& aContext, FleetMember& aMember, MetricsPage aMetrics);
+  PeerRpc(boost::asio::io_context& aContext, FleetMember& aMember, MetricsPage aMetrics);
 
   // Sends a report; the answer, or its absence after the timeout, goes to the FleetMember.
   void SendReport(const std::string& aAddress, const InstanceReport& aReport);
   // Sends an update to the root of each branch, which forwards it to the others of its branch.
-  void SendUpdate(const std::vector<UpdateBranch>& aBranches, const FleetUpdate& aNews);
+  void SendUpdate(const std::vector<UpdateBranch>& aBranches, const FleetUpdate& aUpdate);
   // Requests from a peer the rows that are newer than aVersions.
   void FetchUpdate(const std::string& aAddress, const TableVersions& aVersions);
   // Sends this instance's usage of limits to the limit coordinator at aAddress.
   void SendUsage(const std::string& aAddress, const UseReport& aReport);
 
   void OnRequest(std::uint64_t aId, HttpRequest aRequest, HttpResponder aRespond) override;
-  void OnGone(std::uint64_t) override {}
+  void OnClientDisconnected(std::uint64_t) override {}
 
 private:
   // Sends a serialized update along these branches. An unresponsive or failed root is skipped:
   // its branch is split and sent from here.
-  void PassOn(const std::vector<UpdateBranch>& aBranches,
-              const std::shared_ptr<const std::string>& aNews);
-  void PassOnTo(const UpdateBranch& aBranch, const std::shared_ptr<const std::string>& aNews);
-  HttpResponse AnswerReport(const HttpRequest& aRequest);
-  HttpResponse AnswerUses(const HttpRequest& aRequest);
-  HttpResponse TakeNews(const HttpRequest& aRequest);
-  HttpResponse AnswerNews(const HttpRequest& aRequest) const;
+  void Forward(const std::vector<UpdateBranch>& aBranches,
+               const std::shared_ptr<const std::string>& aUpdate);
+  void ForwardTo(const UpdateBranch& aBranch, const std::shared_ptr<const std::string>& aUpdate);
+  HttpResponse HandleReport(const HttpRequest& aRequest);
+  HttpResponse HandleUsage(const HttpRequest& aRequest);
+  HttpResponse HandleUpdate(const HttpRequest& aRequest);
+  HttpResponse HandleFetch(const HttpRequest& aRequest) const;
 
   FleetMember& member_;
   MetricsPage metrics_;
   std::unique_ptr<HttpClient> client_;
-  UnresponsivePeers silent_;
+  UnresponsivePeers unresponsivePeers_;
 };
 
 } // namespace latchslip
--- a/Libraries/LibDaemon/PermitLinks.cpp
+++ b/Libraries/LibDaemon/PermitLinks.cpp
@@ -18,7 +18,7 @@
 // Many round trips within a region; after it the client uses another dispatcher.
 constexpr Duration kDialTimeout = milliseconds(300);
 // The caller id of this instance at its own dispatcher.
-constexpr CallerId kOwnCaller = 0;
+constexpr CallerId kLocalCaller = 0;
 
 // Returns the address without its port.
 std::string
@@ -50,7 +50,7 @@
 }
 
 std::string
-PermitLinks::LinkAddressOf(const std::string& aInstance) const
+PermitLinks::PermitAddressOf(const std::string& aInstance) const
 {
   return HostOf(aInstance) + ":" + std::to_string(port_);
 }
@@ -58,7 +58,7 @@
 FieldResult<void>
 PermitLinks::Listen()
 {
-  BOOST_OUTCOME_TRY(auto acceptor, OpenAcceptor(context_, LinkAddressOf(self_)));
+  BOOST_OUTCOME_TRY(auto acceptor, OpenAcceptor(context_, PermitAddressOf(self_)));
   acceptor_ = std::make_unique<tcp::acceptor>(std::move(acceptor));
   Accept();
   return outcome::success();
@@ -70,10 +70,10 @@
   timer_.Cancel();
   acceptor_.reset();
   std::vector<std::shared_ptr<FrameStream>> streams;
-  for (const auto& [address, link] : dialled_) {
+  for (const auto& [address, link] : dispatcherLinks_) {
     streams.push_back(link.stream_);
   }
-  for (const auto& [caller, link] : callers_) {
+  for (const auto& [caller, link] : callerLinks_) {
     streams.push_back(link.stream_);
   }
   for (const auto& stream : streams) {
@@ -100,11 +100,11 @@
 {
   const auto caller = ++lastCaller_;
   auto stream = std::make_shared<FrameStream>(std::move(aSocket));
-  callers_[caller].stream_ = stream;
+  callerLinks_[caller].stream_ = stream;
   stream->Start(
     [this, caller](std::span<const std::uint8_t> aBytes) { OnCallerFrame(caller, aBytes); },
     [this, caller](const std::string&) {
-      callers_.erase(caller);
+      callerLinks_.erase(caller);
       dispatcher_.OnCallerGone(MonotonicNow(), caller);
     });
 }
@@ -126,7 +126,7 @@
 void
 PermitLinks::OnCallerFrame(CallerId aCaller, std::span<const std::uint8_t> aBytes)
 {
-  const auto batch = ReadBatch(aBytes, *callers_.at(aCaller).stream_);
+  const auto batch = ReadBatch(aBytes, *callerLinks_.at(aCaller).stream_);
   if (!batch) {
     return;
   }
@@ -145,8 +145,8 @@
     return;
   }
   const auto dial = ++lastDial_;
-  dials_[aDispatcher] = dial;
-  const auto endpoint = ParseAddress(LinkAddressOf(aDispatcher));
+  pendingDials_[aDispatcher] = dial;
+  const auto endpoint = ParseAddress(PermitAddressOf(aDispatcher));
   if (!endpoint) {
     events_.Record(Event::PeerRefused, "reason=\"" + endpoint.error().Describe() + "\"");
     asio::post(context_, [this, aDispatcher, dial] { OnDialFailed(aDispatcher, dial); });
@@ -174,8 +174,9 @@
 void
 PermitLinks::OnDialFailed(const std::string& aDispatcher, std::uint64_t aDial)
 {
-  if (const auto dial = dials_.find(aDispatcher); dial != dials_.end() && dial->second == aDial) {
-    dials_.erase(dial);
+  if (const auto dial = pendingDials_.find(aDispatcher);
+      dial != pendingDials_.end() && dial->second == aDial) {
+    pendingDials_.erase(dial);
     client_.OnLinkDown(MonotonicNow(), aDispatcher);
   }
 }
@@ -183,20 +184,20 @@
 void
 PermitLinks::OnDialled(const std::string& aDispatcher, std::uint64_t aDial, tcp::socket aSocket)
 {
-  const auto dial = dials_.find(aDispatcher);
-  if (dial == dials_.end() || dial->second != aDial) {
+  const auto dial = pendingDials_.find(aDispatcher);
+  if (dial == pendingDials_.end() || dial->second != aDial) {
     return;
   }
-  dials_.erase(dial);
+  pendingDials_.erase(dial);
   auto stream = std::make_shared<FrameStream>(std::move(aSocket));
-  dialled_[aDispatcher] = { stream, {} };
+  dispatcherLinks_[aDispatcher] = { stream, {} };
   stream->Start([this, aDispatcher](
                   std::span<const std::uint8_t> aBytes) { OnDispatcherFrame(aDispatcher, aBytes); },
                 [this, aDispatcher, link = stream.get()](const std::string&) {
                   // Ignored if a newer link has replaced this one.
-                  const auto open = dialled_.find(aDispatcher);
-                  if (open != dialled_.end() && open->second.stream_.get() == link) {
-                    dialled_.erase(open);
+                  const auto open = dispatcherLinks_.find(aDispatcher);
+                  if (open != dispatcherLinks_.end() && open->second.stream_.get() == link) {
+                    dispatcherLinks_.erase(open);
                     client_.OnLinkDown(MonotonicNow(), aDispatcher);
                   }
                 });
@@ -206,7 +207,7 @@
 void
 PermitLinks::OnDispatcherFrame(const std::string& aDispatcher, std::span<const std::uint8_t> aBytes)
 {
-  const auto batch = ReadBatch(aBytes, *dialled_.at(aDispatcher).stream_);
+  const auto batch = ReadBatch(aBytes, *dispatcherLinks_.at(aDispatcher).stream_);
   if (!batch) {
     return;
   }
@@ -219,10 +220,10 @@
 void
 PermitLinks::HangUp(const std::string& aDispatcher)
 {
-  dials_.erase(aDispatcher);
-  if (const auto link = dialled_.find(aDispatcher); link != dialled_.end()) {
+  pendingDials_.erase(aDispatcher);
+  if (const auto link = dispatcherLinks_.find(aDispatcher); link != dispatcherLinks_.end()) {
     const auto stream = link->second.stream_;
-    dialled_.erase(link);
+    dispatcherLinks_.erase(link);
     stream->Close("does not answer");
   }
 }
@@ -231,29 +232,29 @@
 PermitLinks::Tell(const std::string& aDispatcher, const MessageToDispatcher& aMessage)
 {
   if (aDispatcher == self_) {
-    own_.toDispatcher_.push_back(aMessage);
-  } else if (const auto link = dialled_.find(aDispatcher); link != dialled_.end()) {
+    localBatch_.toDispatcher_.push_back(aMessage);
+  } else if (const auto link = dispatcherLinks_.find(aDispatcher); link != dispatcherLinks_.end()) {
     link->second.batch_.toDispatcher_.push_back(aMessage);
   }
-  FlushLater();
+  ScheduleFlush();
 }
 
 void
 PermitLinks::Answer(CallerId aCaller, const MessageFromDispatcher& aMessage)
 {
-  if (aCaller == kOwnCaller) {
-    own_.fromDispatcher_.push_back(aMessage);
-  } else if (const auto link = callers_.find(aCaller); link != callers_.end()) {
+  if (aCaller == kLocalCaller) {
+    localBatch_.fromDispatcher_.push_back(aMessage);
+  } else if (const auto link = callerLinks_.find(aCaller); link != callerLinks_.end()) {
     link->second.batch_.fromDispatcher_.push_back(aMessage);
   }
-  FlushLater();
+  ScheduleFlush();
 }
 
 void
-PermitLinks::FlushLater()
+PermitLinks::ScheduleFlush()
 {
-  if (!isFlushing_) {
-    isFlushing_ = true;
+  if (!isFlushScheduled_) {
+    isFlushScheduled_ = true;
     asio::post(context_, [this] { Flush(); });
   }
 }
@@ -261,7 +262,7 @@
 void
 PermitLinks::Flush()
 {
-  isFlushing_ = false;
+  isFlushScheduled_ = false;
   std::vector<std::pair<std::shared_ptr<FrameStream>, PermitBatch>> full;
   const auto collect = [&](auto& aLinks) {
     for (auto& [key, link] : aLinks) {
@@ -270,21 +271,21 @@
       }
     }
   };
-  collect(dialled_);
-  collect(callers_);
+  collect(dispatcherLinks_);
+  collect(callerLinks_);
   for (const auto& [stream, batch] : full) {
     stream->Send(EncodePermitBatch(batch));
   }
-  FlushOwn();
+  DeliverLocal();
 }
 
 void
-PermitLinks::FlushOwn()
+PermitLinks::DeliverLocal()
 {
-  const auto batch = std::exchange(own_, {});
+  const auto batch = std::exchange(localBatch_, {});
   const auto now = MonotonicNow();
   for (const auto& message : batch.toDispatcher_) {
-    dispatcher_.OnMessage(now, kOwnCaller, message);
+    dispatcher_.OnMessage(now, kLocalCaller, message);
   }
   for (const auto& message : batch.fromDispatcher_) {
     client_.OnMessage(now, self_, message);
--- a/Libraries/LibDaemon/PermitLinks.h
+++ b/Libraries/LibDaemon/PermitLinks.h
@@ -3,7 +3,7 @@
 #include "LibBase/Event.h"
 #include "LibBase/Result.h"
 #include "LibDaemon/LeavingObserver.h"
-#include "LibNet/DueTimer.h"
+#include "LibNet/DeadlineTimer.h"
 #include "LibNet/FrameStream.h"
 #include "LibNet/PermitCodec.h"
 #include "LibPermit/PermitClient.h"
@@ -74,11 +74,11 @@
   void OnCallerFrame(CallerId aCaller, std::span<const std::uint8_t> aBytes);
   void OnDispatcherFrame(const std::string& aDispatcher, std::span<const std::uint8_t> aBytes);
   // Schedules Flush() for the end of this turn of the event loop.
-  void FlushLater();
+  void ScheduleFlush();
   void Flush();
   // Delivers the messages between this instance's own client and dispatcher.
-  void FlushOwn();
-  std::string LinkAddressOf(const std::string& aInstance) const;
+  void DeliverLocal();
+  std::string PermitAddressOf(const std::string& aInstance) const;
 
   boost::asio::io_context& context_;
   std::string self_;
@@ -88,18 +88,18 @@
   PermitClient client_;
   PermitDispatcher dispatcher_;
   std::unique_ptr<boost::asio::ip::tcp::acceptor> acceptor_;
-  DueTimer timer_;
+  DeadlineTimer timer_;
   // Open links to dispatchers, by the dispatcher's address.
-  std::map<std::string, Link> dialled_;
+  std::map<std::string, Link> dispatcherLinks_;
   // Number of the connection attempt in progress, by the dispatcher's address.
-  std::map<std::string, std::uint64_t> dials_;
+  std::map<std::string, std::uint64_t> pendingDials_;
   // Links accepted from other instances.
-  std::map<CallerId, Link> callers_;
+  std::map<CallerId, Link> callerLinks_;
   // Messages between this instance's own client and dispatcher.
-  PermitBatch own_;
+  PermitBatch localBatch_;
   CallerId lastCaller_ = 0;
   std::uint64_t lastDial_ = 0;
-  bool isFlushing_ = false;
+  bool isFlushScheduled_ = false;
 };
 
 } // namespace latchslip
--- a/Libraries/LibDaemon/SettingSources.cpp
+++ b/Libraries/LibDaemon/SettingSources.cpp
@@ -9,12 +9,12 @@
 
 namespace {
 
-constexpr std::size_t kLeastSecretBytes = 16;
+constexpr std::size_t kMinSecretBytes = 16;
 
 } // namespace
 
 std::string
-VariableOfFlag(std::string_view aFlag)
+EnvironmentVariableOf(std::string_view aFlag)
 {
   return "LATCHSLIP_" + absl::AsciiStrToUpper({ aFlag.data(), aFlag.size() });
 }
@@ -23,7 +23,7 @@
 ApplyEnvironment(const std::vector<std::string>& aFlags)
 {
   for (const auto& name : aFlags) {
-    const auto variable = VariableOfFlag(name);
+    const auto variable = EnvironmentVariableOf(name);
     const char* value = std::getenv(variable.c_str());
     auto* flag = absl::FindCommandLineFlag(name);
     std::string problem;
@@ -48,7 +48,7 @@
     }
     std::getline(file, secret);
   }
-  if (secret.size() < kLeastSecretBytes) {
+  if (secret.size() < kMinSecretBytes) {
     return FieldError{ "--" + std::string(aFileFlag),
                        "or " + std::string(aVariable) +
                          " must give a secret of at least 16 bytes" };
--- a/Libraries/LibDaemon/SettingSources.h
+++ b/Libraries/LibDaemon/SettingSources.h
@@ -20,6 +20,6 @@
 
 // Returns the environment variable of a flag: LATCHSLIP_INSTANCE_NAME for "instance_name".
 std::string
-VariableOfFlag(std::string_view aFlag);
+EnvironmentVariableOf(std::string_view aFlag);
 
 } // namespace latchslip
--- a/Libraries/LibDaemon/Settings.cpp
+++ b/Libraries/LibDaemon/Settings.cpp
@@ -111,19 +111,19 @@
 }
 
 FieldResult<std::string>
-NonEmpty(std::string_view aFlag, const std::string& aValue)
+RequireNonEmpty(std::string_view aFlag, const std::string& aValue)
 {
   if (aValue.empty()) {
     return FieldError{ "--" + std::string(aFlag),
-                       "must be set, here or by " + VariableOfFlag(aFlag) };
+                       "must be set, here or by " + EnvironmentVariableOf(aFlag) };
   }
   return aValue;
 }
 
 FieldResult<std::string>
-AddressOf(std::string_view aFlag, const std::string& aValue)
+RequireAddress(std::string_view aFlag, const std::string& aValue)
 {
-  BOOST_OUTCOME_TRY(const auto text, NonEmpty(aFlag, aValue));
+  BOOST_OUTCOME_TRY(const auto text, RequireNonEmpty(aFlag, aValue));
   if (!ParseAddress(text)) {
     return FieldError{ "--" + std::string(aFlag),
                        "\"" + text + "\" is not an IP number and a port, like 10.0.0.7:8080" };
@@ -132,39 +132,40 @@
 }
 
 FieldResult<int>
-Within(std::string_view aFlag, int aValue, int aLeast, int aMost)
+RequireInRange(std::string_view aFlag, int aValue, int aMin, int aMax)
 {
-  if (aValue < aLeast || aValue > aMost) {
+  if (aValue < aMin || aValue > aMax) {
     return FieldError{ "--" + std::string(aFlag),
                        "is " + std::to_string(aValue) + " but must be from " +
-                         std::to_string(aLeast) + " to " + std::to_string(aMost) };
+                         std::to_string(aMin) + " to " + std::to_string(aMax) };
   }
   return aValue;
 }
 
 FieldResult<Duration>
-MillisecondsWithin(std::string_view aFlag, int aValue, int aLeast, int aMost)
+RequireMilliseconds(std::string_view aFlag, int aValue, int aMin, int aMax)
 {
-  BOOST_OUTCOME_TRY(const auto value, Within(aFlag, aValue, aLeast, aMost));
+  BOOST_OUTCOME_TRY(const auto value, RequireInRange(aFlag, aValue, aMin, aMax));
   return Duration(milliseconds(value));
 }
 
 FieldResult<void>
 ReadIdentity(DaemonSettings& aSettings)
 {
-  BOOST_OUTCOME_TRY(aSettings.name_, NonEmpty("instance_name", absl::GetFlag(FLAGS_instance_name)));
+  BOOST_OUTCOME_TRY(aSettings.name_,
+                    RequireNonEmpty("instance_name", absl::GetFlag(FLAGS_instance_name)));
   if (aSettings.name_.find('#') != std::string::npos) {
     return FieldError{ "--instance_name", "must not contain #" };
   }
-  BOOST_OUTCOME_TRY(aSettings.hall_, NonEmpty("hall", absl::GetFlag(FLAGS_hall)));
+  BOOST_OUTCOME_TRY(aSettings.hall_, RequireNonEmpty("hall", absl::GetFlag(FLAGS_hall)));
   BOOST_OUTCOME_TRY(aSettings.callerAddress_,
-                    AddressOf("caller_address", absl::GetFlag(FLAGS_caller_address)));
+                    RequireAddress("caller_address", absl::GetFlag(FLAGS_caller_address)));
   BOOST_OUTCOME_TRY(aSettings.operatorAddress_,
-                    AddressOf("operator_address", absl::GetFlag(FLAGS_operator_address)));
+                    RequireAddress("operator_address", absl::GetFlag(FLAGS_operator_address)));
   BOOST_OUTCOME_TRY(aSettings.peerAddress_,
-                    AddressOf("peer_address", absl::GetFlag(FLAGS_peer_address)));
+                    RequireAddress("peer_address", absl::GetFlag(FLAGS_peer_address)));
   BOOST_OUTCOME_TRY(aSettings.platformAddress_,
-                    AddressOf("platform_address", absl::GetFlag(FLAGS_platform_address)));
+                    RequireAddress("platform_address", absl::GetFlag(FLAGS_platform_address)));
   BOOST_OUTCOME_TRY(
     aSettings.peerSecret_,
     ReadSecret("LATCHSLIP_PEER_SECRET", "peer_secret_file", absl::GetFlag(FLAGS_peer_secret_file)));
@@ -178,27 +179,27 @@
 }
 
 FieldResult<void>
-ReadTerms(InstanceTiming& aTiming)
+ReadGrantTimings(InstanceTiming& aTiming)
 {
   BOOST_OUTCOME_TRY(
     aTiming.heartbeatInterval_,
-    MillisecondsWithin(
+    RequireMilliseconds(
       "heartbeat_interval_ms", absl::GetFlag(FLAGS_heartbeat_interval_ms), 20, 5000));
   BOOST_OUTCOME_TRY(
     aTiming.membership_.silenceLimit_,
-    MillisecondsWithin("silence_limit_ms", absl::GetFlag(FLAGS_silence_limit_ms), 50, 60000));
+    RequireMilliseconds("silence_limit_ms", absl::GetFlag(FLAGS_silence_limit_ms), 50, 60000));
   BOOST_OUTCOME_TRY(
     aTiming.membership_.goneAfter_,
-    MillisecondsWithin("gone_after_ms", absl::GetFlag(FLAGS_gone_after_ms), 0, 600000));
+    RequireMilliseconds("gone_after_ms", absl::GetFlag(FLAGS_gone_after_ms), 0, 600000));
   BOOST_OUTCOME_TRY(
     aTiming.grant_.term_,
-    MillisecondsWithin("grant_term_ms", absl::GetFlag(FLAGS_grant_term_ms), 100, 60000));
+    RequireMilliseconds("grant_term_ms", absl::GetFlag(FLAGS_grant_term_ms), 100, 60000));
   BOOST_OUTCOME_TRY(
     aTiming.grant_.renewInterval_,
-    MillisecondsWithin("grant_renew_ms", absl::GetFlag(FLAGS_grant_renew_ms), 20, 20000));
+    RequireMilliseconds("grant_renew_ms", absl::GetFlag(FLAGS_grant_renew_ms), 20, 20000));
   BOOST_OUTCOME_TRY(
     aTiming.grant_.margin_,
-    MillisecondsWithin("clock_margin_ms", absl::GetFlag(FLAGS_clock_margin_ms), 1, 10000));
+    RequireMilliseconds("clock_margin_ms", absl::GetFlag(FLAGS_clock_margin_ms), 1, 10000));
   if (aTiming.grant_.renewInterval_ * 3 > aTiming.grant_.term_) {
     return FieldError{ "--grant_renew_ms", "must be at most a third of --grant_term_ms" };
   }
@@ -214,29 +215,31 @@
 {
   BOOST_OUTCOME_TRY(
     aTiming.viewBound_,
-    MillisecondsWithin("view_bound_ms", absl::GetFlag(FLAGS_view_bound_ms), 500, 600000));
+    RequireMilliseconds("view_bound_ms", absl::GetFlag(FLAGS_view_bound_ms), 500, 600000));
   BOOST_OUTCOME_TRY(
     aTiming.storePoll_,
-    MillisecondsWithin("store_poll_ms", absl::GetFlag(FLAGS_store_poll_ms), 50, 60000));
+    RequireMilliseconds("store_poll_ms", absl::GetFlag(FLAGS_store_poll_ms), 50, 60000));
   BOOST_OUTCOME_TRY(
     aTiming.reportInterval_,
-    MillisecondsWithin("report_interval_ms", absl::GetFlag(FLAGS_report_interval_ms), 100, 60000));
+    RequireMilliseconds("report_interval_ms", absl::GetFlag(FLAGS_report_interval_ms), 100, 60000));
   BOOST_OUTCOME_TRY(
     aTiming.placer_.rebalanceInterval_,
-    MillisecondsWithin(
+    RequireMilliseconds(
       "rebalance_interval_ms", absl::GetFlag(FLAGS_rebalance_interval_ms), 100, 600000));
   BOOST_OUTCOME_TRY(
     const auto claims,
-    Within("claim_writes_per_second", absl::GetFlag(FLAGS_claim_writes_per_second), 1, 1000));
+    RequireInRange(
+      "claim_writes_per_second", absl::GetFlag(FLAGS_claim_writes_per_second), 1, 1000));
   aTiming.claim_.rate_ = claims;
   BOOST_OUTCOME_TRY(
     aTiming.mostParked_,
-    MillisecondsWithin("max_parked_ms", absl::GetFlag(FLAGS_max_parked_ms), 0, 60000));
+    RequireMilliseconds("max_parked_ms", absl::GetFlag(FLAGS_max_parked_ms), 0, 60000));
   BOOST_OUTCOME_TRY(
     aTiming.confirmWait_,
-    MillisecondsWithin("confirm_wait_ms", absl::GetFlag(FLAGS_confirm_wait_ms), 100, 60000));
-  BOOST_OUTCOME_TRY(const auto inFlight,
-                    Within("max_in_flight", absl::GetFlag(FLAGS_max_in_flight), 1, 1000000));
+    RequireMilliseconds("confirm_wait_ms", absl::GetFlag(FLAGS_confirm_wait_ms), 100, 60000));
+  BOOST_OUTCOME_TRY(
+    const auto inFlight,
+    RequireInRange("max_in_flight", absl::GetFlag(FLAGS_max_in_flight), 1, 1000000));
   aTiming.mostInFlight_ = static_cast<std::size_t>(inFlight);
   return outcome::success();
 }
@@ -247,31 +250,33 @@
   auto& limits = aSettings.callerLimits_;
   BOOST_OUTCOME_TRY(
     const auto header,
-    Within("max_header_bytes", absl::GetFlag(FLAGS_max_header_bytes), 1024, 1048576));
-  BOOST_OUTCOME_TRY(const auto body,
-                    Within("max_body_bytes", absl::GetFlag(FLAGS_max_body_bytes), 0, 33554432));
+    RequireInRange("max_header_bytes", absl::GetFlag(FLAGS_max_header_bytes), 1024, 1048576));
+  BOOST_OUTCOME_TRY(
+    const auto body,
+    RequireInRange("max_body_bytes", absl::GetFlag(FLAGS_max_body_bytes), 0, 33554432));
   BOOST_OUTCOME_TRY(
     const auto connections,
-    Within("max_caller_connections", absl::GetFlag(FLAGS_max_caller_connections), 1, 100000));
+    RequireInRange(
+      "max_caller_connections", absl::GetFlag(FLAGS_max_caller_connections), 1, 100000));
   limits.headerBytes_ = static_cast<std::size_t>(header);
   limits.bodyBytes_ = static_cast<std::size_t>(body);
   limits.connections_ = static_cast<std::size_t>(connections);
   BOOST_OUTCOME_TRY(
     limits.transfer_,
-    MillisecondsWithin(
+    RequireMilliseconds(
       "transfer_timeout_ms", absl::GetFlag(FLAGS_transfer_timeout_ms), 100, 600000));
   BOOST_OUTCOME_TRY(
     limits.idle_,
-    MillisecondsWithin("idle_timeout_ms", absl::GetFlag(FLAGS_idle_timeout_ms), 100, 3600000));
+    RequireMilliseconds("idle_timeout_ms", absl::GetFlag(FLAGS_idle_timeout_ms), 100, 3600000));
   BOOST_OUTCOME_TRY(
     aSettings.listPoll_,
-    MillisecondsWithin("list_poll_ms", absl::GetFlag(FLAGS_list_poll_ms), 50, 60000));
+    RequireMilliseconds("list_poll_ms", absl::GetFlag(FLAGS_list_poll_ms), 50, 60000));
   BOOST_OUTCOME_TRY(
     aSettings.drainGrace_,
-    MillisecondsWithin("drain_grace_ms", absl::GetFlag(FLAGS_drain_grace_ms), 0, 600000));
+    RequireMilliseconds("drain_grace_ms", absl::GetFlag(FLAGS_drain_grace_ms), 0, 600000));
   BOOST_OUTCOME_TRY(
     aSettings.drainTimeout_,
-    MillisecondsWithin("drain_timeout_ms", absl::GetFlag(FLAGS_drain_timeout_ms), 100, 3600000));
+    RequireMilliseconds("drain_timeout_ms", absl::GetFlag(FLAGS_drain_timeout_ms), 100, 3600000));
   return outcome::success();
 }
 
@@ -283,7 +288,7 @@
   std::vector<SettingEntry> entries;
   for (const auto& name : FlagNames()) {
     const auto* flag = absl::FindCommandLineFlag(name);
-    entries.push_back({ name, VariableOfFlag(name), flag->DefaultValue(), flag->Help() });
+    entries.push_back({ name, EnvironmentVariableOf(name), flag->DefaultValue(), flag->Help() });
   }
   return entries;
 }
@@ -298,7 +303,7 @@
   }
   DaemonSettings settings;
   BOOST_OUTCOME_TRY(ReadIdentity(settings));
-  BOOST_OUTCOME_TRY(ReadTerms(settings.timing_));
+  BOOST_OUTCOME_TRY(ReadGrantTimings(settings.timing_));
   BOOST_OUTCOME_TRY(ReadIntervals(settings.timing_));
   BOOST_OUTCOME_TRY(ReadLimits(settings));
   settings.isCheckOnly_ = absl::GetFlag(FLAGS_check_settings);
--- a/Libraries/LibDaemon/StopSequence.cpp
+++ b/Libraries/LibDaemon/StopSequence.cpp
@@ -6,14 +6,14 @@
 
 // Responses ask clients to close their connections from this time on. Earlier, many of them
 // would reconnect to this instance, because the load balancer still routes to it.
-constexpr Duration kTellClients = milliseconds(1200);
+constexpr Duration kDrainDelay = milliseconds(1200);
 // The load balancer checks every second and removes an instance after two failed checks; until
 // then, plus a margin for connections already being opened, clients still connect. After this
 // time idle connections are closed and nothing more is accepted, because a request accepted more
 // than three seconds after the start of the stop has to finish within the grace.
-constexpr Duration kBalancerNotice = milliseconds(2600);
+constexpr Duration kCloseDelay = milliseconds(2600);
 // The shutdown ends this long before the grace runs out, even with requests in flight.
-constexpr Duration kLastMoments = milliseconds(400);
+constexpr Duration kStopMargin = milliseconds(400);
 
 } // namespace
 
@@ -32,21 +32,21 @@
     return StopStage::None;
   }
   const auto past = aNow - beganAt_;
-  if (past < kTellClients) {
-    return StopStage::Unnoticed;
+  if (past < kDrainDelay) {
+    return StopStage::AwaitingBalancer;
   }
-  return past < kBalancerNotice ? StopStage::TellingClients : StopStage::Closing;
+  return past < kCloseDelay ? StopStage::Draining : StopStage::Closing;
 }
 
 bool
-StopSequence::IsOver(Instant aNow, Duration aGrace, bool aIsQuiet) const
+StopSequence::IsComplete(Instant aNow, Duration aGrace, bool aIsQuiet) const
 {
   const auto stage = StageAt(aNow);
-  if (stage == StopStage::None || stage == StopStage::Unnoticed) {
+  if (stage == StopStage::None || stage == StopStage::AwaitingBalancer) {
     return false;
   }
   const bool isDone = stage == StopStage::Closing && aIsQuiet;
-  return isDone || aNow - beganAt_ >= aGrace - kLastMoments;
+  return isDone || aNow - beganAt_ >= aGrace - kStopMargin;
 }
 
 } // namespace latchslip
--- a/Libraries/LibDaemon/StopSequence.h
+++ b/Libraries/LibDaemon/StopSequence.h
@@ -11,9 +11,9 @@
   None,
   // Readiness checks fail, but the load balancer may not have noticed: clients are served as
   // before.
-  Unnoticed,
+  AwaitingBalancer,
   // Responses ask clients to close their connections.
-  TellingClients,
+  Draining,
   // Idle connections are closed and no new connections or requests are accepted.
   Closing,
 };
@@ -30,7 +30,7 @@
   StopStage StageAt(Instant aNow) const;
   // Returns whether the shutdown is complete. aGrace is the maximum time from Begin() to the
   // end; aIsQuiet means that no request is in flight and no client is connected.
-  bool IsOver(Instant aNow, Duration aGrace, bool aIsQuiet) const;
+  bool IsComplete(Instant aNow, Duration aGrace, bool aIsQuiet) const;
 
 private:
   Instant beganAt_ = Instant::max();
--- a/Libraries/LibNet/CallerProtocol.cpp
+++ b/Libraries/LibNet/CallerProtocol.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-constexpr std::size_t kMostKeyBytes = 1024;
-constexpr std::size_t kMostRequestIdBytes = 256;
+constexpr std::size_t kMaxKeyBytes = 1024;
+constexpr std::size_t kMaxRequestIdBytes = 256;
 constexpr std::size_t kPathSegments = 5;
 
 unsigned
@@ -54,11 +54,11 @@
   if (text.empty()) {
     return kDefaultDeadline;
   }
-  const auto most = static_cast<std::uint64_t>(duration_cast<milliseconds>(kMostDeadline).count());
-  const auto number = ParseNumber(text, most + 1);
-  if (number > most) {
+  const auto max = static_cast<std::uint64_t>(duration_cast<milliseconds>(kMaxDeadline).count());
+  const auto number = ParseNumber(text, max + 1);
+  if (number > max) {
     return FieldError{ std::string(kCallerDeadlineHeader),
-                       "must be a whole number of milliseconds from 0 to " + std::to_string(most) };
+                       "must be a whole number of milliseconds from 0 to " + std::to_string(max) };
   }
   return Duration(milliseconds(number));
 }
@@ -79,13 +79,13 @@
   request.key_ = path.size() == kPathSegments ? DecodeSegment(path[4]) : "";
   request.group_ = aRequest.Header(kCallerGroupHeader);
   request.requestId_ = aRequest.Header(kCallerRequestIdHeader);
-  if (request.key_.empty() || request.key_.size() > kMostKeyBytes) {
+  if (request.key_.empty() || request.key_.size() > kMaxKeyBytes) {
     return FieldError{ "key", "must have 1 to 1024 bytes" };
   }
   if (request.group_.empty()) {
     return FieldError{ std::string(kCallerGroupHeader), "is missing" };
   }
-  if (request.requestId_.size() > kMostRequestIdBytes) {
+  if (request.requestId_.size() > kMaxRequestIdBytes) {
     return FieldError{ std::string(kCallerRequestIdHeader), "must have at most 256 bytes" };
   }
   BOOST_OUTCOME_TRY(request.isRepeatable_, ParseRepeatable(aRequest));
--- a/Libraries/LibNet/CallerProtocol.h
+++ b/Libraries/LibNet/CallerProtocol.h
@@ -19,7 +19,7 @@
 
 // Applied to requests without a deadline header.
 inline constexpr Duration kDefaultDeadline = seconds(5);
-inline constexpr Duration kMostDeadline = seconds(120);
+inline constexpr Duration kMaxDeadline = seconds(120);
 
 // Parses a caller's request; an error names the header or the part of the path.
 FieldResult<WorkRequest>
--- a/Libraries/LibNet/DueTimer.cpp
+++ b/Libraries/LibNet/DeadlineTimer.cpp
@@ -1,10 +1,10 @@
-#include "LibNet/DueTimer.h"
+#include "LibNet/DeadlineTimer.h"
 
 #include "LibNet/MonotonicClock.h"
 
 namespace latchslip {
 
-DueTimer::DueTimer(boost::asio::io_context& aContext, NextTime aNextTime, OnTime aOnTime)
+DeadlineTimer::DeadlineTimer(boost::asio::io_context& aContext, NextTime aNextTime, OnTime aOnTime)
   : nextTime_(std::move(aNextTime))
   , onTime_(std::move(aOnTime))
   , timer_(aContext)
@@ -12,7 +12,7 @@
 }
 
 void
-DueTimer::Arm()
+DeadlineTimer::Arm()
 {
   const auto next = nextTime_();
   if (!next || *next >= armedFor_) {
--- a/Libraries/LibNet/DueTimer.h
+++ b/Libraries/LibNet/DeadlineTimer.h
@@ -12,13 +12,13 @@
 // Timer for a component that computes its own next deadline: calls aOnTime when the time given
 // by aNextTime has come, then re-arms itself. It is only re-armed for an earlier deadline, never
 // for a later one, because an early call is harmless.
-class DueTimer
+class DeadlineTimer
 {
 public:
   using NextTime = std::function<std::optional<Instant>()>;
   using OnTime = std::function<void(Instant aNow)>;
 
-  DueTimer(boost::asio::io_context& aContext, NextTime aNextTime, OnTime aOnTime);
+  DeadlineTimer(boost::asio::io_context& aContext, NextTime aNextTime, OnTime aOnTime);
 
   // Re-reads the next deadline. Call after each change to the component from outside.
   void Arm();
--- a/Libraries/LibNet/Deflate.cpp
+++ b/Libraries/LibNet/Deflate.cpp
@@ -67,14 +67,15 @@
 }
 
 FieldResult<std::string>
-Inflate(std::string_view aBytes, std::size_t aMost)
+Inflate(std::string_view aBytes, std::size_t aMaxBytes)
 {
   InflateStream stream(aBytes);
   std::string text;
   while (true) {
     const auto code = stream.Step(text);
-    if (text.size() > aMost) {
-      return FieldError{ "deflated text", "is longer than " + std::to_string(aMost) + " bytes" };
+    if (text.size() > aMaxBytes) {
+      return FieldError{ "deflated text",
+                         "is longer than " + std::to_string(aMaxBytes) + " bytes" };
     }
     if (code == Z_STREAM_END) {
       return text;
--- a/Libraries/LibNet/Deflate.h
+++ b/Libraries/LibNet/Deflate.h
@@ -14,8 +14,8 @@
 Deflate(std::string_view aText);
 
 // Decompresses the output of Deflate(). Fails if the bytes are truncated or malformed, or if
-// the text would exceed aMost bytes.
+// the text would be longer than aMaxBytes.
 FieldResult<std::string>
-Inflate(std::string_view aBytes, std::size_t aMost);
+Inflate(std::string_view aBytes, std::size_t aMaxBytes);
 
 } // namespace latchslip
--- a/Libraries/LibNet/FrameStream.cpp
+++ b/Libraries/LibNet/FrameStream.cpp
@@ -12,15 +12,15 @@
 using boost::system::error_code;
 using tcp = asio::ip::tcp;
 
-constexpr std::size_t kMostMessageBytes = 48ULL * 1024 * 1024;
+constexpr std::size_t kMaxMessageBytes = 48ULL * 1024 * 1024;
 // A peer that does not read is disconnected when this many bytes are queued.
-constexpr std::size_t kMostQueuedBytes = 128ULL * 1024 * 1024;
+constexpr std::size_t kMaxQueuedBytes = 128ULL * 1024 * 1024;
 constexpr std::size_t kWord = sizeof(std::uint64_t);
 
 } // namespace
 
 WireBytes
-FrameOf(std::span<const std::uint8_t> aMessage)
+MakeFrame(std::span<const std::uint8_t> aMessage)
 {
   WireBytes frame(kFrameHeaderBytes + aMessage.size(), 0);
   const auto size = static_cast<std::uint32_t>(aMessage.size());
@@ -53,7 +53,7 @@
   const auto size = aFrame.size();
   queuedBytes_ += size;
   queue_.push_back(std::move(aFrame));
-  if (queuedBytes_ > kMostQueuedBytes) {
+  if (queuedBytes_ > kMaxQueuedBytes) {
     Close("the peer does not read");
   } else if (!isWriting_) {
     Write();
@@ -98,7 +98,7 @@
   }
   std::uint32_t size = 0;
   std::memcpy(&size, header_.data(), sizeof(size));
-  if (size > kMostMessageBytes || size % kWord != 0) {
+  if (size > kMaxMessageBytes || size % kWord != 0) {
     Close("a frame of an impossible size");
     return;
   }
--- a/Libraries/LibNet/FrameStream.h
+++ b/Libraries/LibNet/FrameStream.h
@@ -21,7 +21,7 @@
 
 // Prepends the frame header to a message, whose size must be a multiple of 8.
 WireBytes
-FrameOf(std::span<const std::uint8_t> aMessage);
+MakeFrame(std::span<const std::uint8_t> aMessage);
 
 // Length-prefixed messages over one TCP connection. Received messages are aligned to 8 bytes.
 // Sends are queued without waiting; a peer that lets the queue grow beyond 128 MB is
--- a/Libraries/LibNet/HttpClient.cpp
+++ b/Libraries/LibNet/HttpClient.cpp
@@ -18,9 +18,9 @@
 class BeastHttpClient : public HttpClient
 {
 public:
-  BeastHttpClient(asio::io_context& aContext, std::size_t aMostConnections)
+  BeastHttpClient(asio::io_context& aContext, std::size_t aMaxConnections)
     : context_(aContext)
-    , mostConnections_(aMostConnections)
+    , mostConnections_(aMaxConnections)
   {
   }
 
@@ -139,9 +139,9 @@
 } // namespace
 
 std::unique_ptr<HttpClient>
-HttpClient::Create(asio::io_context& aContext, std::size_t aMostConnections)
+HttpClient::Create(asio::io_context& aContext, std::size_t aMaxConnections)
 {
-  return std::make_unique<BeastHttpClient>(aContext, aMostConnections);
+  return std::make_unique<BeastHttpClient>(aContext, aMaxConnections);
 }
 
 } // namespace latchslip
--- a/Libraries/LibNet/HttpClient.h
+++ b/Libraries/LibNet/HttpClient.h
@@ -46,7 +46,7 @@
   // afterwards. Use a short time for exchanges whose outcome must be known: if the server
   // closes an idle connection just as the next request is sent, it is unknown whether that
   // request ran.
-  Duration mostIdle_ = Duration::max();
+  Duration maxIdleTime_ = Duration::max();
   // Name of a header whose value a response must copy from the request. Responses with another
   // value belong to earlier requests and are skipped. Empty: not checked.
   std::string echoHeader_;
@@ -58,9 +58,9 @@
 class HttpClient
 {
 public:
-  // aMostConnections is the maximum number of open connections per address.
+  // aMaxConnections is the maximum number of open connections per address.
   static std::unique_ptr<HttpClient> Create(boost::asio::io_context& aContext,
-                                            std::size_t aMostConnections);
+                                            std::size_t aMaxConnections);
   virtual ~HttpClient() = default;
 
   // Starts an exchange. The callback is called exactly once, within the timeout and never from
--- a/Libraries/LibNet/HttpConnection.cpp
+++ b/Libraries/LibNet/HttpConnection.cpp
@@ -16,11 +16,11 @@
 
 namespace {
 
-constexpr std::uint64_t kMostAnswerBytes = 64ULL * 1024 * 1024;
+constexpr std::uint64_t kMaxResponseBytes = 64ULL * 1024 * 1024;
 // Maximum idle time of connections whose server sends no timeout in a Keep-Alive header.
 // NOTE: The header has whole seconds, so a server that sends none may time out in less than one
 // second.
-constexpr Duration kUnnamedIdle = milliseconds(900);
+constexpr Duration kDefaultIdleTime = milliseconds(900);
 // A connection is retired this long before its server closes it. If a request crosses the close
 // on the wire, it is unknown whether it ran.
 constexpr Duration kIdleMargin = milliseconds(500);
@@ -28,12 +28,12 @@
 // Returns how long a connection may be reused, by the seconds of "timeout=5" in a Keep-Alive
 // header.
 Duration
-IdleTimeOf(std::string_view aKeepAlive)
+ParseIdleTime(std::string_view aKeepAlive)
 {
   constexpr std::string_view kName = "timeout=";
   const auto at = aKeepAlive.find(kName);
   if (at == std::string_view::npos) {
-    return kUnnamedIdle;
+    return kDefaultIdleTime;
   }
   int named = 0;
   const auto digits = aKeepAlive.substr(at + kName.size());
@@ -74,7 +74,7 @@
                       HttpCallback aCallback)
 {
   callback_ = std::move(aCallback);
-  mostIdle_ = aOptions.mostIdle_;
+  maxIdleTime_ = aOptions.maxIdleTime_;
   isReusable_ = true;
   echoHeader_ = aOptions.echoHeader_;
   echoValue_ = echoHeader_.empty() ? std::string() : std::string(aRequest.Header(echoHeader_));
@@ -169,7 +169,7 @@
 HttpConnection::Read()
 {
   parser_.emplace();
-  parser_->body_limit(kMostAnswerBytes);
+  parser_->body_limit(kMaxResponseBytes);
   http::async_read(
     stream_, buffer_, *parser_, [self = shared_from_this()](error_code aFailure, std::size_t) {
       self->OnRead(aFailure);
@@ -194,7 +194,8 @@
   stream_.expires_never();
   // A connection with unsolicited bytes after the response is not reused.
   if (message.keep_alive() && buffer_.size() == 0 && isReusable_) {
-    idleUntil_ = MonotonicNow() + std::min(mostIdle_, IdleTimeOf(message[http::field::keep_alive]));
+    idleUntil_ =
+      MonotonicNow() + std::min(maxIdleTime_, ParseIdleTime(message[http::field::keep_alive]));
     pool_->idle_.push_back(shared_from_this());
   } else {
     stream_.close();
--- a/Libraries/LibNet/HttpConnection.h
+++ b/Libraries/LibNet/HttpConnection.h
@@ -77,7 +77,7 @@
   Instant idleUntil_{ 0 };
   bool isConnected_ = false;
   // See ExchangeOptions.
-  Duration mostIdle_ = Duration::max();
+  Duration maxIdleTime_ = Duration::max();
   bool isReusable_ = true;
 };
 
--- a/Libraries/LibNet/HttpServer.cpp
+++ b/Libraries/LibNet/HttpServer.cpp
@@ -17,7 +17,7 @@
 using tcp = asio::ip::tcp;
 
 // Maximum interval of the check for connections that exceed the idle timeout.
-constexpr Duration kIdleCheck = seconds(1);
+constexpr Duration kIdleCheckInterval = seconds(1);
 
 class BeastHttpServer : public HttpServer
 {
@@ -65,7 +65,7 @@
   void Serve(tcp::socket aSocket)
   {
     // Above the limit a new connection is closed immediately rather than queued.
-    if (listener_->sessions_.size() >= listener_->limits_.connections_ && !CloseLongestIdle()) {
+    if (listener_->sessions_.size() >= listener_->limits_.connections_ && !CloseOldestIdle()) {
       return;
     }
     error_code ignored;
@@ -77,7 +77,7 @@
   // Closes the connection that has been idle longest, to make room for a new one. Returns false
   // if all carry requests. Without this, refused clients that reconnect and leave their former
   // connections idle would use up the limit, and their new connections would be closed.
-  bool CloseLongestIdle()
+  bool CloseOldestIdle()
   {
     const auto& idle = listener_->idle_;
     for (auto next = idle.begin(); next != idle.end();) {
@@ -96,7 +96,7 @@
       return;
     }
     isIdleTimerArmed_ = true;
-    idleTimer_.expires_after(std::min<Duration>(listener_->limits_.idle_, kIdleCheck));
+    idleTimer_.expires_after(std::min<Duration>(listener_->limits_.idle_, kIdleCheckInterval));
     idleTimer_.async_wait([this](error_code aError) {
       if (aError) {
         return;
--- a/Libraries/LibNet/HttpServer.h
+++ b/Libraries/LibNet/HttpServer.h
@@ -34,7 +34,7 @@
   virtual void OnRequest(std::uint64_t aId, HttpRequest aRequest, HttpResponder aRespond) = 0;
 
   // The client closed its connection before request aId was answered.
-  virtual void OnGone(std::uint64_t aId) = 0;
+  virtual void OnClientDisconnected(std::uint64_t aId) = 0;
 };
 
 // An HTTP/1.1 listener on one IP number and port.
--- a/Libraries/LibNet/HttpSession.cpp
+++ b/Libraries/LibNet/HttpSession.cpp
@@ -20,9 +20,9 @@
 
 // Maximum number of pipelined requests of one connection in progress. Clients wait one second
 // for a response to start, and few pipeline more requests.
-constexpr std::size_t kMostAhead = 8;
+constexpr std::size_t kMaxPipelined = 8;
 // Time for which unread bytes are read and discarded after the last response.
-constexpr Duration kDropTime = milliseconds(300);
+constexpr Duration kDiscardTimeout = milliseconds(300);
 
 std::string
 ErrorBody(std::string_view aField, std::string_view aProblem)
@@ -52,9 +52,10 @@
   if (aError == beast::error::timeout) {
     return RequestProblem{ 408, "request", "did not arrive in time" };
   }
-  const bool isOfHttp =
+  const bool isHttpError =
     aError.category() == http::make_error_code(http::error::end_of_stream).category();
-  if (!isOfHttp || aError == http::error::end_of_stream || aError == http::error::partial_message) {
+  if (!isHttpError || aError == http::error::end_of_stream ||
+      aError == http::error::partial_message) {
     return std::nullopt;
   }
   return RequestProblem{ 400, "request", "is not valid HTTP/1.1" };
@@ -126,9 +127,9 @@
 }
 
 bool
-HttpSession::MayRead() const
+HttpSession::CanRead() const
 {
-  if (isClosed_ || isReading_ || hasReadLast_ || held_) {
+  if (isClosed_ || isReading_ || hasReadLast_ || deferred_) {
     return false;
   }
   if (exchanges_.empty()) {
@@ -137,19 +138,19 @@
   const bool areSafe = std::all_of(exchanges_.begin(),
                                    exchanges_.end(),
                                    [](const Exchange& aExchange) { return aExchange.isSafe_; });
-  return areSafe && exchanges_.size() < kMostAhead && !listener_->isDraining_;
+  return areSafe && exchanges_.size() < kMaxPipelined && !listener_->isDraining_;
 }
 
 void
 HttpSession::Advance()
 {
-  if (held_ && exchanges_.empty()) {
-    auto [exchange, request] = std::move(*held_);
-    held_.reset();
+  if (deferred_ && exchanges_.empty()) {
+    auto [exchange, request] = std::move(*deferred_);
+    deferred_.reset();
     Begin(std::move(exchange), std::move(request));
     return;
   }
-  if (MayRead() && buffer_.size() > 0) {
+  if (CanRead() && buffer_.size() > 0) {
     ReadRequest();
     return;
   }
@@ -168,7 +169,7 @@
     return;
   }
   // Unread bytes that must not be read yet would end the wait immediately and cause a busy loop.
-  if (!MayRead() && HasUnreadBytes()) {
+  if (!CanRead() && HasUnreadBytes()) {
     return;
   }
   isWatching_ = true;
@@ -188,7 +189,7 @@
     Abandon();
     return;
   }
-  if (MayRead()) {
+  if (CanRead()) {
     ReadRequest();
   }
 }
@@ -216,7 +217,7 @@
     return;
   }
   if (aError) {
-    RefuseUnreadable(aError);
+    RejectMalformed(aError);
     return;
   }
   auto message = parser_->release();
@@ -227,7 +228,7 @@
   hasReadLast_ = !exchange.keepsAlive_;
   auto request = TakeRequest(message);
   if (!exchange.isSafe_ && !exchanges_.empty()) {
-    held_.emplace(std::move(exchange), std::move(request));
+    deferred_.emplace(std::move(exchange), std::move(request));
     Watch();
     return;
   }
@@ -247,7 +248,7 @@
 }
 
 void
-HttpSession::RefuseUnreadable(error_code aError)
+HttpSession::RejectMalformed(error_code aError)
 {
   const auto problem = ProblemOf(aError);
   if (!problem) {
@@ -325,7 +326,7 @@
     return false;
   }
   // A draining connection closes only after all requests read so far are answered.
-  const bool isLast = exchanges_.size() == 1 && !held_ && !isReading_;
+  const bool isLast = exchanges_.size() == 1 && !deferred_ && !isReading_;
   return !(listener_->isDraining_ && isLast);
 }
 
@@ -373,11 +374,11 @@
 HttpSession::Abandon()
 {
   auto unanswered = std::exchange(exchanges_, {});
-  held_.reset();
+  deferred_.reset();
   Close();
   for (const auto& exchange : unanswered) {
     if (!exchange.answer_) {
-      listener_->handler_.OnGone(exchange.id_);
+      listener_->handler_.OnClientDisconnected(exchange.id_);
     }
   }
 }
@@ -390,15 +391,15 @@
   error_code ignored;
   stream_.socket().shutdown(tcp::socket::shutdown_send, ignored);
   if (!isReading_ && HasUnreadBytes()) {
-    stream_.expires_after(kDropTime);
-    DropUnread();
+    stream_.expires_after(kDiscardTimeout);
+    DiscardUnread();
     return;
   }
   stream_.close();
 }
 
 void
-HttpSession::DropUnread()
+HttpSession::DiscardUnread()
 {
   buffer_.clear();
   stream_.async_read_some(buffer_.prepare(kReadBuffer),
@@ -406,7 +407,7 @@
                             if (aError) {
                               self->stream_.close();
                             } else {
-                              self->DropUnread();
+                              self->DiscardUnread();
                             }
                           });
 }
--- a/Libraries/LibNet/HttpSession.h
+++ b/Libraries/LibNet/HttpSession.h
@@ -70,8 +70,8 @@
   void BeginIdle();
   void EndIdle();
   // Returns whether one more request may be read now.
-  bool MayRead() const;
-  // Starts the held request or reads the next one, if allowed now; otherwise waits for bytes.
+  bool CanRead() const;
+  // Starts the deferred request or reads the next one, if allowed now; otherwise waits for bytes.
   void Advance();
   // Waits until the socket is readable or closed by the peer, without reading.
   void Watch();
@@ -81,7 +81,7 @@
   // Passes the request to the handler.
   void Begin(Exchange aExchange, HttpRequest aRequest);
   // Responds to a malformed, too large or late request, unless the connection has failed.
-  void RefuseUnreadable(boost::system::error_code aError);
+  void RejectMalformed(boost::system::error_code aError);
   bool HasUnreadBytes();
   bool IsClosedByPeer();
   void Respond(std::uint64_t aId, HttpResponse aResponse);
@@ -96,7 +96,7 @@
   void Close();
   // Reads and discards what the client has already sent. Closing a socket with unread bytes
   // resets the connection, and the client may lose the last response.
-  void DropUnread();
+  void DiscardUnread();
 
   boost::beast::tcp_stream stream_;
   boost::beast::flat_buffer buffer_;
@@ -106,8 +106,8 @@
   std::shared_ptr<const std::string> body_;
   // In the order of arrival.
   std::deque<Exchange> exchanges_;
-  // A request with an unsafe method, held back until all requests before it are answered.
-  std::optional<std::pair<Exchange, HttpRequest>> held_;
+  // A request with an unsafe method, deferred until all requests before it are answered.
+  std::optional<std::pair<Exchange, HttpRequest>> deferred_;
   bool isWatching_ = false;
   bool isReading_ = false;
   bool isWriting_ = false;
--- a/Libraries/LibNet/PeerCodec.cpp
+++ b/Libraries/LibNet/PeerCodec.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr std::uint64_t kMostWords = 8ULL * 1024 * 1024;
+constexpr std::uint64_t kMaxWords = 8ULL * 1024 * 1024;
 
 kj::ArrayPtr<const kj::byte>
 ToData(std::string_view aText)
@@ -312,7 +312,7 @@
   capnp::MallocMessageBuilder builder;
   auto root = builder.initRoot<wire::Message>();
   std::visit([&](const auto& aBody) { Write(root, aBody); }, aMessage);
-  return FrameOfMessage(builder);
+  return MakeMessageFrame(builder);
 }
 
 CodecResult<WireMessage>
@@ -320,7 +320,7 @@
 {
   return ReadMessage<wire::Message>(
     aBytes,
-    kMostWords,
+    kMaxWords,
     [](wire::Message::Reader aRoot) { return Read(aRoot); },
     [](const std::string& aProblem) { return CodecError{ "message: " + aProblem }; });
 }
--- a/Libraries/LibNet/PeerNetwork.cpp
+++ b/Libraries/LibNet/PeerNetwork.cpp
@@ -19,8 +19,8 @@
 using boost::system::error_code;
 using tcp = asio::ip::tcp;
 
-constexpr Duration kDialPause = milliseconds(200);
-constexpr Duration kHandshakeLimit = seconds(2);
+constexpr Duration kRedialDelay = milliseconds(200);
+constexpr Duration kHandshakeTimeout = seconds(2);
 
 // Returns a frame handler that decodes messages; a malformed message closes the stream.
 FrameStream::FrameFunction
@@ -61,10 +61,10 @@
     }
     auto socket = std::make_shared<tcp::socket>(context_);
     ++attempt_;
-    BoundHandshake(socket);
+    StartHandshakeTimer(socket);
     socket->async_connect(endpoint.value(), [self = shared_from_this(), socket](error_code aError) {
       if (aError || self->isStopped_) {
-        self->DialLater();
+        self->ScheduleRedial();
         return;
       }
       self->OnConnected(std::move(*socket));
@@ -88,9 +88,9 @@
 private:
   // Bounds connecting and the handshake. Without it an address that drops packets would block the
   // link from being redialled.
-  void BoundHandshake(const std::shared_ptr<tcp::socket>& aSocket)
+  void StartHandshakeTimer(const std::shared_ptr<tcp::socket>& aSocket)
   {
-    timer_.expires_after(kHandshakeLimit);
+    timer_.expires_after(kHandshakeTimeout);
     timer_.async_wait([self = shared_from_this(), aSocket, attempt = attempt_](error_code aError) {
       if (aError || self->isUp_ || attempt != self->attempt_) {
         return;
@@ -103,12 +103,12 @@
     });
   }
 
-  void DialLater()
+  void ScheduleRedial()
   {
     if (isStopped_) {
       return;
     }
-    timer_.expires_after(kDialPause);
+    timer_.expires_after(kRedialDelay);
     timer_.async_wait([self = shared_from_this()](error_code aError) {
       if (!aError) {
         self->Dial();
@@ -158,7 +158,7 @@
     if (std::exchange(isUp_, false)) {
       handler_.OnPeerDown(peer_);
     }
-    DialLater();
+    ScheduleRedial();
   }
 
   asio::io_context& context_;
@@ -206,11 +206,11 @@
       return;
     }
     const auto* hello = std::get_if<PeerHello>(&aMessage);
-    const bool isProved =
+    const bool isProven =
       hello != nullptr &&
       IsProofValid(ComputeProof(settings_.secret_, PeerRole::Dialler, challenge_, *hello),
                    hello->proof_);
-    if (!isProved) {
+    if (!isProven) {
       handler_.OnPeerRefused(stream_->RemoteAddress(), "its proof does not fit the fleet's secret");
       stream_->Close("refused");
       return;
--- a/Libraries/LibNet/PermitCodec.cpp
+++ b/Libraries/LibNet/PermitCodec.cpp
@@ -10,23 +10,23 @@
 namespace {
 
 // Traversal limit for a malicious or corrupt batch; a valid batch has a few kilobytes.
-constexpr std::uint64_t kMostWords = 1024ULL * 1024;
+constexpr std::uint64_t kMaxWords = 1024ULL * 1024;
 
 void
-Write(wire::ToDispatcher::Builder aOut, const PermitAsk& aAsk)
+Write(wire::ToDispatcher::Builder aOut, const PermitAsk& aRequest)
 {
   auto out = aOut.initAsk();
-  out.setNumber(aAsk.number_);
-  out.setService(ToText(aAsk.service_));
-  out.setServer(ToText(aAsk.server_));
-  out.setHall(ToText(aAsk.hall_));
-  auto tried = out.initTried(static_cast<unsigned>(aAsk.tried_.size()));
+  out.setNumber(aRequest.number_);
+  out.setService(ToText(aRequest.service_));
+  out.setServer(ToText(aRequest.server_));
+  out.setHall(ToText(aRequest.hall_));
+  auto tried = out.initTried(static_cast<unsigned>(aRequest.tried_.size()));
   for (unsigned index = 0; index < tried.size(); ++index) {
-    tried.set(index, ToText(aAsk.tried_[index]));
+    tried.set(index, ToText(aRequest.tried_[index]));
   }
-  out.setPriority(aAsk.priority_);
-  out.setInTimeMicros(aAsk.inTime_.count());
-  out.setTimeLeftMicros(aAsk.timeLeft_.count());
+  out.setPriority(aRequest.priority_);
+  out.setInTimeMicros(aRequest.inTime_.count());
+  out.setTimeLeftMicros(aRequest.timeLeft_.count());
 }
 
 void
@@ -104,18 +104,18 @@
 PermitAsk
 Read(wire::PermitAsk::Reader aIn)
 {
-  PermitAsk ask;
-  ask.number_ = aIn.getNumber();
-  ask.service_ = FromText(aIn.getService());
-  ask.server_ = FromText(aIn.getServer());
-  ask.hall_ = FromText(aIn.getHall());
+  PermitAsk request;
+  request.number_ = aIn.getNumber();
+  request.service_ = FromText(aIn.getService());
+  request.server_ = FromText(aIn.getServer());
+  request.hall_ = FromText(aIn.getHall());
   for (const auto server : aIn.getTried()) {
-    ask.tried_.push_back(FromText(server));
+    request.tried_.push_back(FromText(server));
   }
-  ask.priority_ = aIn.getPriority();
-  ask.inTime_ = Duration(aIn.getInTimeMicros());
-  ask.timeLeft_ = Duration(aIn.getTimeLeftMicros());
-  return ask;
+  request.priority_ = aIn.getPriority();
+  request.inTime_ = Duration(aIn.getInTimeMicros());
+  request.timeLeft_ = Duration(aIn.getTimeLeftMicros());
+  return request;
 }
 
 SendNotice
@@ -220,7 +220,7 @@
     std::visit([&](const auto& aBody) { Write(from[index], aBody); },
                aBatch.fromDispatcher_[index]);
   }
-  return FrameOfMessage(builder);
+  return MakeMessageFrame(builder);
 }
 
 FieldResult<PermitBatch>
@@ -228,7 +228,7 @@
 {
   return ReadMessage<wire::PermitBatch>(
     aBytes,
-    kMostWords,
+    kMaxWords,
     [](wire::PermitBatch::Reader aRoot) { return Read(aRoot); },
     [](const std::string& aProblem) {
       return FieldError{ "message", aProblem };
--- a/Libraries/LibNet/ServerProtocol.cpp
+++ b/Libraries/LibNet/ServerProtocol.cpp
@@ -34,21 +34,21 @@
 }
 
 HttpRequest
-MakeGrantRequest(const GrantOrder& aOrder)
+MakeGrantRequest(const GrantOrder& aCommand)
 {
   boost::json::array ranges;
-  for (const auto& [first, last] : aOrder.ranges_) {
+  for (const auto& [first, last] : aCommand.ranges_) {
     ranges.push_back(boost::json::array{ std::to_string(first), std::to_string(last) });
   }
   HttpRequest request;
   request.method_ = "POST";
   request.target_ = "/grant";
   request.body_ = std::make_shared<const std::string>(boost::json::serialize(
-    boost::json::object{ { "service", aOrder.service_ },
-                         { "fence", std::to_string(aOrder.fence_) },
-                         { "generation", std::to_string(aOrder.generation_) },
-                         { "boot", std::to_string(aOrder.bootId_) },
-                         { "valid_until", std::to_string(aOrder.validUntil_) },
+    boost::json::object{ { "service", aCommand.service_ },
+                         { "fence", std::to_string(aCommand.fence_) },
+                         { "generation", std::to_string(aCommand.generation_) },
+                         { "boot", std::to_string(aCommand.bootId_) },
+                         { "valid_until", std::to_string(aCommand.validUntil_) },
                          { "ranges", std::move(ranges) } }));
   return request;
 }
@@ -58,12 +58,12 @@
 {
   BOOST_OUTCOME_TRY(const auto value, ParseJson(aBody, "grant"));
   BOOST_OUTCOME_TRY(const auto reader, JsonReader::Create(value, ""));
-  GrantOrder order;
-  BOOST_OUTCOME_TRY(order.fence_, ReadNumber(reader, "fence"));
-  BOOST_OUTCOME_TRY(order.generation_, ReadNumber(reader, "generation"));
-  BOOST_OUTCOME_TRY(order.bootId_, ReadNumber(reader, "boot"));
+  GrantOrder command;
+  BOOST_OUTCOME_TRY(command.fence_, ReadNumber(reader, "fence"));
+  BOOST_OUTCOME_TRY(command.generation_, ReadNumber(reader, "generation"));
+  BOOST_OUTCOME_TRY(command.bootId_, ReadNumber(reader, "boot"));
   BOOST_OUTCOME_TRY(const auto until, ReadNumber(reader, "valid_until"));
-  order.validUntil_ = static_cast<std::int64_t>(until);
+  command.validUntil_ = static_cast<std::int64_t>(until);
   BOOST_OUTCOME_TRY(const auto* ranges, reader.List("ranges"));
   for (const auto& entry : *ranges) {
     const bool isPair = entry.is_array() && entry.get_array().size() == 2 &&
@@ -71,10 +71,10 @@
     if (!isPair) {
       return FieldError{ "ranges", "must hold pairs of numbers written as text" };
     }
-    order.ranges_.emplace_back(ParseNumber(entry.get_array()[0].get_string(), 0),
-                               ParseNumber(entry.get_array()[1].get_string(), 0));
+    command.ranges_.emplace_back(ParseNumber(entry.get_array()[0].get_string(), 0),
+                                 ParseNumber(entry.get_array()[1].get_string(), 0));
   }
-  return order;
+  return command;
 }
 
 std::string
@@ -110,27 +110,27 @@
 }
 
 HttpRequest
-MakeWorkRequest(const WorkOrder& aOrder)
+MakeWorkRequest(const WorkOrder& aCommand)
 {
   HttpRequest request;
   request.method_ = "POST";
-  request.target_ = "/work/" + EncodeSegment(aOrder.request_.key_);
-  request.headers_ = { { std::string(kFenceHeader), std::to_string(aOrder.fence_) },
-                       { std::string(kWorkHeader), std::to_string(aOrder.id_) },
-                       { std::string(kValidUntilHeader), std::to_string(aOrder.validUntil_) },
-                       { std::string(kGroupHeader), aOrder.request_.group_ } };
-  if (!aOrder.request_.requestId_.empty()) {
-    request.headers_.emplace_back(std::string(kRequestIdHeader), aOrder.request_.requestId_);
+  request.target_ = "/work/" + EncodeSegment(aCommand.request_.key_);
+  request.headers_ = { { std::string(kFenceHeader), std::to_string(aCommand.fence_) },
+                       { std::string(kWorkHeader), std::to_string(aCommand.id_) },
+                       { std::string(kValidUntilHeader), std::to_string(aCommand.validUntil_) },
+                       { std::string(kGroupHeader), aCommand.request_.group_ } };
+  if (!aCommand.request_.requestId_.empty()) {
+    request.headers_.emplace_back(std::string(kRequestIdHeader), aCommand.request_.requestId_);
   }
-  request.body_ = aOrder.request_.body_;
+  request.body_ = aCommand.request_.body_;
   return request;
 }
 
 WorkReply
-ToWorkReply(const WorkOrder& aOrder, const HttpResponse& aResponse)
+ToWorkReply(const WorkOrder& aCommand, const HttpResponse& aResponse)
 {
   WorkReply reply;
-  if (aResponse.Header(kWorkHeader) != std::to_string(aOrder.id_)) {
+  if (aResponse.Header(kWorkHeader) != std::to_string(aCommand.id_)) {
     // The response belongs to another request and must not reach this caller.
     reply.end_ = WorkEnd::Broken;
     return reply;
--- a/Libraries/LibNet/ServerProtocol.h
+++ b/Libraries/LibNet/ServerProtocol.h
@@ -24,7 +24,7 @@
 inline constexpr std::string_view kRetryAfterHeader = "Latchslip-Retry-After-Ms";
 
 HttpRequest
-MakeGrantRequest(const GrantOrder& aOrder);
+MakeGrantRequest(const GrantOrder& aCommand);
 FieldResult<GrantOrder>
 ParseGrantRequest(std::string_view aBody);
 std::string
@@ -33,10 +33,10 @@
 ParseGrantReply(std::string_view aBody);
 
 HttpRequest
-MakeWorkRequest(const WorkOrder& aOrder);
+MakeWorkRequest(const WorkOrder& aCommand);
 // Interprets a server's response. A response with another work id counts as Broken.
 WorkReply
-ToWorkReply(const WorkOrder& aOrder, const HttpResponse& aResponse);
+ToWorkReply(const WorkOrder& aCommand, const HttpResponse& aResponse);
 
 // Parses an unsigned decimal number; returns aDefault if the text is anything else.
 std::uint64_t
--- a/Services/StandInPlatform/main.cpp
+++ b/Services/StandInPlatform/main.cpp
@@ -60,7 +60,7 @@
     }
   }
 
-  void OnGone(std::uint64_t) override {}
+  void OnClientDisconnected(std::uint64_t) override {}
 
 private:
   void After(Duration aDelay, std::function<void()> aAction)
--- a/Services/StandInServer/main.cpp
+++ b/Services/StandInServer/main.cpp
@@ -80,7 +80,7 @@
   }
 
   // Nobody waits for the answer any more; the work goes on.
-  void OnGone(std::uint64_t aId) override
+  void OnClientDisconnected(std::uint64_t aId) override
   {
     const auto found = workOfRequest_.find(aId);
     if (found != workOfRequest_.end()) {
--- a/Tests/LatchslipLoad/TestLoadRun.cpp
+++ b/Tests/LatchslipLoad/TestLoadRun.cpp
@@ -23,7 +23,7 @@
     response.headers_.emplace_back(kOutcomeHeader, "answered");
     aRespond(std::move(response));
   }
-  void OnGone(std::uint64_t) override {}
+  void OnClientDisconnected(std::uint64_t) override {}
 };
 
 // Four targets on loopback of which one has stopped listening.
--- a/Tests/LibDaemon/TestDocuments.cpp
+++ b/Tests/LibDaemon/TestDocuments.cpp
@@ -123,7 +123,7 @@
   std::set<std::string> set_;
 };
 
-TEST_F(SettingsFromEnvironment, AllAreGood_Accepted)
+TEST_F(SettingsFromEnvironment, AllValid_IsAccepted)
 {
   EXPECT_EQ(ReadField(), "");
 }
@@ -134,7 +134,7 @@
   EXPECT_EQ(ReadField(), "--peer_address");
 }
 
-TEST_F(SettingsFromEnvironment, NumberIsNoNumber_ErrorNamesTheVariable)
+TEST_F(SettingsFromEnvironment, NumberIsMalformed_ErrorNamesTheVariable)
 {
   Set("GRANT_TERM_MS", "soon");
   EXPECT_EQ(ReadField(), "LATCHSLIP_GRANT_TERM_MS");
@@ -150,7 +150,7 @@
   EXPECT_EQ(ReadField(), "");
 }
 
-TEST_F(SettingsFromEnvironment, TwoTermsDoNotFit_ErrorNamesOne)
+TEST_F(SettingsFromEnvironment, RenewalTooCloseToTerm_ErrorNamesTheFlag)
 {
   Set("GRANT_RENEW_MS", "400");
   EXPECT_EQ(ReadField(), "--grant_renew_ms");
--- a/Tests/LibNet/TestCodec.cpp
+++ b/Tests/LibNet/TestCodec.cpp
@@ -102,7 +102,7 @@
   EXPECT_LE(wire.size(), 72U);
 }
 
-TEST(PeerCodec, BytesAreGarbage_ErrorAndNoCrash)
+TEST(PeerCodec, RandomBytes_AreRejectedWithoutCrash)
 {
   std::mt19937_64 random(3);
   for (int round = 0; round < 2000; ++round) {
@@ -115,7 +115,7 @@
   }
 }
 
-TEST(PeerCodec, MessageIsCutOff_ErrorOrCompleteButNeverACrash)
+TEST(PeerCodec, TruncatedMessage_IsRejected)
 {
   const auto wire = EncodeWire(PeerMessage(ViewRows{ { { "config", 3, std::string(100, 'x') } } }));
   std::vector<std::uint64_t> words((wire.size() - kFrameHeaderBytes) / 8 / 2);
--- a/Tests/LibNet/TestPermitCodec.cpp
+++ b/Tests/LibNet/TestPermitCodec.cpp
@@ -18,7 +18,7 @@
     { reinterpret_cast<const std::uint8_t*>(words.data()), words.size() * 8 });
 }
 
-TEST(PermitCodec, EveryMessage_IsReadAsItWasWritten)
+TEST(PermitCodec, EveryMessage_SurvivesRoundTrip)
 {
   PermitBatch batch;
   batch.toDispatcher_ = {
@@ -47,7 +47,7 @@
   EXPECT_EQ(read.value(), batch);
 }
 
-TEST(PermitCodec, BytesAreBroken_AreRefusedOrReadAsSomethingElse)
+TEST(PermitCodec, CorruptBytes_AreDecodedWithoutCrash)
 {
   PermitBatch batch;
   batch.toDispatcher_ = { SendEnd{ 10, SendResult::Shed, milliseconds(4), std::nullopt } };
